--- a/benches/cell/replay.rs
+++ b/benches/cell/replay.rs
@@ -11,7 +11,7 @@
 use hdrhistogram::Histogram;
 use oriolefork::cell::job::{End, Id, Phase, Run, StepKey};
 use oriolefork::cell::link::{Allowed, Listed, Look, Roster};
-use oriolefork::cell::machine::{Call, Effect, Machine, Message, Question};
+use oriolefork::cell::machine::{Call, Effect, Machine, Message, PolicyQuery};
 use oriolefork::cell::record::WorkerId;
 use oriolefork::cell::state::State;
 use oriolefork::cell::timings::Timings;
@@ -257,7 +257,7 @@
             Event::Finish(worker, run) => self.finish(&worker, run),
             Event::Present => {
                 for peer in self.askers.keys().copied().collect::<Vec<_>>() {
-                    self.tell(Message::Present { peer, strength: 1, domain: "hall".into() });
+                    self.tell(Message::InstanceSeen { peer, strength: 1, domain: "hall".into() });
                 }
                 self.schedule(200, Event::Present);
             }
@@ -311,7 +311,7 @@
                 let message = Message::Appended { sequence, sent: now, outcome: Ok(sequence) };
                 self.schedule(APPEND_MS, Event::Told(message));
             }
-            Effect::Look { worker, look, .. } => self.schedule(2, Event::Looked(worker, look)),
+            Effect::Poll { worker, poll, .. } => self.schedule(2, Event::Looked(worker, poll)),
             Effect::Start { worker, start, .. } => self.start(worker, &start),
             Effect::Stop { worker, run, .. } => {
                 let epoch = self.machine.epoch;
@@ -322,9 +322,9 @@
                 self.schedule(ORDER_MS, Event::Told(message));
                 self.answer_parked(&worker);
             }
-            Effect::Advise(question) => self.advise(&question),
+            Effect::QueryPolicy(question) => self.advise(&question),
             Effect::Reply { .. } | Effect::Save(_) => {}
-            Effect::StepDown { why } => panic!("the owner stepped down: {why}"),
+            Effect::StepDown { reason } => panic!("the owner stepped down: {reason}"),
         }
     }
 
@@ -377,17 +377,17 @@
         let Some(upstream) = self.workers.get_mut(worker) else { return };
         let outcome = upstream.look(&parked.look, self.now);
         let sent = Instant::from_millis(parked.sent);
-        let message = Message::Looked { worker: worker.clone(), sent, outcome };
+        let message = Message::Polled { worker: worker.clone(), sent, outcome };
         self.schedule(3, Event::Told(message));
     }
 
     /// Each instance has one question answered after the other.
-    fn advise(&mut self, question: &Question) {
+    fn advise(&mut self, question: &PolicyQuery) {
         let Some(job) = self.jobs.get(&question.step.job) else { return };
         let (decide, each, good) = self.site.kinds[job.kind].advice;
         let took = (decide + each * question.workers.len() as f64) as u64;
-        let from = self.askers.get(&question.asker).copied().unwrap_or(0).max(self.now + PEER_MS);
-        self.askers.insert(question.asker, from + took);
+        let from = self.askers.get(&question.proxy).copied().unwrap_or(0).max(self.now + PEER_MS);
+        self.askers.insert(question.proxy, from + took);
         self.outcome.asked_ms += took;
         let may = |worker: &&WorkerId| {
             let name = format!("{} {worker}", question.step);
@@ -396,7 +396,7 @@
         let allowed = question.workers.iter().filter(may);
         let workers = allowed.map(|worker| (worker.clone(), "ticket".to_owned())).collect();
         let allowed = Some(Allowed { workers, valid_ms: Some(1_500) });
-        let message = Message::Advised { question: question.number, allowed };
+        let message = Message::PolicyAnswered { query: question.number, allowed };
         self.schedule(from + took + PEER_MS - self.now, Event::Told(message));
     }
 
--- a/src/cell/election/claim.rs
+++ b/src/cell/election/claim.rs
@@ -172,7 +172,7 @@
         let mut machine =
             Machine::new(state, node.first_sequence(), next, node.table(), node.timings, now, unix);
         let (peer, strength, domain) = (node.me, node.strength, node.domain.clone());
-        machine.handle(Message::Present { peer, strength, domain }, now, unix);
+        machine.handle(Message::InstanceSeen { peer, strength, domain }, now, unix);
         let (noted, cell) = (node.clone(), self.cell);
         let health = Box::new(move |health| noted.note_health(cell, health));
         let (owner, handle) =
--- a/src/cell/machine/advice.rs
+++ b/src/cell/machine/advice.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::askers::Askers;
 use super::field::{Field, Fields};
+use super::proxy_shares::ProxyShares;
 use super::reservation::Budget;
 use super::waiting::Waiting;
 use super::{Effect, Machine};
@@ -44,17 +44,17 @@
 
 /// A question about one step.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct PolicyQuery {
     /// Its number.
     pub number: u64,
     /// The instance that asks it.
-    pub asker: SocketAddr,
+    pub proxy: SocketAddr,
     /// The step.
     pub step: StepKey,
     /// Workers asked about.
     pub workers: Vec<WorkerId>,
     /// How long tickets hold, unless the answer says otherwise.
-    pub valid: Duration,
+    pub ticket_lifetime: Duration,
     /// When it was asked.
     pub sent: Instant,
     /// Time after which no answer is to be expected.
@@ -115,12 +115,12 @@
 
 impl Machine {
     /// Asks the policy service what is still needed to place the step.
-    pub(super) fn seek_advice(
+    pub(super) fn query_policy(
         &mut self,
         step: &Waiting,
         advice: &Advice,
         fields: &mut Fields,
-        askers: &mut Askers,
+        shares: &mut ProxyShares,
         budget: &mut Budget,
     ) {
         let now = self.now;
@@ -129,25 +129,25 @@
         if tickets.is_asking() && !gang || !tickets.is_due(now) {
             return;
         }
-        askers.turn(&step.queue);
+        shares.note_turn(&step.queue);
         if gang && budget.is_spent(step) && !self.is_under_way(step) {
             return;
         }
-        let Some(asker) = self.idle_asker() else { return };
-        let admitted = askers.admits(&step.queue);
-        if !admitted && !askers.may_postpone() {
+        let Some(proxy) = self.idle_proxy() else { return };
+        let admitted = shares.admits(&step.queue);
+        if !admitted && !shares.may_defer() {
             return;
         }
         fields.sort();
-        let question = self.question(step, advice, fields);
-        if gang && !question.is_empty() && !self.is_under_way(step) && !budget.take(step) {
+        let query = self.query_workers(step, advice, fields);
+        if gang && !query.is_empty() && !self.is_under_way(step) && !budget.take(step) {
             return;
         }
-        if !question.is_empty() && admitted {
-            askers.take(&step.queue);
-            self.ask(asker, step.key, question, advice);
-        } else if !question.is_empty() {
-            askers.postpone(step.key, question, *advice);
+        if !query.is_empty() && admitted {
+            shares.take(&step.queue);
+            self.ask(proxy, step.key, query, advice);
+        } else if !query.is_empty() {
+            shares.defer_query(step.key, query, *advice);
         } else if let Some(tickets) = self.tickets.get_mut(&step.key) {
             tickets.rest(now.after(ADVICE_REST));
         }
@@ -158,10 +158,10 @@
     /// Guards against a policy service that is kept busy in vain: on a grown site that is full, steps
     /// without room renewed their tickets all the time, 29 of 30 instances were always asking, and
     /// new jobs waited for their first answer beside room that came free.
-    fn question(&self, step: &Waiting, advice: &Advice, fields: &Fields) -> Vec<WorkerId> {
+    fn query_workers(&self, step: &Waiting, advice: &Advice, fields: &Fields) -> Vec<WorkerId> {
         let Some(tickets) = self.tickets.get(&step.key) else { return Vec::new() };
         if step.model().gang {
-            return self.gang_question(step, fields, tickets);
+            return self.gang_query_workers(step, fields, tickets);
         }
         let wanted = step.pending.len() as f64;
         let (asked, eligible) = tickets.tally();
@@ -198,7 +198,12 @@
     ///
     /// Guards against a wide gang that is asked about bit by bit: a question takes as long as a
     /// ticket holds, so that it never had tickets for all its tasks at once.
-    fn gang_question(&self, step: &Waiting, fields: &Fields, tickets: &Tickets) -> Vec<WorkerId> {
+    fn gang_query_workers(
+        &self,
+        step: &Waiting,
+        fields: &Fields,
+        tickets: &Tickets,
+    ) -> Vec<WorkerId> {
         // Those behind it have their turn first. Guards against a gang that never fits and has its
         // tickets renewed as long as it waits, while narrow ones find nobody to ask for them.
         if !tickets.is_asking() && tickets.expired_within(ADVICE_REST, self.now) {
@@ -226,7 +231,7 @@
 
     /// Share of the workers that may be expected to be eligible for a step.
     fn share(&self, step: &Waiting) -> f64 {
-        let share = self.shares.get(&step.queue.name).copied().unwrap_or(UNKNOWN_SHARE);
+        let share = self.eligible_shares.get(&step.queue.name).copied().unwrap_or(UNKNOWN_SHARE);
         share.max(LEAST_SHARE)
     }
 
@@ -262,64 +267,64 @@
     }
 
     /// An instance that can ask now.
-    pub(super) fn idle_asker(&self) -> Option<SocketAddr> {
-        self.askers.iter().find(|(_, asker)| asker.is_idle(self.now)).map(|(peer, _)| *peer)
+    pub(super) fn idle_proxy(&self) -> Option<SocketAddr> {
+        self.proxies.iter().find(|(_, proxy)| proxy.is_idle(self.now)).map(|(peer, _)| *peer)
     }
 
     /// Has `asker` ask about `workers`.
     pub(super) fn ask(
         &mut self,
-        asker: SocketAddr,
+        proxy: SocketAddr,
         step: StepKey,
         workers: Vec<WorkerId>,
         advice: &Advice,
     ) {
-        self.last_question += 1;
+        self.last_query += 1;
         let expected = advice.time_ms(workers.len());
-        let question = Question {
-            number: self.last_question,
-            asker,
+        let query = PolicyQuery {
+            number: self.last_query,
+            proxy,
             step,
             workers,
-            valid: Duration::from_millis(advice.valid_ms),
+            ticket_lifetime: Duration::from_millis(advice.valid_ms),
             sent: self.now,
             timeout: Duration::from_millis(expected.max(0.0) as u64) + ADVICE_SLACK,
         };
-        self.tickets.entry(step).or_default().ask(&question.workers);
-        if let Some(asker) = self.askers.get_mut(&asker) {
-            asker.question = Some(question.number);
+        self.tickets.entry(step).or_default().ask(&query.workers);
+        if let Some(proxy) = self.proxies.get_mut(&proxy) {
+            proxy.query = Some(query.number);
         }
         log::info!(
-            "event=advice.asked step={step} question={} asker={asker} workers={} valid_workers={}",
-            question.number,
-            question.workers.len(),
+            "event=advice.asked step={step} question={} asker={proxy} workers={} valid_workers={}",
+            query.number,
+            query.workers.len(),
             self.tickets.get(&step).map_or(0, |tickets| tickets.holding(self.now).count())
         );
-        self.questions.insert(question.number, question.clone());
-        self.effects.push(Effect::Advise(question));
+        self.queries.insert(query.number, query.clone());
+        self.effects.push(Effect::QueryPolicy(query));
     }
 
-    pub(super) fn advised(&mut self, number: u64, allowed: Option<&Allowed>) {
-        let Some(question) = self.questions.remove(&number) else { return };
-        if let Some(asker) = self.askers.get_mut(&question.asker)
-            && asker.question == Some(number)
+    pub(super) fn policy_answered(&mut self, number: u64, allowed: Option<&Allowed>) {
+        let Some(query) = self.queries.remove(&number) else { return };
+        if let Some(proxy) = self.proxies.get_mut(&query.proxy)
+            && proxy.query == Some(number)
         {
-            asker.note_outcome(allowed.is_some(), self.now);
+            proxy.note_outcome(allowed.is_some(), self.now);
         }
         if let Some(allowed) = allowed {
-            let took_ms = self.now.since(question.sent).as_millis();
-            let (step, allowed) = (question.step, allowed.workers.len());
+            let took_ms = self.now.since(query.sent).as_millis();
+            let (step, allowed) = (query.step, allowed.workers.len());
             log::info!(
                 "event=advice.answered step={step} question={number} allowed={allowed} took_ms={took_ms}"
             );
         } else {
-            let (step, asker) = (question.step, question.asker);
-            log::warn!("event=advice.failed step={step} asker={asker} question={number}");
+            let (step, proxy) = (query.step, query.proxy);
+            log::warn!("event=advice.failed step={step} asker={proxy} question={number}");
         }
-        if let Some(tickets) = self.tickets.get_mut(&question.step) {
-            tickets.answer(&question.workers, allowed, question.valid, self.now);
+        if let Some(tickets) = self.tickets.get_mut(&query.step) {
+            tickets.answer(&query.workers, allowed, query.ticket_lifetime, self.now);
             let tally = tickets.tally();
-            self.learn_share(&question.step, tally);
+            self.learn_share(&query.step, tally);
         }
         self.dirty = true;
     }
@@ -331,7 +336,7 @@
         const WEIGHT: f64 = 0.1;
         let Some(entry) = self.state.jobs.get(&step.job) else { return };
         let found = eligible as f64 / asked.max(1) as f64;
-        let mean = self.shares.entry(entry.job.queue.clone()).or_insert(found);
+        let mean = self.eligible_shares.entry(entry.job.queue.clone()).or_insert(found);
         *mean += (found - *mean) * WEIGHT;
     }
 }
--- a/src/cell/machine/backlog.rs
+++ b/src/cell/machine/backlog.rs
@@ -45,9 +45,9 @@
         let [on_time, late, worthless] =
             hopes.map(|hope| waiting.iter().filter(|step| step.rank.hope == hope).count());
         let gangs = waiting.iter().filter(|step| step.model().gang).count();
-        let unasked = waiting.iter().filter(|step| self.needs_first_question(step)).count();
-        let fresh = self.askers.values().filter(|asker| asker.is_fresh(self.now)).count();
-        let idle = self.askers.values().filter(|asker| asker.is_idle(self.now)).count();
+        let unasked = waiting.iter().filter(|step| self.is_unqueried(step)).count();
+        let fresh = self.proxies.values().filter(|proxy| proxy.is_fresh(self.now)).count();
+        let idle = self.proxies.values().filter(|proxy| proxy.is_idle(self.now)).count();
         let (free, cores) = (fields.free_cpu_millis() / 1_000, fields.cpu_millis() / 1_000);
         log::info!(
             "event=steps.waiting on_time={on_time} late={late} worthless={worthless} gangs={gangs} \
@@ -92,7 +92,7 @@
     }
 
     /// Whether the step needs the policy service's word and nobody has asked for it.
-    pub(super) fn needs_first_question(&self, step: &Waiting) -> bool {
+    pub(super) fn is_unqueried(&self, step: &Waiting) -> bool {
         let tickets = self.tickets.get(&step.key);
         step.queue.advice.is_some()
             && tickets.is_none_or(|tickets| tickets.tally().0 == 0 && !tickets.is_asking())
--- a/src/cell/machine/calls.rs
+++ b/src/cell/machine/calls.rs
@@ -114,7 +114,7 @@
     /// Guards against an owner that was cut from the store and replaced: it knows nothing of what
     /// its successor accepted, and a caller would take its job for lost.
     fn unknown(&self) -> Answer {
-        if self.now.since(self.commit.written()) < VOUCH {
+        if self.now.since(self.commit.last_write_sent()) < VOUCH {
             Answer::Unknown
         } else {
             Answer::Unavailable
--- a/src/cell/machine/commit.rs
+++ b/src/cell/machine/commit.rs
@@ -26,18 +26,18 @@
 
 /// How the store takes what is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Health {
+pub enum StoreHealth {
     /// Within the usual time.
     Good,
     /// One batch has been tried for so long that another instance may reach the store faster.
-    Struggling,
+    Degraded,
     /// One batch has been tried for longer than a slow store takes.
     Stuck,
 }
 
 /// Batches that wait for the journal.
 #[derive(Debug)]
-pub struct Commit {
+pub struct JournalQueue {
     /// Batches in order; the first one is under way when `closed` is set.
     waiting: VecDeque<Waiting>,
     /// Number of the first batch that waits, or of the next one.
@@ -47,7 +47,7 @@
     /// Appends of the first batch that have no answer yet.
     out: u32,
     retry_at: Instant,
-    written: Instant,
+    last_write_sent: Instant,
     /// Offset after the last batch that is known to be stored.
     end: u64,
     /// Since when the first batch has been tried.
@@ -61,7 +61,7 @@
     then: Vec<Deferred>,
 }
 
-impl Commit {
+impl JournalQueue {
     /// Whether the batch under way takes longer than the store usually does.
     pub(super) fn is_slow(&self, now: Instant) -> bool {
         self.trying.is_some_and(|since| now.since(since) > STORE_SLOW)
@@ -76,29 +76,29 @@
             closed: false,
             out: 0,
             retry_at: now,
-            written: now,
+            last_write_sent: now,
             end,
             trying: None,
         }
     }
 
     /// How the store takes what is decided.
-    pub(super) fn health(&self, now: Instant) -> Health {
+    pub(super) fn health(&self, now: Instant) -> StoreHealth {
         match self.trying.map(|since| now.since(since)) {
-            Some(tried) if tried > STORE_SILENCE => Health::Stuck,
-            Some(tried) if tried > STORE_STRUGGLE => Health::Struggling,
-            _ => Health::Good,
+            Some(tried) if tried > STORE_SILENCE => StoreHealth::Stuck,
+            Some(tried) if tried > STORE_STRUGGLE => StoreHealth::Degraded,
+            _ => StoreHealth::Good,
         }
     }
 
     /// Whether a batch has been tried for longer than a slow store takes.
     pub fn is_stuck(&self, now: Instant) -> bool {
-        self.health(now) == Health::Stuck
+        self.health(now) == StoreHealth::Stuck
     }
 
     /// When the last batch that is known to be stored was sent.
-    pub const fn written(&self) -> Instant {
-        self.written
+    pub const fn last_write_sent(&self) -> Instant {
+        self.last_write_sent
     }
 
     /// Offset after the last batch that is known to be stored.
@@ -203,7 +203,7 @@
             return;
         }
         if self.commit.waiting.is_empty() {
-            if self.now.since(self.commit.written) < IDLE_APPEND {
+            if self.now.since(self.commit.last_write_sent) < IDLE_APPEND {
                 return;
             }
             self.commit.waiting.push_back(Waiting::default());
@@ -219,8 +219,8 @@
                 self.effects.push(Effect::Append { sequence: self.commit.first, batch });
             }
             Err(error) => {
-                let why = format!("step=journal.encode cause={error}");
-                self.effects.push(Effect::StepDown { why });
+                let reason = format!("step=journal.encode cause={error}");
+                self.effects.push(Effect::StepDown { reason });
             }
         }
     }
@@ -238,8 +238,8 @@
         match outcome {
             Ok(end) => self.stored(sent, end),
             Err(Rejected::Fenced) => {
-                let why = "step=journal.append cause=fenced".to_owned();
-                self.effects.push(Effect::StepDown { why });
+                let reason = "step=journal.append cause=fenced".to_owned();
+                self.effects.push(Effect::StepDown { reason });
             }
             // A repeat carries the same number, so that the journal takes the batch only once.
             Err(Rejected::NotWritten(cause) | Rejected::Unknown(cause)) => {
@@ -251,7 +251,7 @@
 
     fn stored(&mut self, sent: Instant, end: u64) {
         self.commit.end = self.commit.end.max(end);
-        self.commit.written = self.commit.written.max(sent);
+        self.commit.last_write_sent = self.commit.last_write_sent.max(sent);
         let took = self.commit.trying.map_or(Duration::ZERO, |since| self.now.since(since));
         names::CELL_APPEND.record(took, &[]);
         self.commit.first += 1;
@@ -289,12 +289,12 @@
         if live.stage != Stage::Recording {
             return;
         }
-        if live.unwanted {
+        if live.stop_requested {
             self.end_run(run, End::Void, String::new());
             return;
         }
-        live.stage = Stage::Starting { out: false };
+        live.stage = Stage::Starting { in_flight: false };
         live.since = self.now;
-        live.next_try = self.now;
+        live.next_command = self.now;
     }
 }
--- a/src/cell/machine/crash.rs
+++ b/src/cell/machine/crash.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use super::{Live, Machine, Stage};
+use super::{ActiveAttempt, Machine, Stage};
 use crate::cell::job::{End, Id, Run};
 use crate::cell::worker::Worker;
 use crate::clock::Instant;
@@ -57,7 +57,7 @@
     }
 
     /// How a try ends whose worker's life is over.
-    pub(super) fn end_with(&self, worker: &Worker, live: &Live) -> End {
+    pub(super) fn end_with(&self, worker: &Worker, live: &ActiveAttempt) -> End {
         if live.is_unsent() {
             End::Void
         } else if worker.listed.draining {
@@ -77,24 +77,24 @@
     }
 }
 
-impl Live {
+impl ActiveAttempt {
     fn is_starting(&self, now: Instant) -> bool {
         match self.stage {
             Stage::Recording | Stage::Starting { .. } => true,
             Stage::Running(_) => now.since(self.since) < STARTUP,
-            Stage::Inherited | Stage::Stopping { .. } => false,
+            Stage::Recovered | Stage::Stopping { .. } => false,
         }
     }
 
     /// Whether no order to start it has left this owner or an earlier one.
     fn is_unsent(&self) -> bool {
-        matches!(self.stage, Stage::Recording | Stage::Starting { .. }) && self.tries == 0
+        matches!(self.stage, Stage::Recording | Stage::Starting { .. }) && self.starts_sent == 0
     }
 
     /// Whether its worker has said that it began; `None` where that may have been said to an earlier
     /// owner.
     fn has_begun(&self) -> Option<bool> {
-        (self.stage != Stage::Inherited).then_some(self.begun)
+        (self.stage != Stage::Recovered).then_some(self.start_confirmed)
     }
 
     /// Whether its worker fell silent as it began, or was to begin.
--- a/src/cell/machine/inheritance.rs
+++ b/src/cell/machine/inheritance.rs
@@ -1,6 +1,6 @@
 //! What an owner takes over from those before it.
 
-use super::{Live, Machine, Stage};
+use super::{ActiveAttempt, Machine, Stage};
 use crate::cell::job::{Phase, Run};
 use crate::cell::record::WorkerId;
 
@@ -14,10 +14,10 @@
             if self.is_suspect(&run) {
                 self.suspects.insert(run);
             }
-            self.runs.insert(run, Live::new(worker, demand, Stage::Inherited, self.now));
+            self.runs.insert(run, ActiveAttempt::new(worker, demand, Stage::Recovered, self.now));
             self.unlisted.insert(run);
         }
-        let unwanted: Vec<Run> = self
+        let stop_requested: Vec<Run> = self
             .runs
             .keys()
             .filter(|run| {
@@ -26,9 +26,9 @@
             })
             .copied()
             .collect();
-        for run in unwanted {
+        for run in stop_requested {
             if let Some(live) = self.runs.get_mut(&run) {
-                live.unwanted = true;
+                live.stop_requested = true;
             }
         }
     }
--- a/src/cell/machine/judgement.rs
+++ b/src/cell/machine/judgement.rs
@@ -1,11 +1,11 @@
 //! What the end of a try says of its worker and of its queue.
 
-use super::{Live, Machine};
+use super::{ActiveAttempt, Machine};
 use crate::cell::job::{End, Run};
 
 impl Machine {
     /// Learns from an end about the worker and the queue.
-    pub(super) fn judge(&mut self, run: &Run, live: &Live, end: End) {
+    pub(super) fn judge(&mut self, run: &Run, live: &ActiveAttempt, end: End) {
         let step = run.task.step;
         // Lasting tasks may fail at any time; that says nothing of their worker.
         if self.model(&step).is_some_and(|model| model.lasting) {
@@ -28,12 +28,12 @@
         }
     }
 
-    fn learn(&mut self, run: &Run, live: &Live) {
+    fn learn(&mut self, run: &Run, live: &ActiveAttempt) {
         /// Weight of one run in the mean.
         const WEIGHT: f64 = 0.05;
         let Some(entry) = self.state.jobs.get(&run.task.step.job) else { return };
         let took = self.now.since(live.since).as_millis() as f64;
-        let mean = self.run_times.entry(entry.job.queue.clone()).or_insert(took);
+        let mean = self.mean_run_times_ms.entry(entry.job.queue.clone()).or_insert(took);
         *mean += (took - *mean) * WEIGHT;
     }
 }
--- a/src/cell/machine/live.rs
+++ b/src/cell/machine/live.rs
@@ -12,24 +12,24 @@
     /// The order to start it has no answer yet.
     Starting {
         /// Whether an order is out.
-        out: bool,
+        in_flight: bool,
     },
     /// Its worker said at that instant that it runs, or has run.
     Running(Instant),
     /// Placed by an earlier owner; its worker has not told of it yet.
-    Inherited,
+    Recovered,
     /// It is to be stopped.
     Stopping {
         /// Whether an order is out.
-        out: bool,
+        in_flight: bool,
         /// When the worker took the order.
-        taken: Option<Instant>,
+        acknowledged: Option<Instant>,
     },
 }
 
 /// A try that is not known to be over.
 #[derive(Clone, Debug)]
-pub struct Live {
+pub struct ActiveAttempt {
     /// Its worker.
     pub worker: WorkerId,
     /// Room it takes.
@@ -37,37 +37,37 @@
     /// How far it is.
     pub stage: Stage,
     /// Orders to start that were sent.
-    pub tries: u32,
+    pub starts_sent: u32,
     /// Whether an order without an answer may have reached the worker.
-    pub doubtful: bool,
+    pub may_have_arrived: bool,
     /// Latest end of a lease that this owner's orders to start it named, on the worker's clock in
     /// milliseconds; zero before the first. The worker refuses these orders from then on.
-    pub ordered_until_ms: u64,
+    pub start_lease_end_ms: u64,
     /// Whether its worker has said that it runs.
-    pub begun: bool,
+    pub start_confirmed: bool,
     /// When the next order is due.
-    pub next_try: Instant,
+    pub next_command: Instant,
     /// When it was placed.
     pub since: Instant,
     /// Whether it is to be stopped as soon as possible.
-    pub unwanted: bool,
+    pub stop_requested: bool,
     /// Share of its work that is done, and when that last rose.
     pub progress: (u32, Instant),
 }
 
-impl Live {
+impl ActiveAttempt {
     pub(super) fn new(worker: WorkerId, demand: Amount, stage: Stage, now: Instant) -> Self {
         Self {
             worker,
             demand,
             stage,
-            tries: 0,
-            doubtful: false,
-            ordered_until_ms: 0,
-            begun: false,
-            next_try: now,
+            starts_sent: 0,
+            may_have_arrived: false,
+            start_lease_end_ms: 0,
+            start_confirmed: false,
+            next_command: now,
             since: now,
-            unwanted: false,
+            stop_requested: false,
             progress: (0, now),
         }
     }
--- a/src/cell/machine/looks.rs
+++ b/src/cell/machine/looks.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::commit::Deferred;
-use super::{Effect, Live, Machine, Stage};
+use super::{ActiveAttempt, Effect, Machine, Stage};
 use crate::cell::job::{End, Run};
 use crate::cell::link::{Ended, Fault, Look, Report, Running};
 use crate::cell::timings::{AUTHORITY, LOOK_RETRY, LOOK_TIMEOUT, LOOK_WAIT};
@@ -26,9 +26,9 @@
         for id in self.looks.due(now, LOOKS_A_STEP) {
             let Some(worker) = self.workers.get_mut(&id) else { continue };
             worker.looking = Some(now);
-            let look = look(worker, epoch, may_grant, now);
+            let poll = poll(worker, epoch, may_grant, now);
             let peer = worker.address();
-            self.effects.push(Effect::Look { worker: id, peer, look });
+            self.effects.push(Effect::Poll { worker: id, peer, poll });
         }
     }
 
@@ -61,7 +61,7 @@
     /// without knowing. Its successor waits for this span and a lease before it starts elsewhere
     /// what ran on workers that it cannot reach.
     pub(super) fn may_grant(&self) -> bool {
-        self.now.since(self.commit.written()) < AUTHORITY
+        self.now.since(self.commit.last_write_sent()) < AUTHORITY
     }
 
     pub(super) fn looked(&mut self, id: &str, sent: Instant, outcome: Result<Report, Fault>) {
@@ -103,8 +103,8 @@
     }
 
     pub(super) fn step_down(&mut self, worker: &str) {
-        let why = format!("step=worker.call worker={worker} cause=fenced");
-        self.effects.push(Effect::StepDown { why });
+        let reason = format!("step=worker.call worker={worker} cause=fenced");
+        self.effects.push(Effect::StepDown { reason });
     }
 
     fn take_report(&mut self, id: &str, sent: Instant, report: Report) {
@@ -151,18 +151,18 @@
         }
         let now = self.now;
         let Some(live) = self.runs.get_mut(&run) else { return };
-        live.begun = true;
-        if matches!(live.stage, Stage::Starting { .. } | Stage::Inherited) {
+        live.start_confirmed = true;
+        if matches!(live.stage, Stage::Starting { .. } | Stage::Recovered) {
             live.stage = Stage::Running(now);
             live.progress.1 = now;
         }
         if running.percent != live.progress.0 {
             live.progress = (running.percent, now);
         }
-        let unwanted = live.unwanted && matches!(live.stage, Stage::Running(_));
+        let stop_requested = live.stop_requested && matches!(live.stage, Stage::Running(_));
         self.state.note_started(run.task.step.job);
         self.state.note_saved(&run.task, &running.saved);
-        if unwanted {
+        if stop_requested {
             self.stop_run(run);
         }
     }
@@ -188,11 +188,13 @@
             let end = match live.stage {
                 Stage::Recording | Stage::Starting { .. } => continue,
                 // Orders of earlier owners are refused from here on, so that it never begins.
-                Stage::Inherited => End::Void,
+                Stage::Recovered => End::Void,
                 // Strictly: instants have milliseconds, and within one of them a worker nearby answers
                 // a look and then takes the order, so that the report is older than the answer.
                 Stage::Running(seen) if seen < sent => End::Lost,
-                Stage::Stopping { taken: Some(taken), .. } if taken < sent => End::Void,
+                Stage::Stopping { acknowledged: Some(acknowledged), .. } if acknowledged < sent => {
+                    End::Void
+                }
                 Stage::Stopping { .. } if is_refused(live, clock_ms) => End::Void,
                 Stage::Running(_) | Stage::Stopping { .. } => continue,
             };
@@ -207,8 +209,8 @@
 /// outcome waited without bound for its stop, beside free workers. No stop is needed once the lease of
 /// the last order is over: an order that arrives from then on is refused as too late, and one that
 /// arrived before shows in the report. A try that has run is left to its listed end.
-const fn is_refused(live: &Live, clock_ms: u64) -> bool {
-    !live.begun && clock_ms > live.ordered_until_ms
+const fn is_refused(live: &ActiveAttempt, clock_ms: u64) -> bool {
+    !live.start_confirmed && clock_ms > live.start_lease_end_ms
 }
 
 /// When a worker stopped answering, by its first look without an answer: where the connection broke, as
@@ -218,7 +220,7 @@
     if now.since(sent) < timeout { now } else { sent }
 }
 
-fn look(worker: &mut Worker, epoch: crate::cell::Epoch, may_grant: bool, now: Instant) -> Look {
+fn poll(worker: &mut Worker, epoch: crate::cell::Epoch, may_grant: bool, now: Instant) -> Look {
     // A look that gets no answer may still extend the lease when it arrives; while a worker does
     // not answer, nothing is granted, so that the end of its lease stays known.
     let grants = may_grant && worker.missed == 0 && worker.fenced;
--- a/src/cell/machine/loss.rs
+++ b/src/cell/machine/loss.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::roster::lives_of;
-use super::{Live, Machine, Stage};
+use super::{ActiveAttempt, Machine, Stage};
 use crate::cell::job::{End, Run};
 use crate::cell::life::Life;
 use crate::cell::record::WorkerId;
@@ -44,7 +44,7 @@
 
     /// Ends what earlier owners left in lives of workers that have answered in another one since.
     fn end_former_lives(&mut self) {
-        let former = |live: &Live| self.answers_in_another_life(&live.worker);
+        let former = |live: &ActiveAttempt| self.answers_in_another_life(&live.worker);
         let runs = self.unlisted.iter().copied();
         let over: Vec<Run> = runs.filter(|run| self.runs.get(run).is_some_and(former)).collect();
         for run in over {
--- a/src/cell/machine/message.rs
+++ b/src/cell/machine/message.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::advice::Question;
+use super::advice::PolicyQuery;
 use crate::cell::duty::Duty;
 use crate::cell::job::{Id, Job, Phase, Run};
 use crate::cell::link::{Allowed, Base, Fault, Look, Rejected, Report, Roster, Start};
@@ -67,7 +67,7 @@
         outcome: Result<u64, Rejected>,
     },
     /// A worker answered a look, or did not.
-    Looked {
+    Polled {
         /// The worker.
         worker: WorkerId,
         /// When the look was sent.
@@ -94,9 +94,9 @@
         outcome: Result<u64, Fault>,
     },
     /// The policy service answered, or did not.
-    Advised {
+    PolicyAnswered {
         /// Number of the question.
-        question: u64,
+        query: u64,
         /// What it allows; `None` when no answer came.
         allowed: Option<Allowed>,
     },
@@ -105,9 +105,9 @@
     /// The configuration changed.
     Table(Rc<Table>),
     /// The whole state is to be saved.
-    SaveDue,
+    SnapshotDue,
     /// An instance is there and can ask the policy service.
-    Present {
+    InstanceSeen {
         /// Where it is reached.
         peer: SocketAddr,
         /// Processor that it may use, in thousandths of a core.
@@ -122,12 +122,12 @@
     pub const fn duty(&self) -> Duty {
         match self {
             Self::Call { .. } => Duty::Call,
-            Self::Appended { .. } | Self::SaveDue => Duty::Append,
-            Self::Looked { .. } => Duty::Report,
+            Self::Appended { .. } | Self::SnapshotDue => Duty::Append,
+            Self::Polled { .. } => Duty::Report,
             Self::Started { .. } | Self::Stopped { .. } => Duty::Order,
-            Self::Advised { .. } => Duty::Advice,
+            Self::PolicyAnswered { .. } => Duty::Advice,
             Self::Roster(_) | Self::Table(_) => Duty::List,
-            Self::Present { .. } => Duty::Watch,
+            Self::InstanceSeen { .. } => Duty::Watch,
         }
     }
 }
@@ -143,13 +143,13 @@
         batch: Bytes,
     },
     /// Look at a worker.
-    Look {
+    Poll {
         /// The worker.
         worker: WorkerId,
         /// Its address.
         peer: SocketAddr,
         /// What to ask.
-        look: Look,
+        poll: Look,
     },
     /// Start a try.
     Start {
@@ -170,7 +170,7 @@
         run: Run,
     },
     /// Ask the policy service.
-    Advise(Question),
+    QueryPolicy(PolicyQuery),
     /// Answer a caller.
     Reply {
         /// Names the call.
@@ -183,7 +183,7 @@
     /// Another owner has taken the cell over; end.
     StepDown {
         /// How it showed.
-        why: String,
+        reason: String,
     },
 }
 
@@ -192,9 +192,9 @@
     pub const fn duty(&self) -> Duty {
         match self {
             Self::Append { .. } | Self::Save(_) | Self::StepDown { .. } => Duty::Append,
-            Self::Look { .. } => Duty::Look,
+            Self::Poll { .. } => Duty::Look,
             Self::Start { .. } | Self::Stop { .. } => Duty::Order,
-            Self::Advise(_) => Duty::Advice,
+            Self::QueryPolicy(_) => Duty::Advice,
             Self::Reply { .. } => Duty::Call,
         }
     }
--- a/src/cell/machine/mod.rs
+++ b/src/cell/machine/mod.rs
@@ -6,8 +6,6 @@
 
 mod advice;
 mod agenda;
-mod asker;
-mod askers;
 mod backlog;
 mod calls;
 mod commit;
@@ -24,6 +22,8 @@
 mod orders;
 mod place;
 mod preemption;
+mod proxy;
+mod proxy_shares;
 mod rank;
 mod reservation;
 mod roster;
@@ -36,17 +36,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-pub use advice::Question;
-pub use commit::{Commit, Health};
-pub use live::{Live, Stage};
+pub use advice::PolicyQuery;
+pub use commit::{JournalQueue, StoreHealth};
+pub use live::{ActiveAttempt, Stage};
 pub use message::{Answer, Call, CallId, Effect, Message};
 pub use succession::Succession;
-pub use tracked::Tracked;
+pub use tracked::TrackedMap;
 
 use self::agenda::Agenda;
-use self::asker::Asker;
 use self::backlog::Backlog;
 use self::field::Fields;
+use self::proxy::PolicyProxy;
 use self::waiting::Hopeful;
 use super::Epoch;
 use super::duty::Duty;
@@ -85,17 +85,17 @@
     /// The configuration in force.
     pub table: Rc<Table>,
     /// Workers by name.
-    pub workers: Tracked<WorkerId, Worker>,
+    pub workers: TrackedMap<WorkerId, Worker>,
     /// Tries that are not known to be over.
-    pub runs: Tracked<Run, Live>,
+    pub runs: TrackedMap<Run, ActiveAttempt>,
     /// What the policy service said of steps.
     pub tickets: BTreeMap<StepKey, Tickets>,
     /// Mean run time of a task by queue, in milliseconds.
-    pub run_times: BTreeMap<String, f64>,
+    pub mean_run_times_ms: BTreeMap<String, f64>,
     /// Share of the workers that may run a step, by queue.
-    pub shares: BTreeMap<String, f64>,
+    pub eligible_shares: BTreeMap<String, f64>,
     claim: u64,
-    commit: Commit,
+    commit: JournalQueue,
     /// New jobs that wait for a slow store.
     admission: Vec<(CallId, Job)>,
     claimed: Instant,
@@ -117,10 +117,10 @@
     fields: Fields,
     /// Tries of earlier owners on workers that no list has named yet.
     unlisted: BTreeSet<Run>,
-    askers: BTreeMap<SocketAddr, Asker>,
+    proxies: BTreeMap<SocketAddr, PolicyProxy>,
     succession: Succession,
-    questions: BTreeMap<u64, Question>,
-    last_question: u64,
+    queries: BTreeMap<u64, PolicyQuery>,
+    last_query: u64,
     effects: Vec<Effect>,
     next_yielding: Instant,
     next_lapse: Instant,
@@ -149,13 +149,13 @@
             timings,
             state,
             table,
-            workers: Tracked::default(),
-            runs: Tracked::default(),
+            workers: TrackedMap::default(),
+            runs: TrackedMap::default(),
             tickets: BTreeMap::new(),
-            run_times: BTreeMap::new(),
-            shares: BTreeMap::new(),
+            mean_run_times_ms: BTreeMap::new(),
+            eligible_shares: BTreeMap::new(),
             claim,
-            commit: Commit::new(claim + 1, end, now),
+            commit: JournalQueue::new(claim + 1, end, now),
             admission: Vec::new(),
             claimed: now,
             dead: BTreeSet::new(),
@@ -170,10 +170,10 @@
             orders: Agenda::default(),
             fields: Fields::default(),
             unlisted: BTreeSet::new(),
-            askers: BTreeMap::new(),
+            proxies: BTreeMap::new(),
             succession: Succession::default(),
-            questions: BTreeMap::new(),
-            last_question: 0,
+            queries: BTreeMap::new(),
+            last_query: 0,
             effects: Vec::new(),
             next_yielding: now,
             next_lapse: now,
@@ -194,16 +194,18 @@
         match message {
             Message::Call { id, call } => self.call(id, call),
             Message::Appended { sequence, sent, outcome } => self.appended(sequence, sent, outcome),
-            Message::Looked { worker, sent, outcome } => self.looked(&worker, sent, outcome),
+            Message::Polled { worker, sent, outcome } => self.looked(&worker, sent, outcome),
             Message::Started { worker, run, outcome } => self.started(&worker, run, outcome),
             Message::Stopped { worker, run, outcome } => self.stopped(&worker, run, outcome),
-            Message::Advised { question, allowed } => self.advised(question, allowed.as_ref()),
+            Message::PolicyAnswered { query, allowed } => {
+                self.policy_answered(query, allowed.as_ref())
+            }
             Message::Roster(roster) => self.roster(roster),
             Message::Table(table) => self.configure(table),
-            Message::SaveDue => self.save_due = true,
-            Message::Present { peer, strength, domain } => {
-                let new = || Asker::new(strength, domain, now);
-                self.askers.entry(peer).or_insert_with(new).seen = now;
+            Message::SnapshotDue => self.save_due = true,
+            Message::InstanceSeen { peer, strength, domain } => {
+                let new = || PolicyProxy::new(strength, domain, now);
+                self.proxies.entry(peer).or_insert_with(new).last_seen = now;
             }
         }
     }
@@ -249,17 +251,17 @@
     }
 
     /// How the store takes what is decided.
-    pub fn store_health(&self, now: Instant) -> Health {
+    pub fn store_health(&self, now: Instant) -> StoreHealth {
         self.commit.health(now)
     }
 
     /// Whether an owner of `strength` thousandths of a core should be relieved.
     pub fn offer(&self, strength: u32, now: Instant) -> Offer {
         match self.store_health(now) {
-            Health::Stuck => Offer::Open,
+            StoreHealth::Stuck => Offer::Open,
             _ if self.is_outclassed(strength, now) => Offer::Open,
-            Health::Struggling => Offer::IfQuicker,
-            Health::Good => Offer::Kept,
+            StoreHealth::Degraded => Offer::IfQuicker,
+            StoreHealth::Good => Offer::Kept,
         }
     }
 
@@ -304,7 +306,7 @@
     }
 
     /// Tries of a step that are not known to be over, with what is known of them.
-    fn runs_of_step(&self, step: StepKey) -> impl Iterator<Item = (&Run, &Live)> {
+    fn runs_of_step(&self, step: StepKey) -> impl Iterator<Item = (&Run, &ActiveAttempt)> {
         self.runs.range(Run::first(step)..).take_while(move |(run, _)| run.task.step == step)
     }
 
--- a/src/cell/machine/orders.rs
+++ b/src/cell/machine/orders.rs
@@ -14,8 +14,10 @@
         for run in self.orders.due(self.now, usize::MAX) {
             let Some(stage) = self.runs.get(&run).map(|live| live.stage) else { continue };
             match stage {
-                Stage::Starting { out: false } if self.is_room_known(run) => self.send_start(run),
-                Stage::Stopping { out: false, taken: None } => self.send_stop(run),
+                Stage::Starting { in_flight: false } if self.is_room_known(run) => {
+                    self.send_start(run)
+                }
+                Stage::Stopping { in_flight: false, acknowledged: None } => self.send_stop(run),
                 _ => {}
             }
         }
@@ -24,7 +26,7 @@
     fn note_changed_runs(&mut self) {
         for run in self.runs.take_changed() {
             let live = self.runs.get(&run).filter(|live| live.stage.is_ordering());
-            self.orders.set(&run, live.map(|live| live.next_try));
+            self.orders.set(&run, live.map(|live| live.next_command));
         }
     }
 
@@ -42,9 +44,9 @@
             return self.give_up_start(run);
         };
         let Some(live) = self.runs.get_mut(&run) else { return };
-        live.stage = Stage::Starting { out: true };
-        live.tries += 1;
-        live.ordered_until_ms = live.ordered_until_ms.max(start.until_ms);
+        live.stage = Stage::Starting { in_flight: true };
+        live.starts_sent += 1;
+        live.start_lease_end_ms = live.start_lease_end_ms.max(start.until_ms);
         let worker = live.worker.clone();
         let Some(peer) = self.workers.get(&worker).map(super::Worker::address) else { return };
         self.effects.push(Effect::Start { worker, peer, start });
@@ -78,7 +80,7 @@
     /// Ends a try that was never begun, or stops it where an order may still arrive.
     fn give_up_start(&mut self, run: Run) {
         let Some(live) = self.runs.get(&run) else { return };
-        if live.doubtful {
+        if live.may_have_arrived {
             self.stop_run(run);
         } else {
             self.end_run(run, End::Void, String::new());
@@ -88,7 +90,7 @@
     fn send_stop(&mut self, run: Run) {
         let Some(live) = self.runs.get_mut(&run) else { return };
         let Some(worker) = self.workers.get(&live.worker) else { return };
-        live.stage = Stage::Stopping { out: true, taken: None };
+        live.stage = Stage::Stopping { in_flight: true, acknowledged: None };
         let peer = worker.address();
         self.effects.push(Effect::Stop { worker: live.worker.clone(), peer, run });
     }
@@ -100,19 +102,19 @@
             self.read_clock(worker, clock_ms);
         }
         let Some(live) = self.runs.get_mut(&run) else { return };
-        if live.stage != (Stage::Starting { out: true }) {
+        if live.stage != (Stage::Starting { in_flight: true }) {
             return self.started_late(run, &outcome);
         }
-        live.stage = Stage::Starting { out: false };
+        live.stage = Stage::Starting { in_flight: false };
         match outcome {
             Ok(_) => {
                 live.stage = Stage::Running(now);
-                live.begun = true;
+                live.start_confirmed = true;
                 live.since = now;
                 live.progress = (0, now);
-                let unwanted = live.unwanted;
+                let stop_requested = live.stop_requested;
                 self.state.note_started(run.task.step.job);
-                if unwanted {
+                if stop_requested {
                     self.stop_run(run);
                 }
             }
@@ -124,7 +126,7 @@
     fn started_late(&mut self, run: Run, outcome: &Result<u64, Fault>) {
         let unknown = matches!(outcome, Err(Fault::Unknown(_)));
         if let Some(live) = self.runs.get_mut(&run) {
-            live.doubtful |= unknown;
+            live.may_have_arrived |= unknown;
         }
     }
 
@@ -140,13 +142,13 @@
             Fault::OtherLife => self.bury(worker, "another_life"),
             // The worker has seen the try end; the next look lists that end, or nothing.
             Fault::Over => live.stage = Stage::Running(now),
-            Fault::Late => live.next_try = now.after(ORDER_RETRY),
+            Fault::Late => live.next_command = now.after(ORDER_RETRY),
             Fault::NotSent(_) | Fault::Unknown(_) => {
-                live.doubtful |= matches!(fault, Fault::Unknown(_));
-                live.next_try = now.after(ORDER_RETRY);
+                live.may_have_arrived |= matches!(fault, Fault::Unknown(_));
+                live.next_command = now.after(ORDER_RETRY);
                 // The same order again is carried out once, so that repeating it settles whether
                 // the first one arrived.
-                if live.tries >= START_TRIES {
+                if live.starts_sent >= START_TRIES {
                     self.note_unanswered(worker);
                     self.give_up_start(run);
                 }
@@ -170,15 +172,15 @@
     pub(super) fn stop_run(&mut self, run: Run) {
         let now = self.now;
         let Some(live) = self.runs.get_mut(&run) else { return };
-        live.unwanted = true;
+        live.stop_requested = true;
         match live.stage {
             Stage::Recording | Stage::Stopping { .. } => {}
-            Stage::Starting { out: false } if !live.doubtful => {
+            Stage::Starting { in_flight: false } if !live.may_have_arrived => {
                 self.end_run(run, End::Void, String::new());
             }
-            Stage::Starting { .. } | Stage::Running(_) | Stage::Inherited => {
-                live.stage = Stage::Stopping { out: false, taken: None };
-                live.next_try = now;
+            Stage::Starting { .. } | Stage::Running(_) | Stage::Recovered => {
+                live.stage = Stage::Stopping { in_flight: false, acknowledged: None };
+                live.next_command = now;
             }
         }
     }
@@ -198,20 +200,20 @@
         if !matches!(live.stage, Stage::Stopping { .. }) {
             return;
         }
-        let taken = match outcome {
+        let acknowledged = match outcome {
             Ok(_) | Err(Fault::Over) => Some(now),
             Err(fault) => {
                 log::info!(
                     "event=task.stop_failed task={run} worker={worker} cause={:?}",
                     fault.to_string()
                 );
-                live.next_try = now.after(ORDER_RETRY * 4);
+                live.next_command = now.after(ORDER_RETRY * 4);
                 None
             }
         };
-        live.stage = Stage::Stopping { out: false, taken };
+        live.stage = Stage::Stopping { in_flight: false, acknowledged };
         let Some(worker) = self.workers.get_mut(worker) else { return };
-        if taken.is_some() {
+        if acknowledged.is_some() {
             // A report settles it only if its look leaves in a later millisecond.
             worker.next_look = worker.next_look.min(now.after(Duration::from_millis(1)));
         } else {
@@ -254,6 +256,10 @@
 impl Stage {
     /// Whether an order is to be sent.
     const fn is_ordering(self) -> bool {
-        matches!(self, Self::Starting { out: false } | Self::Stopping { out: false, taken: None })
+        matches!(
+            self,
+            Self::Starting { in_flight: false }
+                | Self::Stopping { in_flight: false, acknowledged: None }
+        )
     }
 }
--- a/src/cell/machine/place.rs
+++ b/src/cell/machine/place.rs
@@ -7,7 +7,7 @@
 use super::field::{Field, Fields};
 use super::rank::Hope;
 use super::waiting::Waiting;
-use super::{Live, Machine, Stage};
+use super::{ActiveAttempt, Machine, Stage};
 use crate::cell::job::{Run, StepKey, TaskKey};
 use crate::cell::record::{Record, WorkerId};
 use crate::resource::Amount;
@@ -56,25 +56,25 @@
     ///
     /// Guards against rounds that follow one another while much waits: reports and calls are taken in
     /// only between them, and workers and instances wait for the owner.
-    pub fn rest_from_placement(&mut self, took: Duration) {
+    pub fn delay_next_round(&mut self, took: Duration) {
         self.next_place = self.next_place.max(self.now.after(took * ROUND_SHARE));
     }
 
     fn place_steps(&mut self, waiting: &[Waiting], fields: &mut Fields, whole: bool) {
         self.tell_backlog(waiting, fields, whole);
         let mut budget = self.budget(waiting, fields);
-        let mut askers = self.askers(waiting, fields);
+        let mut shares = self.proxy_shares(waiting, fields);
         for step in waiting {
             // Jobs that come too late anyway ask after all that can be on time.
-            if step.rank.hope != Hope::OnTime && askers.prefers_on_time() {
-                self.ask_postponed(&mut askers);
+            if step.rank.hope != Hope::OnTime && shares.on_time_first() {
+                self.send_deferred(&mut shares);
             }
             if let Some(advice) = &step.queue.advice {
-                self.seek_advice(step, advice, fields, &mut askers, &mut budget);
+                self.query_policy(step, advice, fields, &mut shares, &mut budget);
             }
             self.place_step(step, fields);
         }
-        self.ask_postponed(&mut askers);
+        self.send_deferred(&mut shares);
     }
 
     fn place_step(&mut self, step: &Waiting, fields: &mut Fields) {
@@ -227,7 +227,7 @@
             if let Some(worker) = self.workers.get_mut(&field.id) {
                 worker.reserve(run, &demand);
             }
-            let live = Live::new(field.id.clone(), demand, Stage::Recording, self.now);
+            let live = ActiveAttempt::new(field.id.clone(), demand, Stage::Recording, self.now);
             self.runs.insert(run, live);
             if suspect {
                 self.suspects.insert(run);
--- a/src/cell/machine/preemption.rs
+++ b/src/cell/machine/preemption.rs
@@ -6,7 +6,7 @@
 use super::field::Fields;
 use super::rank::Hope;
 use super::waiting::Waiting;
-use super::{Live, Machine, Stage};
+use super::{ActiveAttempt, Machine, Stage};
 use crate::cell::job::Run;
 use crate::cell::preempt::{self, Place, Victim};
 use crate::cell::record::WorkerId;
@@ -114,7 +114,7 @@
         let priority = step.queue.priority;
         fields.get(at).yielding.iter().filter(move |yielding| {
             let live = self.runs.get(&yielding.victim.run);
-            yielding.priority > priority && live.is_some_and(|live| !live.unwanted)
+            yielding.priority > priority && live.is_some_and(|live| !live.stop_requested)
         })
     }
 
@@ -148,10 +148,10 @@
     }
 
     /// Priority of a task's queue, if the task may be stopped for more urgent ones.
-    fn yields(&self, run: &Run, live: &Live) -> Option<u32> {
+    fn yields(&self, run: &Run, live: &ActiveAttempt) -> Option<u32> {
         let Stage::Running(_) = live.stage else { return None };
         let key = run.task.step;
-        if live.unwanted
+        if live.stop_requested
             || run.number >= MOST_TRIES
             || live.progress.0 >= NEARLY_DONE_PERCENT
             || self.now.since(live.since) < LEAST_RUN
@@ -170,6 +170,6 @@
 
     fn expected_ms(&self, step: &Waiting) -> u64 {
         let estimate = Duration::from_millis(step.model().estimate_ms);
-        self.run_times.get(&step.queue.name).map_or(millis(estimate), |mean| *mean as u64)
+        self.mean_run_times_ms.get(&step.queue.name).map_or(millis(estimate), |mean| *mean as u64)
     }
 }
--- a/src/cell/machine/rank.rs
+++ b/src/cell/machine/rank.rs
@@ -102,7 +102,7 @@
     /// Expected run time of a task: the caller's estimate, drawn towards what the queue's tasks took.
     fn expected(&self, step: &Step, queue: &Queue) -> f64 {
         let estimate = step.estimate_ms as f64;
-        match self.run_times.get(&queue.name) {
+        match self.mean_run_times_ms.get(&queue.name) {
             Some(mean) if step.estimate_ms > 0 => f64::midpoint(estimate, *mean),
             Some(mean) => *mean,
             None => estimate,
--- a/src/cell/machine/reservation.rs
+++ b/src/cell/machine/reservation.rs
@@ -37,13 +37,13 @@
     /// What each priority has.
     whole: u64,
     /// What is taken of it, by priority.
-    taken: BTreeMap<u32, u64>,
+    used: BTreeMap<u32, u64>,
 }
 
 impl Budget {
     /// Whether nothing is left for gangs like `step`.
     pub(super) fn is_spent(&self, step: &Waiting) -> bool {
-        self.taken.get(&step.queue.priority).is_some_and(|taken| *taken >= self.whole)
+        self.used.get(&step.queue.priority).is_some_and(|used| *used >= self.whole)
     }
 
     /// Takes what a gang needs; `false` where too little is left. Then nothing is for those after it
@@ -53,19 +53,19 @@
     /// do for as long as it waits.
     pub(super) fn take(&mut self, step: &Waiting) -> bool {
         let need = self.need(step);
-        let taken = self.taken.entry(step.queue.priority).or_insert(0);
-        let admitted = *taken + need <= self.whole;
+        let used = self.used.entry(step.queue.priority).or_insert(0);
+        let admitted = *used + need <= self.whole;
         if admitted {
-            *taken += need;
+            *used += need;
         } else if step.rank.hope == Hope::OnTime {
-            *taken = self.whole;
+            *used = self.whole;
         }
         admitted
     }
 
     /// Notes a gang that is asked about or holds tickets.
     fn note(&mut self, step: &Waiting) {
-        *self.taken.entry(step.queue.priority).or_insert(0) += self.need(step);
+        *self.used.entry(step.queue.priority).or_insert(0) += self.need(step);
     }
 
     /// What a gang counts for: no single one takes more than half.
@@ -78,7 +78,7 @@
     /// What may be spent on questions about further gangs in this round.
     pub(super) fn budget(&self, waiting: &[Waiting], fields: &Fields) -> Budget {
         let whole = (fields.cpu_millis() as f64 * SHARE) as u64;
-        let mut budget = Budget { whole, taken: BTreeMap::new() };
+        let mut budget = Budget { whole, used: BTreeMap::new() };
         for step in waiting.iter().filter(|step| step.model().gang && self.is_under_way(step)) {
             budget.note(step);
         }
--- a/src/cell/machine/roster.rs
+++ b/src/cell/machine/roster.rs
@@ -102,7 +102,7 @@
         if table.version > self.table.version {
             log::info!("event=config.in_force version={}", table.version);
             self.table = table;
-            self.workers.change_all();
+            self.workers.mark_all_changed();
             self.dirty = true;
         }
     }
--- a/src/cell/machine/succession.rs
+++ b/src/cell/machine/succession.rs
@@ -33,13 +33,13 @@
     /// Instances that were heard of lately, in the order of succession: the strongest first, since the
     /// owner does most of the work and instances differ fourfold, and those of equal strength by turns
     /// from each failure domain, so that a cut of one leaves most of the first ones.
-    pub fn present(&self, now: Instant) -> Vec<SocketAddr> {
-        let fresh = self.askers.iter().filter(|(_, asker)| asker.is_fresh(now));
+    pub fn present_instances(&self, now: Instant) -> Vec<SocketAddr> {
+        let fresh = self.proxies.iter().filter(|(_, proxy)| proxy.is_fresh(now));
         let mut counts: BTreeMap<(u32, &str), u32> = BTreeMap::new();
         let mut ranked: Vec<(Reverse<u32>, u32, SocketAddr)> = Vec::new();
-        for (peer, asker) in fresh {
-            let turn = counts.entry((asker.strength, &asker.domain)).or_insert(0);
-            ranked.push((Reverse(asker.strength), *turn, *peer));
+        for (peer, proxy) in fresh {
+            let turn = counts.entry((proxy.strength, &proxy.domain)).or_insert(0);
+            ranked.push((Reverse(proxy.strength), *turn, *peer));
             *turn += 1;
         }
         ranked.sort_unstable();
@@ -56,9 +56,9 @@
         if self.now < self.succession.next {
             return;
         }
-        let order = self.present(self.now);
-        let fresh = self.askers.values().filter(|asker| asker.is_fresh(self.now));
-        let strongest = fresh.map(|asker| asker.strength).max().unwrap_or(0);
+        let order = self.present_instances(self.now);
+        let fresh = self.proxies.values().filter(|proxy| proxy.is_fresh(self.now));
+        let strongest = fresh.map(|proxy| proxy.strength).max().unwrap_or(0);
         self.succession.next = self.now.after(REST);
         self.succession.strongest = strongest;
         if *order != *self.succession.order {
--- a/src/cell/machine/tracked.rs
+++ b/src/cell/machine/tracked.rs
@@ -8,8 +8,8 @@
 /// that whoever keeps something worked out from them goes through these alone.
 ///
 /// ```
-/// use oriolefork::cell::machine::Tracked;
-/// let mut ages = Tracked::default();
+/// use oriolefork::cell::machine::TrackedMap;
+/// let mut ages = TrackedMap::default();
 /// ages.insert("w1", 7);
 /// ages.insert("w2", 3);
 /// ages.take_changed();
@@ -19,18 +19,18 @@
 /// assert_eq!(ages.take_changed().into_iter().collect::<Vec<_>>(), ["w2"]);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Tracked<K, V> {
+pub struct TrackedMap<K, V> {
     entries: BTreeMap<K, V>,
     changed: BTreeSet<K>,
 }
 
-impl<K, V> Default for Tracked<K, V> {
+impl<K, V> Default for TrackedMap<K, V> {
     fn default() -> Self {
         Self { entries: BTreeMap::new(), changed: BTreeSet::new() }
     }
 }
 
-impl<K, V> Deref for Tracked<K, V> {
+impl<K, V> Deref for TrackedMap<K, V> {
     type Target = BTreeMap<K, V>;
 
     fn deref(&self) -> &Self::Target {
@@ -38,7 +38,7 @@
     }
 }
 
-impl<K: Clone + Ord, V> Tracked<K, V> {
+impl<K: Clone + Ord, V> TrackedMap<K, V> {
     /// Adds or replaces an entry.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         self.changed.insert(key.clone());
@@ -68,7 +68,7 @@
     }
 
     /// Notes all entries, for a change of what they are seen by.
-    pub fn change_all(&mut self) {
+    pub fn mark_all_changed(&mut self) {
         self.changed.extend(self.entries.keys().cloned());
     }
 
--- a/src/cell/node/answer.rs
+++ b/src/cell/node/answer.rs
@@ -69,7 +69,7 @@
     async fn watched(&self, watch: &Watch) -> Watched {
         if let Some(owning) = self.owning(watch.cell) {
             let (peer, strength, domain) = (watch.from, watch.strength, watch.domain.clone());
-            owning.send(Message::Present { peer, strength, domain });
+            owning.send(Message::InstanceSeen { peer, strength, domain });
             if watch.patient {
                 let _ = monoio::time::timeout(WATCH_HOLD, self.until_relief(watch.cell)).await;
             }
--- a/src/cell/node/readiness.rs
+++ b/src/cell/node/readiness.rs
@@ -7,7 +7,7 @@
 use super::Node;
 use super::view::View;
 use crate::cell::Id;
-use crate::cell::machine::Health;
+use crate::cell::machine::StoreHealth;
 use crate::clock::Instant;
 use crate::shutdown::Shutdown;
 
@@ -25,17 +25,17 @@
 
 impl Node {
     /// Takes in how the store serves this instance as the cell's owner.
-    pub(in crate::cell) fn note_health(&self, cell: Id, health: Health) {
-        if health != Health::Stuck {
+    pub(in crate::cell) fn note_health(&self, cell: Id, health: StoreHealth) {
+        if health != StoreHealth::Stuck {
             self.note_contact(cell);
             self.note_served(cell);
         }
         let mut views = self.views.borrow_mut();
         let Some(view) = views.get_mut(&cell) else { return };
         match health {
-            Health::Good if view.alarm.is_triggered() => view.alarm = Shutdown::new(),
-            Health::Good => {}
-            Health::Struggling | Health::Stuck => view.alarm.trigger(),
+            StoreHealth::Good if view.alarm.is_triggered() => view.alarm = Shutdown::new(),
+            StoreHealth::Good => {}
+            StoreHealth::Degraded | StoreHealth::Stuck => view.alarm.trigger(),
         }
     }
 
--- a/src/cell/owner.rs
+++ b/src/cell/owner.rs
@@ -15,7 +15,7 @@
 use super::duty::{Duty, Lap, Ledger};
 use super::job::Run;
 use super::link::{Advisor, Base, Fault, Journal, Listed, Lists, Look, Roster, Start, Workers};
-use super::machine::{Answer, Call, CallId, Effect, Health, Machine, Message, Question};
+use super::machine::{Answer, Call, CallId, Effect, Machine, Message, PolicyQuery, StoreHealth};
 use super::peer as wire;
 use super::record::WorkerId;
 use super::timings::{APPEND_TIMEOUT, LOOK_TIMEOUT, ORDER_TIMEOUT, ROSTER_REST, SAVE_REST, TICK};
@@ -120,7 +120,7 @@
     ended: Rc<Cell<bool>>,
     duties: Rc<Ledger>,
     /// Told at each step how the store takes what is decided.
-    health: Box<dyn Fn(Health)>,
+    health: Box<dyn Fn(StoreHealth)>,
 }
 
 impl Owner {
@@ -131,7 +131,7 @@
         me: SocketAddr,
         machine: Machine,
         borders: Rc<Borders>,
-        health: Box<dyn Fn(Health)>,
+        health: Box<dyn Fn(StoreHealth)>,
     ) -> (Self, Handle) {
         let (sender, inputs) = channel();
         let handle = Handle { inputs: sender };
@@ -180,7 +180,7 @@
                     round = took;
                 }
             });
-            self.machine.rest_from_placement(round);
+            self.machine.delay_next_round(round);
             for effect in effects {
                 let duty = effect.duty();
                 if let Some(why) = self.carry_out(effect) {
@@ -232,10 +232,10 @@
     fn carry_out(&mut self, effect: Effect) -> Option<String> {
         match effect {
             Effect::Append { sequence, batch } => self.append(sequence, batch),
-            Effect::Look { worker, peer, look } => self.look(worker, peer, look),
+            Effect::Poll { worker, peer, poll } => self.poll(worker, peer, poll),
             Effect::Start { worker, peer, start } => self.start(worker, peer, start),
             Effect::Stop { worker, peer, run } => self.stop(worker, peer, run),
-            Effect::Advise(question) => self.advise(question),
+            Effect::QueryPolicy(question) => self.advise(question),
             Effect::Reply { id, answer } => {
                 if let Some(reply) = self.waiting.remove(&id) {
                     // The caller has gone away when nobody takes the answer.
@@ -243,7 +243,7 @@
                 }
             }
             Effect::Save(base) => self.save(base),
-            Effect::StepDown { why } => return Some(why),
+            Effect::StepDown { reason } => return Some(reason),
         }
         None
     }
@@ -259,14 +259,14 @@
         });
     }
 
-    fn look(&self, worker: WorkerId, peer: SocketAddr, look: Look) {
+    fn poll(&self, worker: WorkerId, peer: SocketAddr, poll: Look) {
         let (borders, handle) = (self.borders.clone(), self.handle.clone());
         monoio::spawn(async move {
             let sent = borders.clock.now();
-            let timeout = look.wait + LOOK_TIMEOUT;
-            let look = borders.workers.look(peer, &worker, &look, timeout);
+            let timeout = poll.wait + LOOK_TIMEOUT;
+            let look = borders.workers.look(peer, &worker, &poll, timeout);
             let outcome = borders.duties.measure(Duty::Look, look).await;
-            handle.send(Message::Looked { worker, sent, outcome });
+            handle.send(Message::Polled { worker, sent, outcome });
         });
     }
 
@@ -289,7 +289,7 @@
         });
     }
 
-    fn advise(&self, question: Question) {
+    fn advise(&self, question: PolicyQuery) {
         let (borders, handle, me) = (self.borders.clone(), self.handle.clone(), self.me);
         monoio::spawn(async move {
             let number = question.number;
@@ -298,7 +298,7 @@
             if let Err(cause) = &allowed {
                 log::info!("event=advice.no_answer question={number} cause={cause:?}");
             }
-            handle.send(Message::Advised { question: number, allowed: allowed.ok() });
+            handle.send(Message::PolicyAnswered { query: number, allowed: allowed.ok() });
         });
     }
 
@@ -310,7 +310,7 @@
         monoio::spawn(async move {
             while !ended.get() {
                 clock.sleep(SAVE_REST).await;
-                handle.send(Message::SaveDue);
+                handle.send(Message::SnapshotDue);
             }
         });
     }
@@ -360,10 +360,10 @@
 async fn ask(
     borders: &Borders,
     me: SocketAddr,
-    question: Question,
+    question: PolicyQuery,
 ) -> Result<super::link::Allowed, String> {
     let timeout = question.timeout;
-    if question.asker == me {
+    if question.proxy == me {
         return borders.advisor.advise(&question.step, &question.workers, timeout).await;
     }
     let ask = wire::Ask {
@@ -372,7 +372,7 @@
         timeout_ms: crate::clock::millis(timeout),
     };
     let answer: Result<Result<super::link::Allowed, String>, peer::Error> =
-        borders.peers.call(question.asker, wire::ADVISE, &ask, timeout + timeout / 4).await;
+        borders.peers.call(question.proxy, wire::ADVISE, &ask, timeout + timeout / 4).await;
     answer.map_err(|error| error.to_string())?
 }
 
--- a/tests/logic/cell/advice.rs
+++ b/tests/logic/cell/advice.rs
@@ -40,14 +40,14 @@
     story.present(2);
     submit(&mut story, 1);
     let first = story.questions().pop().expect("a question");
-    story.tell(Message::Advised { question: first.number, allowed: None });
+    story.tell(Message::PolicyAnswered { query: first.number, allowed: None });
     story.pass(20);
     let second = story.questions().pop().expect("another question");
-    assert_ne!(second.asker, first.asker);
+    assert_ne!(second.proxy, first.proxy);
     story.allow_all(&second);
     submit(&mut story, 2);
     let third = story.questions().pop().expect("a third question");
-    assert_eq!(third.asker, second.asker, "the one that failed still rests");
+    assert_eq!(third.proxy, second.proxy, "the one that failed still rests");
 }
 
 /// An instance could not reach the policy service for a while and is well again: it must not stay
@@ -58,7 +58,7 @@
     story.present(1);
     submit(&mut story, 1);
     let first = story.questions().pop().expect("a question");
-    story.tell(Message::Advised { question: first.number, allowed: None });
+    story.tell(Message::PolicyAnswered { query: first.number, allowed: None });
     story.pass(20);
     assert!(story.questions().is_empty());
     story.present(1);
@@ -66,7 +66,7 @@
     story.present(1);
     story.pass(20);
     let second = story.questions().pop().expect("the same asker again");
-    assert_eq!(second.asker, first.asker);
+    assert_eq!(second.proxy, first.proxy);
     story.allow_all(&second);
     story.store_all();
     assert_eq!(story.starts().len(), 1);
@@ -124,7 +124,7 @@
     let first = story.questions().pop().expect("a question");
     assert!(first.workers.len() < 40);
     let allowed = Allowed { workers: vec![(first.workers[0].clone(), "t".into())], valid_ms: None };
-    story.tell(Message::Advised { question: first.number, allowed: Some(allowed) });
+    story.tell(Message::PolicyAnswered { query: first.number, allowed: Some(allowed) });
     story.pass(20);
     let second = story.questions().pop().expect("a question about others");
     assert!(second.workers.iter().all(|worker| !first.workers.contains(worker)));
--- a/tests/logic/cell/crash.rs
+++ b/tests/logic/cell/crash.rs
@@ -39,7 +39,7 @@
 fn look_fails(story: &mut Story, worker: usize, fault: Fault) {
     let worker = format!("w{worker}").into();
     let sent = Instant::from_millis(story.now);
-    story.tell(Message::Looked { worker, sent, outcome: Err(fault) });
+    story.tell(Message::Polled { worker, sent, outcome: Err(fault) });
     story.pass(1);
 }
 
--- a/tests/logic/cell/left_behind.rs
+++ b/tests/logic/cell/left_behind.rs
@@ -88,7 +88,7 @@
             let report = Report { clock_ms: WORKER_CLOCK + story.now, ..Report::default() };
             let sent = Instant::from_millis(story.now);
             let outcome = Ok(report);
-            story.tell(Message::Looked { worker: worker.into(), sent, outcome });
+            story.tell(Message::Polled { worker: worker.into(), sent, outcome });
         }
         story.pass(100);
         story.store_all();
@@ -105,7 +105,7 @@
     story.tell(Message::Roster(Roster { present, ..Roster::default() }));
     let report = Report { clock_ms: WORKER_CLOCK, ..Report::default() };
     let sent = Instant::from_millis(story.now);
-    story.tell(Message::Looked { worker: "w5@1".into(), sent, outcome: Ok(report) });
+    story.tell(Message::Polled { worker: "w5@1".into(), sent, outcome: Ok(report) });
     story.tell(Message::Roster(Roster { gone: vec!["w5".into()], ..Roster::default() }));
     story.ask(1, Call::Submit(model::job(1, model::step(1, cores(1)))));
     story.store_all();
@@ -124,7 +124,7 @@
         if life == "w5@1" {
             let report = Report { clock_ms: WORKER_CLOCK, ..Report::default() };
             let sent = Instant::from_millis(story.now);
-            story.tell(Message::Looked { worker: life.into(), sent, outcome: Ok(report) });
+            story.tell(Message::Polled { worker: life.into(), sent, outcome: Ok(report) });
         }
     }
     story.ask(1, Call::Submit(model::job(1, model::step(1, cores(1)))));
--- a/tests/logic/cell/looks.rs
+++ b/tests/logic/cell/looks.rs
@@ -18,7 +18,7 @@
 fn report(story: &mut Story, worker: usize, sent: u64, partial: bool) {
     let report = Report { clock_ms: WORKER_CLOCK + story.now, partial, ..Report::default() };
     let (worker, sent) = (format!("w{worker}").into(), Instant::from_millis(sent));
-    story.tell(Message::Looked { worker, sent, outcome: Ok(report) });
+    story.tell(Message::Polled { worker, sent, outcome: Ok(report) });
     story.pass(20);
     story.store_all();
     story.pass(20);
@@ -92,7 +92,7 @@
     story.pass(100);
     let looked_at = |story: &Story| {
         let is_seven =
-            |effect: &&Effect| matches!(effect, Effect::Look { worker, .. } if **worker == *"w7");
+            |effect: &&Effect| matches!(effect, Effect::Poll { worker, .. } if **worker == *"w7");
         story.effects.iter().any(|effect| is_seven(&effect))
     };
     assert!(!looked_at(&story), "no configuration names its service");
@@ -111,7 +111,7 @@
     story.report(0, &[], &[]);
     story.pass(20);
     let looks = |story: &Story| {
-        story.effects.iter().filter(|effect| matches!(effect, Effect::Look { .. })).count()
+        story.effects.iter().filter(|effect| matches!(effect, Effect::Poll { .. })).count()
     };
     let before = looks(&story);
     story.pass(2_000);
--- a/tests/logic/cell/machine.rs
+++ b/tests/logic/cell/machine.rs
@@ -103,7 +103,7 @@
     let starts = story.running(1, model::step(1, cores(1)));
     let worker = format!("w{}", starts[0].0).into();
     let sent = Instant::from_millis(story.now);
-    story.tell(Message::Looked { worker, sent, outcome: Err(Fault::OtherLife) });
+    story.tell(Message::Polled { worker, sent, outcome: Err(Fault::OtherLife) });
     story.pass(20);
     story.store_all();
     story.pass(20);
@@ -122,7 +122,7 @@
         let worker = format!("w{}", starts[0].0).into();
         let sent = Instant::from_millis(story.now);
         let fault = Fault::Unknown("timeout".to_owned());
-        story.tell(Message::Looked { worker, sent, outcome: Err(fault) });
+        story.tell(Message::Polled { worker, sent, outcome: Err(fault) });
     };
     for _ in 0..30 {
         silent(&mut story);
@@ -219,7 +219,7 @@
 fn fenced_owner_steps_down() {
     let mut story = Story::begin(1);
     let sent = Instant::from_millis(story.now);
-    let message = Message::Looked { worker: "w0".into(), sent, outcome: Err(Fault::Fenced) };
+    let message = Message::Polled { worker: "w0".into(), sent, outcome: Err(Fault::Fenced) };
     story.tell(message);
     story.pass(1);
     assert!(story.effects.iter().any(|effect| matches!(effect, Effect::StepDown { .. })));
@@ -260,6 +260,6 @@
     story.tell(Message::Roster(Roster { present, gone: Vec::new(), whole: false }));
     story.pass(400);
     let looked_at =
-        |effect: &Effect| matches!(effect, Effect::Look { worker, .. } if &**worker == "w7");
+        |effect: &Effect| matches!(effect, Effect::Poll { worker, .. } if &**worker == "w7");
     assert!(!story.effects.iter().any(looked_at));
 }
--- a/tests/logic/cell/standstill.rs
+++ b/tests/logic/cell/standstill.rs
@@ -4,7 +4,7 @@
 
 use oriolefork::cell::job::{Job, Step};
 use oriolefork::cell::link::Allowed;
-use oriolefork::cell::machine::{Call, Message, Question};
+use oriolefork::cell::machine::{Call, Message, PolicyQuery};
 use oriolefork::cell::queue::{Advice, Queue, Table};
 use test_case::test_case;
 
@@ -34,7 +34,7 @@
 struct Site {
     story: Story,
     /// Questions under way with the time of their answer.
-    asked: Vec<(u64, Question)>,
+    asked: Vec<(u64, PolicyQuery)>,
     advice: Vec<(&'static str, Advice)>,
 }
 
@@ -95,11 +95,12 @@
         for (_, question) in due {
             let workers = question.workers.iter().map(|worker| (worker.clone(), "t".to_owned()));
             let allowed = Allowed { workers: workers.collect(), valid_ms: None };
-            self.story.tell(Message::Advised { question: question.number, allowed: Some(allowed) });
+            self.story
+                .tell(Message::PolicyAnswered { query: question.number, allowed: Some(allowed) });
         }
     }
 
-    fn time_for(&self, question: &Question) -> u64 {
+    fn time_for(&self, question: &PolicyQuery) -> u64 {
         let job = &self.story.machine.state.jobs[&question.step.job].job;
         let advice = self.advice.iter().find(|(name, _)| *name == job.queue).expect("advice").1;
         (advice.decide_ms + advice.each_ms * question.workers.len() as f64) as u64
--- a/tests/logic/cell/story.rs
+++ b/tests/logic/cell/story.rs
@@ -3,7 +3,7 @@
 use oriolefork::cell::Epoch;
 use oriolefork::cell::job::{End, Run, Step};
 use oriolefork::cell::link::{Allowed, Ended, Fault, Rejected, Report, Running, Start};
-use oriolefork::cell::machine::{Answer, Call, Effect, Machine, Message, Question};
+use oriolefork::cell::machine::{Answer, Call, Effect, Machine, Message, PolicyQuery};
 use oriolefork::cell::peer::Offer;
 use oriolefork::cell::state::State;
 use oriolefork::cell::timings::Timings;
@@ -123,7 +123,7 @@
         };
         let sent = Instant::from_millis(self.now);
         let worker = format!("w{worker}").into();
-        self.tell(Message::Looked { worker, sent, outcome: Ok(report) });
+        self.tell(Message::Polled { worker, sent, outcome: Ok(report) });
     }
 
     pub fn started(&mut self, start: &(usize, Start), outcome: Result<u64, Fault>) {
@@ -179,10 +179,10 @@
     }
 
     /// Questions to the policy service since the last call.
-    pub fn questions(&mut self) -> Vec<Question> {
+    pub fn questions(&mut self) -> Vec<PolicyQuery> {
         let mut questions = Vec::new();
         self.effects.retain(|effect| match effect {
-            Effect::Advise(question) => {
+            Effect::QueryPolicy(question) => {
                 questions.push(question.clone());
                 false
             }
@@ -194,15 +194,15 @@
     /// An instance is there to ask.
     pub fn present(&mut self, number: u16) {
         let peer = ([127, 0, 0, 1], number).into();
-        self.tell(Message::Present { peer, strength: 1, domain: "hall".into() });
+        self.tell(Message::InstanceSeen { peer, strength: 1, domain: "hall".into() });
     }
 
     /// The policy service allows every worker asked about.
-    pub fn allow_all(&mut self, question: &Question) {
+    pub fn allow_all(&mut self, question: &PolicyQuery) {
         let workers = question.workers.iter();
         let workers = workers.map(|worker| (worker.clone(), "ticket".to_owned())).collect();
         let allowed = Some(Allowed { workers, valid_ms: None });
-        self.tell(Message::Advised { question: question.number, allowed });
+        self.tell(Message::PolicyAnswered { query: question.number, allowed });
         self.pass(20);
     }
 
--- a/tests/logic/cell/succession.rs
+++ b/tests/logic/cell/succession.rs
@@ -26,10 +26,10 @@
         for number in 0..20 {
             let strength = if number < strong { 500 } else { 120 };
             let (peer, domain) = (peer(domain, number), format!("hall-{domain}").into());
-            story.tell(Message::Present { peer, strength, domain });
+            story.tell(Message::InstanceSeen { peer, strength, domain });
         }
     }
-    let order = story.machine.present(Instant::from_millis(story.now));
+    let order = story.machine.present_instances(Instant::from_millis(story.now));
     let domain = |peer: &SocketAddr| match peer.ip() {
         std::net::IpAddr::V4(ip) => ip.octets()[1],
         std::net::IpAddr::V6(_) => unreachable!("all have version 4"),
@@ -46,9 +46,9 @@
     let names = ["hall-0", "hall-0", "hall-1"];
     for (number, (strength, domain)) in [120, 500, 500].into_iter().zip(names).enumerate() {
         let peer = peer(0, number as u8);
-        story.tell(Message::Present { peer, strength, domain: domain.into() });
+        story.tell(Message::InstanceSeen { peer, strength, domain: domain.into() });
     }
-    let order = story.machine.present(Instant::from_millis(story.now));
+    let order = story.machine.present_instances(Instant::from_millis(story.now));
     assert_eq!(order, [peer(0, 1), peer(0, 2), peer(0, 0)]);
 }
 
@@ -59,7 +59,7 @@
     let mut story = Story::begin(1);
     let present = |story: &mut Story, number: u8| {
         let peer = peer(0, number);
-        story.tell(Message::Present { peer, strength: 500, domain: "hall".into() });
+        story.tell(Message::InstanceSeen { peer, strength: 500, domain: "hall".into() });
     };
     (0..3).for_each(|number| present(&mut story, number));
     story.pass(200);
--- a/tests/logic/cell/world/faults.rs
+++ b/tests/logic/cell/world/faults.rs
@@ -45,7 +45,7 @@
         let turn = if self.store_down { OUTAGE_MS } else { OUTAGE_REST_MS };
         if self.chance(every(SAVE_REST_MS)) {
             for owner in 0..self.owners.len() {
-                self.schedule(1, Event::Owner { owner, message: Message::SaveDue });
+                self.schedule(1, Event::Owner { owner, message: Message::SnapshotDue });
             }
         }
         if self.faults.outages && self.chance(every(turn)) {
--- a/tests/logic/cell/world/mod.rs
+++ b/tests/logic/cell/world/mod.rs
@@ -269,8 +269,8 @@
                 let event = Event::Append { owner, sequence, batch, epoch, sent, answered };
                 self.schedule(delay + 4, event);
             }
-            Effect::Look { worker, look, .. } => {
-                self.order(owner, worker.to_string(), Order::Look(look), delay);
+            Effect::Poll { worker, poll, .. } => {
+                self.order(owner, worker.to_string(), Order::Look(poll), delay);
             }
             Effect::Start { worker, start, .. } => {
                 self.order(owner, worker.to_string(), Order::Start(start), delay);
@@ -279,7 +279,7 @@
                 let epoch = self.owners[owner].machine.epoch;
                 self.order(owner, worker.to_string(), Order::Stop(run, epoch), delay);
             }
-            Effect::Advise(_) => {}
+            Effect::QueryPolicy(_) => {}
             Effect::Reply { id, answer } => self.answered(owner, id, answer),
             Effect::Save(base) => self.saved = Some(base),
             Effect::StepDown { .. } => self.owners[owner].alive = false,
--- a/tests/logic/cell/world/orders.rs
+++ b/tests/logic/cell/world/orders.rs
@@ -203,7 +203,7 @@
     let worker = worker.into();
     match order {
         Order::Look(_) => {
-            Message::Looked { worker, sent: Instant::from_millis(sent), outcome: report }
+            Message::Polled { worker, sent: Instant::from_millis(sent), outcome: report }
         }
         Order::Start(start) => Message::Started { worker, run: start.run, outcome: clock },
         Order::Stop(run, _) => Message::Stopped { worker, run: *run, outcome: clock },
