--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -13,7 +13,9 @@
 use hdrhistogram::Histogram;
 use oriolefork::clock::{Instant, Unix};
 use oriolefork::job::{self, Kind, Urgency};
-use oriolefork::placement::{Availability, Decision, Engine, Leaning, Policy, Preset, Request};
+use oriolefork::placement::{
+    Decision, Engine, Objective, Policy, Preset, Request, SchedulingState,
+};
 use oriolefork::resource::Amount;
 use oriolefork::task::{self, End};
 use oriolefork::worker;
@@ -67,7 +69,7 @@
 
 impl Bed {
     fn empty(size: Size) -> Self {
-        let mut engine = Engine::new(Policy::of(Preset::Ordinary, Leaning::Packing));
+        let mut engine = Engine::new(Policy::for_preset(Preset::Ordinary, Objective::Packing));
         for index in 0..size.workers {
             let spare = usize::from(index < size.accelerators % size.workers);
             let capacity = Amount {
@@ -77,7 +79,7 @@
             };
             let rack = format!("rack-{}", index / RACK);
             let name = worker::Name::from(format!("worker-{index}"));
-            engine.upsert_worker(&name, &rack, capacity, Availability::Open);
+            engine.upsert_worker(&name, &rack, capacity, SchedulingState::Open);
         }
         let rng = SmallRng::seed_from_u64(SEED);
         Self { engine, rng, tasks: size.tasks, running: Vec::new(), jobs: 0, millis: 0 }
@@ -211,7 +213,7 @@
 fn percentiles(size: Size) {
     println!("{}", size.label);
     let mut bed = Bed::loaded(size);
-    println!("  {} tasks run", bed.engine.held());
+    println!("  {} tasks run", bed.engine.allocated_tasks());
     let (histogram, started) = measure(&mut bed, DECISIONS, Bed::replace_one);
     print("  one job a decision", &histogram, started);
 
--- a/benches/policies/mix.rs
+++ b/benches/policies/mix.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use oriolefork::job::{Kind, Urgency};
-use oriolefork::placement::Leaning;
+use oriolefork::placement::Objective;
 use oriolefork::resource::Amount;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -33,7 +33,7 @@
     pub label: &'static str,
     pub cores: u64,
     pub gib: u64,
-    pub weighs: Leaning,
+    pub objective: Objective,
 }
 
 /// A job as it is and as it is declared.
--- a/benches/policies/replay.rs
+++ b/benches/policies/replay.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use oriolefork::clock::{Instant, Unix};
 use oriolefork::job::{self, Kind, Urgency};
-use oriolefork::placement::{Availability, Decision, Engine, Event as Finding, Policy, Request};
+use oriolefork::placement::{Decision, Engine, HealthEvent, Policy, Request, SchedulingState};
 use oriolefork::resource::Amount;
 use oriolefork::task::{self, End};
 use oriolefork::worker;
@@ -176,7 +176,7 @@
         };
         for index in 0..WORKERS {
             let rack = format!("rack-{}", index / RACK);
-            engine.upsert_worker(&worker_name(index), &rack, capacity, Availability::Open);
+            engine.upsert_worker(&worker_name(index), &rack, capacity, SchedulingState::Open);
         }
         let state = |job: &Job| State { first_start: None, left: job.tasks, done: false };
         let states = jobs.iter().map(state).collect();
@@ -225,7 +225,7 @@
             Event::End(task, ending) => self.end(now, task, ending),
             Event::Retry(task) => self.enqueue(now, index_of(task), vec![task]),
             Event::Report(task) => {
-                self.engine.observe_task(task, self.jobs[index_of(task)].usage);
+                self.engine.observe_task_usage(task, self.jobs[index_of(task)].usage);
             }
             Event::Cancel => self.cancel(),
             Event::Tick if !is_busy(now) => {}
@@ -239,7 +239,7 @@
     fn arrive(&mut self, now: u64, index: usize) {
         let job = &self.jobs[index];
         let tasks = job.tasks as usize;
-        if self.engine.impossible(&job.demand, job.kind, tasks).is_some() {
+        if self.engine.infeasible_reason(&job.demand, job.kind, tasks).is_some() {
             self.outcome.refused += 1;
             self.states[index].done = true;
             return;
@@ -337,7 +337,7 @@
                 Decision::Preempt { task, .. } => self.preempt(now, task),
             }
         }
-        let quarantined = |finding: &Finding| matches!(finding, Finding::Quarantined { .. });
+        let quarantined = |event: &HealthEvent| matches!(event, HealthEvent::Quarantined { .. });
         self.outcome.quarantined +=
             self.engine.take_events().iter().filter(|f| quarantined(f)).count();
     }
--- a/src/api/configuration.rs
+++ b/src/api/configuration.rs
@@ -9,7 +9,7 @@
 use crate::clock::Clock;
 use crate::config::publish::Id;
 use crate::config::{self, Handle, Outcome, Proposal, Value, Version};
-use crate::placement::Leaning;
+use crate::placement::Objective;
 use crate::{domain, worker};
 
 /// Pause that an operator is asked to make while the settings are not readable or writable.
@@ -22,12 +22,12 @@
 pub struct Configuration {
     handle: Handle,
     clock: Rc<dyn Clock>,
-    weighs: Leaning,
+    weighs: Objective,
 }
 
 impl Configuration {
     /// Answers from the settings' task, in a deployment that weighs `weighs` more.
-    pub fn new(handle: Handle, clock: Rc<dyn Clock>, weighs: Leaning) -> Self {
+    pub fn new(handle: Handle, clock: Rc<dyn Clock>, weighs: Objective) -> Self {
         Self { handle, clock, weighs }
     }
 
--- a/src/api/view/preset.rs
+++ b/src/api/view/preset.rs
@@ -5,7 +5,7 @@
 use crate::api::refusal::Refusal;
 use crate::clock::Unix;
 use crate::config;
-use crate::placement::{Leaning, Policy};
+use crate::placement::{Objective, Policy};
 
 /// The preset in force since some version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -85,7 +85,7 @@
 
 impl Choice {
     /// The presets of a deployment that weighs `weighs` more, with `value` in force.
-    pub fn of(value: &config::Value, weighs: Leaning) -> Self {
+    pub fn of(value: &config::Value, weighs: Objective) -> Self {
         let presets =
             config::Preset::ALL.into_iter().map(|preset| Preset::of(preset, weighs)).collect();
         Self { current: value.into(), version: value.version.raw(), presets }
@@ -93,13 +93,13 @@
 }
 
 impl Preset {
-    fn of(preset: config::Preset, weighs: Leaning) -> Self {
+    fn of(preset: config::Preset, weighs: Objective) -> Self {
         let about = match preset {
             config::Preset::Ordinary => "ordinary days",
             config::Preset::Peak => "peaks: waiting time goes before packing",
             config::Preset::Maintenance => "maintenance: workers are serviced rack by rack",
         };
-        let fields = fields(&Policy::of(preset.into(), weighs));
+        let fields = fields(&Policy::for_preset(preset.into(), weighs));
         Self { name: preset.to_string(), about: about.to_owned(), fields }
     }
 }
@@ -109,16 +109,17 @@
     let span = |span| humantime::format_duration(span).to_string();
     let none = || "none".to_owned();
     let percent = |thousandths: u64| format!("{} %", thousandths / 10);
-    let starts = if policy.starts == usize::MAX { none() } else { policy.starts.to_string() };
+    let starts =
+        if policy.max_starts == usize::MAX { none() } else { policy.max_starts.to_string() };
     let field = |name: &str, value: String| Field { name: name.to_owned(), value };
     vec![
-        field("weighs", policy.weighs.to_string()),
-        field("urgent-preempts-batch", policy.preempts.to_string()),
-        field("headroom-of-workers", percent(policy.headroom)),
-        field("batch-held-above", policy.hold_above.map_or_else(none, percent)),
+        field("weighs", policy.objective.to_string()),
+        field("urgent-preempts-batch", policy.preemption_enabled.to_string()),
+        field("headroom-of-workers", percent(policy.headroom_permille)),
+        field("batch-held-above", policy.hold_batch_above_permille.map_or_else(none, percent)),
         field("slack-window", span(policy.slack_window)),
-        field("age-bound", span(policy.age_bound)),
-        field("gang-patience", span(policy.gang_patience)),
+        field("age-bound", span(policy.aging_threshold)),
+        field("gang-patience", span(policy.hard_reservation_after)),
         field("drain-horizon", policy.drain_horizon.map_or_else(none, span)),
         field("starts-at-once", starts),
     ]
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -14,7 +14,7 @@
 use crate::membership::{Member, Role, Source, State};
 use crate::owner::Timings;
 use crate::owner::machine::Machine;
-use crate::placement::{Leaning, Policy, Preset};
+use crate::placement::{Objective, Policy, Preset};
 use crate::settings::{Peer, Settings, Weighs};
 use crate::shutdown::Shutdown;
 use crate::store::{Failover, Store};
@@ -63,7 +63,7 @@
             self.me.clone(),
             settings.domain.clone(),
             timings(settings),
-            Policy::of(Preset::Ordinary, weighs(settings)),
+            Policy::for_preset(Preset::Ordinary, weighs(settings)),
             self.clock.now(),
         );
         let workers = worker::http::Client::new(self.client.clone());
@@ -112,10 +112,10 @@
 }
 
 /// What the deployment weighs more.
-pub fn weighs(settings: &Settings) -> Leaning {
+pub fn weighs(settings: &Settings) -> Objective {
     match settings.weighs {
-        Weighs::Packing => Leaning::Packing,
-        Weighs::Waiting => Leaning::Waiting,
+        Weighs::Packing => Objective::Packing,
+        Weighs::Waiting => Objective::Waiting,
     }
 }
 
--- a/src/entry/policy.rs
+++ b/src/entry/policy.rs
@@ -8,7 +8,7 @@
 use crate::entry::controller::Handle;
 use crate::entry::readiness::Readiness;
 use crate::owner::machine::Message;
-use crate::placement::{Leaning, Policy};
+use crate::placement::{Objective, Policy};
 use crate::telemetry::names;
 
 /// Who acts by the settings in force.
@@ -16,7 +16,7 @@
     /// The state machine of the failure domain.
     pub owner: Handle,
     /// What the deployment weighs more.
-    pub weighs: Leaning,
+    pub weighs: Objective,
     /// Level of the log while the settings in force name none.
     pub log_level: LevelFilter,
     /// Whether this instance should get traffic.
@@ -39,7 +39,7 @@
     }
 
     fn pass_on(&self, value: &Rc<Value>) {
-        let policy = Policy::of(value.preset.into(), self.weighs);
+        let policy = Policy::for_preset(value.preset.into(), self.weighs);
         self.owner.send(Message::Policy(policy));
         self.owner.send(Message::Settings(value.clone()));
         self.readiness.set_settings_known();
--- a/src/owner/active.rs
+++ b/src/owner/active.rs
@@ -17,7 +17,7 @@
 use crate::owner::session::Session;
 use crate::owner::table::{Job, Table};
 use crate::owner::{Ticket, Timings};
-use crate::placement::{Availability, Engine, Holding, Policy, Request};
+use crate::placement::{Engine, Policy, Request, RunningTask, SchedulingState};
 use crate::resource::Amount;
 use crate::{config, domain, job, task, worker};
 
@@ -210,7 +210,7 @@
     }
 
     pub(super) fn adopt(&mut self, id: task::Id, worker: &worker::Name, job: &Job, now: Instant) {
-        self.engine.adopt(id, worker, &holding(&job.spec, now));
+        self.engine.adopt(id, worker, &running_task(&job.spec, now));
         self.held.insert(id, worker.clone());
     }
 
@@ -270,9 +270,9 @@
         let Some(session) = self.sessions.get(name) else { return };
         let is_drained = self.is_drained(name, session);
         let availability = match (session.is_open(), session.leaving || is_drained) {
-            (true, false) => Availability::Open,
-            (_, true) => Availability::Draining,
-            (false, false) => Availability::Closed,
+            (true, false) => SchedulingState::Open,
+            (_, true) => SchedulingState::Draining,
+            (false, false) => SchedulingState::Closed,
         };
         self.engine.upsert_worker(name, &session.rack, session.capacity, availability);
     }
@@ -347,8 +347,8 @@
     }
 }
 
-fn holding(spec: &Spec, started: Instant) -> Holding {
-    Holding {
+fn running_task(spec: &Spec, started: Instant) -> RunningTask {
+    RunningTask {
         demand: spec.demand,
         team: spec.team.clone(),
         name: spec.name.clone(),
@@ -361,8 +361,8 @@
 }
 
 /// What a try of unknown origin holds.
-pub(super) fn stray(demand: Amount, started: Instant) -> Holding {
-    Holding {
+pub(super) fn stray(demand: Amount, started: Instant) -> RunningTask {
+    RunningTask {
         demand,
         team: String::new(),
         name: String::new(),
--- a/src/owner/alerts.rs
+++ b/src/owner/alerts.rs
@@ -14,7 +14,7 @@
 use crate::owner::record::{Entry, Position};
 use crate::owner::table::{Job, MAX_FAILURES, Table};
 use crate::owner::{Ticket, active};
-use crate::placement::{Event, Reason};
+use crate::placement::{HealthEvent, PendingReason};
 use crate::task;
 use crate::worker;
 
@@ -68,19 +68,19 @@
         for event in self.engine.take_events() {
             let message = event.to_string();
             match event {
-                Event::Quarantined { worker, .. } => {
+                HealthEvent::Quarantined { worker, .. } => {
                     let subject = Subject::Worker(worker);
                     self.raise(unix, Key { kind: Kind::Quarantined, subject }, &message);
                 }
-                Event::Trusted { worker } => {
+                HealthEvent::Restored { worker } => {
                     let subject = Subject::Worker(worker);
                     self.end(unix, &Key { kind: Kind::Quarantined, subject });
                 }
-                Event::FailsEverywhere { job, .. } => {
+                HealthEvent::FailsEverywhere { job, .. } => {
                     let key = Key { kind: Kind::AtRisk, subject: Subject::Job(job) };
                     self.raise(unix, key, &message);
                 }
-                Event::Probation { .. } => {}
+                HealthEvent::Probation { .. } => {}
             }
         }
     }
@@ -110,7 +110,10 @@
             return;
         }
         let reason = self.engine.explain(job.id);
-        if let Some(reason @ (Reason::TooLarge { .. } | Reason::TooMany { .. })) = reason {
+        if let Some(
+            reason @ (PendingReason::TooLarge { .. } | PendingReason::TooManyTasks { .. }),
+        ) = reason
+        {
             let key = Key { kind: Kind::Impossible, subject: Subject::Job(job.id) };
             self.raise(unix, key, &format!("job {} cannot run: {reason}", label(job)));
         }
--- a/src/owner/calls.rs
+++ b/src/owner/calls.rs
@@ -70,10 +70,10 @@
 
     /// Why no worker could ever run such a job. Unknown until every listed worker has told what it
     /// has, so that a new owner refuses nothing that a worker it has not reached could run.
-    fn impossible(&self, spec: &job::Spec) -> Option<placement::Reason> {
+    fn impossible(&self, spec: &job::Spec) -> Option<placement::PendingReason> {
         let tasks = usize::try_from(spec.tasks).unwrap_or(usize::MAX);
         self.knows_all_workers()
-            .then(|| self.engine.impossible(&spec.demand, spec.kind, tasks))
+            .then(|| self.engine.infeasible_reason(&spec.demand, spec.kind, tasks))
             .flatten()
     }
 
--- a/src/owner/machine/message.rs
+++ b/src/owner/machine/message.rs
@@ -154,7 +154,7 @@
     /// The key stands for another job.
     KeyReused,
     /// No worker could ever run it.
-    Impossible(placement::Reason),
+    Impossible(placement::PendingReason),
     /// Too much waits for the log.
     Busy,
     /// The log cannot be reached.
--- a/src/owner/reconcile.rs
+++ b/src/owner/reconcile.rs
@@ -73,7 +73,7 @@
             self.on_joined(worker, findings, table, now, unix);
         }
         let usage = self.sessions.get(worker).map(|session| session.usage()).unwrap_or_default();
-        self.engine.observe_usage(worker, usage);
+        self.engine.observe_worker_usage(worker, usage);
     }
 
     fn on_observed(
--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::estimate::Estimator;
+use super::estimate::RunTimeEstimator;
 use super::health::{Finding, Health, Standing};
 use super::ledger::{Ledger, Running};
 use super::pool::Pool;
@@ -13,7 +13,9 @@
 use super::scorer::{self, Scorer};
 use super::team::Table;
 use super::victim::Pledges;
-use super::{Availability, Event, Holding, Policy, Request, Risk, measure, risk};
+use super::{
+    DeadlineRisk, HealthEvent, Policy, Request, RunningTask, SchedulingState, measure, risk,
+};
 use crate::clock::{Instant, Unix};
 use crate::job::{self, Kind};
 use crate::resource::Amount;
@@ -27,12 +29,12 @@
 /// ```
 /// use oriolefork::clock::{Instant, Unix};
 /// use oriolefork::job::{self, Kind, Urgency};
-/// use oriolefork::placement::{Availability, Decision, Engine, Policy, Request};
+/// use oriolefork::placement::{SchedulingState, Decision, Engine, Policy, Request};
 /// use oriolefork::{resource::Amount, task, worker};
 ///
 /// let mut engine = Engine::new(Policy::default());
 /// let room = Amount { cpu_millis: 4_000, memory_mib: 8_192, accelerators: 0 };
-/// engine.upsert_worker(&worker::Name::from("w1"), "rack-a", room, Availability::Open);
+/// engine.upsert_worker(&worker::Name::from("w1"), "rack-a", room, SchedulingState::Open);
 /// let job = job::Id::derive("shop", "backup-1");
 /// engine.enqueue(Request {
 ///     job,
@@ -57,12 +59,12 @@
     pub(super) queue: Queue,
     pub(super) ledger: Ledger,
     pub(super) teams: Table,
-    pub(super) estimator: Estimator,
+    pub(super) estimator: RunTimeEstimator,
     pub(super) health: Health,
     pub(super) reservations: Reservations,
     pub(super) pledges: Pledges,
     pub(super) quarantined: Vec<(Instant, usize)>,
-    events: Vec<Event>,
+    events: Vec<HealthEvent>,
 }
 
 impl Engine {
@@ -75,7 +77,7 @@
             queue: Queue::default(),
             ledger: Ledger::default(),
             teams: Table::default(),
-            estimator: Estimator::default(),
+            estimator: RunTimeEstimator::default(),
             health: Health::default(),
             reservations: Reservations::default(),
             pledges: Pledges::default(),
@@ -106,13 +108,13 @@
         name: &worker::Name,
         rack: &str,
         capacity: Amount,
-        availability: Availability,
+        scheduling_state: SchedulingState,
     ) {
         let index = self.pool.intern(name);
         self.pool.place(index, rack);
         self.pool.update(index, |node| {
             node.capacity = measure::bounded(&capacity);
-            node.availability = availability;
+            node.scheduling_state = scheduling_state;
         });
     }
 
@@ -121,7 +123,7 @@
         let Some(index) = self.pool.find(name) else { return };
         self.pool.update(index, |node| {
             node.capacity = Amount::ZERO;
-            node.availability = Availability::Closed;
+            node.scheduling_state = SchedulingState::Closed;
         });
     }
 
@@ -151,24 +153,25 @@
     }
 
     /// Counts a task that already runs on a worker, whether or not there is room for it.
-    pub fn adopt(&mut self, task: task::Id, worker: &worker::Name, holding: &Holding) {
+    pub fn adopt(&mut self, task: task::Id, worker: &worker::Name, running_task: &RunningTask) {
         self.release(task);
         self.queue.drop_task(task, &self.policy);
-        let team = self.teams.intern(&holding.team);
-        let guess = self.estimator.guess(&holding.team, &holding.name, holding.run_time);
-        let run = guess.map_or(UNKNOWN_RUN, |guess| guess.typical);
+        let team = self.teams.intern(&running_task.team);
+        let estimate =
+            self.estimator.estimate(&running_task.team, &running_task.name, running_task.run_time);
+        let run = estimate.map_or(UNKNOWN_RUN, |estimate| estimate.typical);
         let node = self.pool.intern(worker);
         let running = Running {
             node,
             rack: self.pool.get(node).rack,
             team,
-            name: holding.name.as_str().into(),
-            demand: measure::bounded(&holding.demand),
-            kind: holding.kind,
-            urgency: holding.urgency,
-            started: holding.started,
-            ends: (holding.kind != Kind::LongRunning).then(|| holding.started.after(run)),
-            deadline: holding.deadline,
+            name: running_task.name.as_str().into(),
+            demand: measure::bounded(&running_task.demand),
+            kind: running_task.kind,
+            urgency: running_task.urgency,
+            started: running_task.started,
+            ends: (running_task.kind != Kind::LongRunning).then(|| running_task.started.after(run)),
+            deadline: running_task.deadline,
             stopping: false,
             excess: Amount::ZERO,
         };
@@ -202,7 +205,7 @@
         let team = Rc::clone(&self.teams.get(running.team).name);
         match end {
             task::End::Succeeded => {
-                self.estimator.learn(&team, &running.name, now.since(running.started));
+                self.estimator.record_run(&team, &running.name, now.since(running.started));
                 if self.health.succeeded(task.job, &(team, running.name), running.node) {
                     self.trust(running.node);
                 }
@@ -220,7 +223,7 @@
     /// Takes in what all tasks of a worker together were last measured to use.
     ///
     /// Use above what is reserved takes room from new tasks until a later report shows less.
-    pub fn observe_usage(&mut self, worker: &worker::Name, usage: Amount) {
+    pub fn observe_worker_usage(&mut self, worker: &worker::Name, usage: Amount) {
         let Some(index) = self.pool.find(worker) else { return };
         let usage = measure::bounded(&usage);
         self.pool.update(index, |node| node.excess = usage.saturating_sub(&node.reserved));
@@ -229,9 +232,9 @@
     /// Takes in what a task was last measured to use.
     ///
     /// Use above its declared need takes room from new tasks until a later report shows less or
-    /// the task is released. Unlike the sum of [`Self::observe_usage`], it stays right when other
+    /// the task is released. Unlike the sum of [`Self::observe_worker_usage`], it stays right when other
     /// tasks have started since the measurement.
-    pub fn observe_task(&mut self, task: task::Id, usage: Amount) {
+    pub fn observe_task_usage(&mut self, task: task::Id, usage: Amount) {
         let Some(running) = self.ledger.get_mut(task) else { return };
         let before = running.excess;
         let after = measure::bounded(&usage).saturating_sub(&running.demand);
@@ -245,18 +248,18 @@
     }
 
     /// Deadlines that are likely to be missed unless something changes.
-    pub fn at_risk(&self, now: Instant, unix: Unix) -> Vec<Risk> {
+    pub fn at_risk(&self, now: Instant, unix: Unix) -> Vec<DeadlineRisk> {
         let running = risk::running(&self.ledger, now, unix);
         risk::waiting(&self.queue, unix).chain(running).collect()
     }
 
     /// What has come to light since the last call, for people to see.
-    pub fn take_events(&mut self) -> Vec<Event> {
+    pub fn take_events(&mut self) -> Vec<HealthEvent> {
         std::mem::take(&mut self.events)
     }
 
     /// Tasks that hold resources.
-    pub fn held(&self) -> usize {
+    pub fn allocated_tasks(&self) -> usize {
         self.ledger.len()
     }
 
@@ -266,7 +269,7 @@
     }
 
     fn admit(&mut self, request: Request) -> Waiting {
-        let guess = self.estimator.guess(&request.team, &request.name, request.run_time);
+        let estimate = self.estimator.estimate(&request.team, &request.name, request.run_time);
         Waiting {
             job: request.job,
             team: self.teams.intern(&request.team),
@@ -274,7 +277,7 @@
             kind: request.kind,
             urgency: request.urgency,
             deadline: request.deadline,
-            guess,
+            estimate,
             demand: request.demand,
             tasks: VecDeque::new(),
             queued: request.queued,
@@ -302,7 +305,7 @@
 
     /// Reserves a waiting job's task on a worker from `now` on.
     pub(super) fn start(&mut self, task: task::Id, waiting: &Waiting, node: usize, now: Instant) {
-        let run = waiting.guess.map_or(UNKNOWN_RUN, |guess| guess.typical);
+        let run = waiting.estimate.map_or(UNKNOWN_RUN, |estimate| estimate.typical);
         let running = Running {
             node,
             rack: self.pool.get(node).rack,
@@ -322,7 +325,7 @@
     }
 
     /// Keeps an event until it is taken.
-    pub(super) fn note(&mut self, event: Event) {
+    pub(super) fn note(&mut self, event: HealthEvent) {
         self.events.push(event);
     }
 
@@ -332,7 +335,7 @@
         }
         self.pool.update(node, |node| node.standing = Standing::Healthy);
         self.pool.mark_grown(node);
-        self.events.push(Event::Trusted { worker: self.pool.get(node).name.clone() });
+        self.events.push(HealthEvent::Restored { worker: self.pool.get(node).name.clone() });
     }
 
     fn take_in(
@@ -344,7 +347,7 @@
         now: Instant,
     ) {
         match finding {
-            Finding::Job => self.events.push(Event::FailsEverywhere {
+            Finding::Job => self.events.push(HealthEvent::FailsEverywhere {
                 job,
                 team: label.0.to_string(),
                 name: label.1.to_string(),
@@ -362,7 +365,7 @@
         self.pool.update(node, |node| node.standing = Standing::Quarantined(until));
         self.quarantined.push((until, node));
         let worker = self.pool.get(node).name.clone();
-        self.events.push(Event::Quarantined { worker, span });
+        self.events.push(HealthEvent::Quarantined { worker, span });
     }
 }
 
--- a/src/placement/estimate.rs
+++ b/src/placement/estimate.rs
@@ -16,11 +16,11 @@
 
 /// How long a task is expected to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Guess {
+pub struct RunTimeEstimate {
     /// As many runs take longer as take less.
     pub typical: Duration,
     /// Few runs take longer.
-    pub safe: Duration,
+    pub upper_bound: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -32,24 +32,24 @@
 /// Learns how long tasks run by team and job name.
 ///
 /// ```
-/// use oriolefork::placement::Estimator;
+/// use oriolefork::placement::RunTimeEstimator;
 /// use std::time::Duration;
-/// let mut estimator = Estimator::default();
+/// let mut estimator = RunTimeEstimator::default();
 /// for minutes in [9, 10, 300] {
-///     estimator.learn("mail", "rebuild", Duration::from_secs(60 * minutes));
+///     estimator.record_run("mail", "rebuild", Duration::from_secs(60 * minutes));
 /// }
-/// let guess = estimator.guess("mail", "rebuild", None).unwrap();
-/// assert_eq!(guess.typical, Duration::from_secs(600));
+/// let estimate = estimator.estimate("mail", "rebuild", None).unwrap();
+/// assert_eq!(estimate.typical, Duration::from_secs(600));
 /// ```
 #[derive(Debug, Default)]
-pub struct Estimator {
+pub struct RunTimeEstimator {
     histories: HashMap<(Rc<str>, Rc<str>), History>,
     uses: u64,
 }
 
-impl Estimator {
+impl RunTimeEstimator {
     /// Takes in a run that ended well.
-    pub fn learn(&mut self, team: &str, name: &str, run: Duration) {
+    pub fn record_run(&mut self, team: &str, name: &str, run: Duration) {
         self.uses += 1;
         let key = (team.into(), name.into());
         if !self.histories.contains_key(&key) && self.histories.len() >= NAMES {
@@ -64,7 +64,12 @@
     }
 
     /// What is expected of the next run; `None` when nothing is declared or learned.
-    pub fn guess(&self, team: &str, name: &str, declared: Option<Duration>) -> Option<Guess> {
+    pub fn estimate(
+        &self,
+        team: &str,
+        name: &str,
+        declared: Option<Duration>,
+    ) -> Option<RunTimeEstimate> {
         let history = self.histories.get(&(team.into(), name.into()));
         let mut runs: Vec<_> =
             history.map(|history| history.runs.iter().copied().collect()).unwrap_or_default();
@@ -74,7 +79,7 @@
         runs.sort_unstable();
         let longest = *runs.last()?;
         let typical = runs[runs.len() / 2];
-        Some(Guess { typical, safe: longest + longest / 4 })
+        Some(RunTimeEstimate { typical, upper_bound: longest + longest / 4 })
     }
 
     fn evict(&mut self) {
--- a/src/placement/event.rs
+++ b/src/placement/health_event.rs
@@ -8,7 +8,7 @@
 
 /// A finding about a worker or a job.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-pub enum Event {
+pub enum HealthEvent {
     /// A worker fails the tasks of distinct jobs and takes no work for a while.
     #[display("worker {worker} fails distinct jobs; it takes no work for {}s", span.as_secs())]
     Quarantined {
@@ -25,7 +25,7 @@
     },
     /// A worker has passed its probation.
     #[display("worker {worker} takes all work again")]
-    Trusted {
+    Restored {
         /// The worker.
         worker: worker::Name,
     },
--- a/src/placement/node.rs
+++ b/src/placement/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::Availability;
+use super::SchedulingState;
 use super::health::Standing;
 use super::measure;
 use crate::clock::Instant;
@@ -16,7 +16,7 @@
     pub(super) name: worker::Name,
     pub(super) rack: usize,
     pub(super) capacity: Amount,
-    pub(super) availability: Availability,
+    pub(super) scheduling_state: SchedulingState,
     pub(super) standing: Standing,
     /// Declared needs of its tasks.
     pub(super) reserved: Amount,
@@ -38,7 +38,7 @@
             name,
             rack,
             capacity: Amount::ZERO,
-            availability: Availability::Closed,
+            scheduling_state: SchedulingState::Closed,
             standing: Standing::Healthy,
             reserved: Amount::ZERO,
             excess: Amount::ZERO,
@@ -51,7 +51,7 @@
 
     /// Whether any new task may start here.
     pub(super) fn is_open(&self) -> bool {
-        self.availability == Availability::Open && self.standing.is_open()
+        self.scheduling_state == SchedulingState::Open && self.standing.is_open()
     }
 
     /// Whether a new task of this sort may start here; a worker on probation gets none that would
--- a/src/placement/reason.rs
+++ b/src/placement/pending_reason.rs
@@ -8,10 +8,10 @@
 
 /// Why a job does not run.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-pub enum Reason {
+pub enum PendingReason {
     /// No worker is known.
     #[display("no worker is known yet; check the instance list and the network")]
-    NoWorker,
+    NoWorkers,
     /// Larger than every worker.
     #[display(
         "a task needs {demand}, more than any worker has (at most {largest}); ask for less or add \
@@ -25,7 +25,7 @@
     },
     /// All tasks together are more than all workers hold when empty.
     #[display("{tasks} tasks must run at once, but all workers together hold only {slots} of them")]
-    TooMany {
+    TooManyTasks {
         /// Tasks that must run at once.
         tasks: usize,
         /// Tasks that all workers hold when empty.
@@ -39,19 +39,19 @@
     },
     /// A gang for which there is not enough room at once.
     #[display("all {tasks} tasks must start at once; room is being kept for them")]
-    Gang {
+    ReservingForGang {
         /// Tasks that must run at once.
         tasks: usize,
     },
     /// Waits for a worker on which room is kept for it.
     #[display("no worker has {demand} free; room is being kept until a task fits")]
-    Kept {
+    ReservingForTask {
         /// What one task needs.
         demand: Amount,
     },
     /// Room is kept for a job that waits longer.
     #[display("the room is kept for job {job}, which would be delayed")]
-    Reserved {
+    ReservedForOther {
         /// The job.
         job: job::Id,
     },
@@ -65,7 +65,7 @@
     },
     /// The preset holds it back.
     #[display("preset {preset} holds back batch work that has no deadline while workers are busy")]
-    Held {
+    HeldByPreset {
         /// The preset.
         preset: Preset,
     },
@@ -82,5 +82,5 @@
     Unavailable,
     /// Other work goes first.
     #[display("its turn has not come; other work goes first")]
-    Turn,
+    LowerPriority,
 }
--- a/src/placement/policy.rs
+++ b/src/placement/policy.rs
@@ -48,7 +48,7 @@
     schemars::JsonSchema,
 )]
 #[serde(rename_all = "kebab-case")]
-pub enum Leaning {
+pub enum Objective {
     /// How fully workers are used.
     #[default]
     #[display("packing")]
@@ -67,29 +67,29 @@
     BestFit,
     /// Urgency, slack and fair share, with reservations for gangs.
     #[default]
-    Chosen,
+    FairShare,
 }
 
 /// How the fit of a task on a worker is rated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Fit {
+pub enum FitMetric {
     /// By what it leaves over in the dimension scarcest in the failure domain.
     #[default]
     Scarcest,
     /// By what it leaves over in all dimensions together.
     Sum,
     /// By how well the shape of the task matches the shape of the room.
-    Shape,
+    Balance,
 }
 
 /// Which run time decides whether a task may use room kept for a gang.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Backfill {
+pub enum BackfillEstimate {
     /// The typical one: more work gets in, and some of it delays the gang.
     Typical,
     /// The safe one.
     #[default]
-    Safe,
+    UpperBound,
 }
 
 /// Rules in force.
@@ -98,49 +98,49 @@
     /// The preset they come from.
     pub preset: Preset,
     /// The deployment's leaning.
-    pub weighs: Leaning,
+    pub objective: Objective,
     /// How work is ordered and workers are chosen.
     pub strategy: Strategy,
     /// How the fit on a worker is rated.
-    pub fit: Fit,
+    pub fit: FitMetric,
     /// Whether the shortest work of a team goes first instead of the oldest.
     pub shortest_first: bool,
     /// Jobs at most for which room is kept at a time; the last place is left to gangs.
-    pub reservations: usize,
+    pub max_reservations: usize,
     /// Which run time lets other work use that room.
-    pub backfill: Backfill,
+    pub backfill: BackfillEstimate,
     /// Whether urgent work may preempt normal batch tasks.
-    pub preempts: bool,
+    pub preemption_enabled: bool,
     /// Thousandths of each worker that normal batch work without a deadline leaves free.
-    pub headroom: u64,
+    pub headroom_permille: u64,
     /// Thousandths of the failure domain in use from which normal batch work without a deadline is
     /// held back until it has aged.
-    pub hold_above: Option<u64>,
+    pub hold_batch_above_permille: Option<u64>,
     /// A job whose latest start lies within this span goes before jobs in fair-share order.
     pub slack_window: Duration,
     /// A job that waited this long goes before jobs in fair-share order.
-    pub age_bound: Duration,
+    pub aging_threshold: Duration,
     /// A gang that waited this long lets nothing new start on the workers reserved for it.
-    pub gang_patience: Duration,
+    pub hard_reservation_after: Duration,
     /// A gang that waited this long may preempt batch tasks without a deadline, where urgent work
     /// may preempt at all; `None` for never.
-    pub gang_preempts: Option<Duration>,
+    pub gang_preemption_after: Option<Duration>,
     /// Longest run time of a new task on a rack of which a worker drains; `None` for no limit.
     pub drain_horizon: Option<Duration>,
     /// Most tasks started in one call of [`Engine::decide`](super::Engine::decide).
-    pub starts: usize,
+    pub max_starts: usize,
 }
 
 impl Policy {
-    /// The rules of `preset` in a deployment that weighs `weighs` more.
+    /// The rules of `preset` in a deployment that objective `objective` more.
     ///
     /// ```
-    /// use oriolefork::placement::{Leaning, Policy, Preset};
-    /// let peak = Policy::of(Preset::Peak, Leaning::Packing);
-    /// assert!(peak.headroom > Policy::of(Preset::Ordinary, Leaning::Packing).headroom);
+    /// use oriolefork::placement::{Objective, Policy, Preset};
+    /// let peak = Policy::for_preset(Preset::Peak, Objective::Packing);
+    /// assert!(peak.headroom_permille > Policy::for_preset(Preset::Ordinary, Objective::Packing).headroom_permille);
     /// ```
-    pub fn of(preset: Preset, weighs: Leaning) -> Self {
-        let ordinary = Self::ordinary(weighs);
+    pub fn for_preset(preset: Preset, objective: Objective) -> Self {
+        let ordinary = Self::ordinary(objective);
         match preset {
             Preset::Ordinary => ordinary,
             Preset::Peak => Self::peak(ordinary),
@@ -148,41 +148,41 @@
         }
     }
 
-    fn ordinary(weighs: Leaning) -> Self {
+    fn ordinary(objective: Objective) -> Self {
         Self {
             preset: Preset::Ordinary,
-            weighs,
-            strategy: Strategy::Chosen,
-            fit: Fit::Scarcest,
-            shortest_first: weighs == Leaning::Waiting,
-            reservations: 2,
-            backfill: Backfill::Safe,
-            preempts: true,
-            headroom: 0,
-            hold_above: None,
+            objective,
+            strategy: Strategy::FairShare,
+            fit: FitMetric::Scarcest,
+            shortest_first: objective == Objective::Waiting,
+            max_reservations: 2,
+            backfill: BackfillEstimate::UpperBound,
+            preemption_enabled: true,
+            headroom_permille: 0,
+            hold_batch_above_permille: None,
             slack_window: Duration::from_secs(30 * 60),
-            age_bound: Self::age_bound(weighs),
-            gang_patience: Duration::from_secs(5 * 60),
-            gang_preempts: Some(Duration::from_secs(5 * 60)),
+            aging_threshold: Self::aging_threshold(objective),
+            hard_reservation_after: Duration::from_secs(5 * 60),
+            gang_preemption_after: Some(Duration::from_secs(5 * 60)),
             drain_horizon: None,
-            starts: usize::MAX,
+            max_starts: usize::MAX,
         }
     }
 
     /// Where the shortest work goes first, the rest is let forward earlier.
-    fn age_bound(weighs: Leaning) -> Duration {
-        match weighs {
-            Leaning::Packing => Duration::from_secs(60 * 60),
-            Leaning::Waiting => Duration::from_secs(20 * 60),
+    fn aging_threshold(objective: Objective) -> Duration {
+        match objective {
+            Objective::Packing => Duration::from_secs(60 * 60),
+            Objective::Waiting => Duration::from_secs(20 * 60),
         }
     }
 
     fn peak(ordinary: Self) -> Self {
         Self {
             preset: Preset::Peak,
-            headroom: 100,
-            hold_above: Some(850),
-            age_bound: Duration::from_secs(60 * 60),
+            headroom_permille: 100,
+            hold_batch_above_permille: Some(850),
+            aging_threshold: Duration::from_secs(60 * 60),
             shortest_first: true,
             slack_window: Duration::from_secs(2 * 60 * 60),
             ..ordinary
@@ -192,9 +192,9 @@
     fn maintenance(ordinary: Self) -> Self {
         Self {
             preset: Preset::Maintenance,
-            preempts: false,
+            preemption_enabled: false,
             drain_horizon: Some(Duration::from_secs(15 * 60)),
-            starts: 64,
+            max_starts: 64,
             ..ordinary
         }
     }
@@ -202,6 +202,6 @@
 
 impl Default for Policy {
     fn default() -> Self {
-        Self::of(Preset::default(), Leaning::default())
+        Self::for_preset(Preset::default(), Objective::default())
     }
 }
--- a/src/placement/pool.rs
+++ b/src/placement/pool.rs
@@ -109,7 +109,7 @@
         result
     }
 
-    /// Whether some worker has at least `demand` when empty, in any availability.
+    /// Whether some worker has at least `demand` when empty, in any scheduling_state.
     pub(super) fn could_hold(&self, demand: &Amount) -> bool {
         self.models.iter().any(|model| demand.fits(&model.capacity))
     }
@@ -177,7 +177,7 @@
             capacity: open,
             used: measure::narrowest(&node.used(), &open),
             room: node.room(),
-            draining: node.availability == super::Availability::Draining,
+            draining: node.scheduling_state == super::SchedulingState::Draining,
             grown: self.counted[index].grown,
         };
         let rack = node.rack;
--- a/src/placement/queue.rs
+++ b/src/placement/queue.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-use super::estimate::Guess;
+use super::estimate::RunTimeEstimate;
 use super::search::Denial;
 use super::{Policy, Strategy};
 use crate::clock::{Instant, Unix, millis};
@@ -24,7 +24,7 @@
     pub(super) kind: Kind,
     pub(super) urgency: Urgency,
     pub(super) deadline: Option<Unix>,
-    pub(super) guess: Option<Guess>,
+    pub(super) estimate: Option<RunTimeEstimate>,
     pub(super) demand: Amount,
     pub(super) tasks: VecDeque<task::Id>,
     pub(super) queued: Instant,
@@ -33,7 +33,7 @@
 impl Waiting {
     /// The latest start from which the deadline is expected to be met.
     pub(super) fn latest_start(&self) -> Option<Unix> {
-        let run = self.guess.map_or(0, |guess| millis(guess.typical));
+        let run = self.estimate.map_or(0, |estimate| millis(estimate.typical));
         let deadline = self.deadline?.as_millis();
         Some(Unix::from_millis(deadline.saturating_sub(run)))
     }
@@ -49,10 +49,10 @@
     /// Place in the order of a class: shortest first or oldest first, as the rules say.
     fn turn(&self, policy: &Policy) -> Turn {
         let queued = self.queued.as_millis();
-        let shortest = policy.strategy == Strategy::Chosen && policy.shortest_first;
-        match self.guess {
+        let shortest = policy.strategy == Strategy::FairShare && policy.shortest_first;
+        match self.estimate {
             _ if !shortest => (queued, 0, self.job),
-            Some(guess) => (millis(guess.typical), queued, self.job),
+            Some(estimate) => (millis(estimate.typical), queued, self.job),
             None => (u64::MAX, queued, self.job),
         }
     }
@@ -229,7 +229,7 @@
         policy: &Policy,
     ) -> Option<Head> {
         let class = &self.classes[index];
-        if policy.strategy != Strategy::Chosen {
+        if policy.strategy != Strategy::FairShare {
             let &(order, _, job) = class.turns.first()?;
             return Some(Head { band: Band::Fair, order, job });
         }
@@ -308,7 +308,7 @@
 
     fn old(&self, now: Instant, policy: &Policy) -> Option<(u64, job::Id)> {
         let oldest = self.aged.first();
-        let &(queued, job) = oldest.filter(|(at, _)| at.after(policy.age_bound) <= now)?;
+        let &(queued, job) = oldest.filter(|(at, _)| at.after(policy.aging_threshold) <= now)?;
         Some((queued.as_millis(), job))
     }
 }
--- a/src/placement/request.rs
+++ b/src/placement/request.rs
@@ -34,7 +34,7 @@
 
 /// A task that already runs, as a new owner learns of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holding {
+pub struct RunningTask {
     /// What is reserved for the task.
     pub demand: Amount,
     /// Team whose quota it counts against.
@@ -55,7 +55,7 @@
 
 /// Whether a worker takes new tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Availability {
+pub enum SchedulingState {
     /// Takes new tasks.
     #[default]
     Open,
--- a/src/placement/risk.rs
+++ b/src/placement/risk.rs
@@ -16,7 +16,7 @@
 /// A deadline at risk.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display("job {job} is expected to end at {} but is due at {}", expected.as_millis(), deadline.as_millis())]
-pub struct Risk {
+pub struct DeadlineRisk {
     /// The job.
     pub job: job::Id,
     /// The running task that is likely to end late; `None` when tasks still wait.
@@ -28,16 +28,20 @@
 }
 
 /// Waiting jobs that must start now to end in time.
-pub(super) fn waiting(queue: &Queue, unix: Unix) -> impl Iterator<Item = Risk> {
+pub(super) fn waiting(queue: &Queue, unix: Unix) -> impl Iterator<Item = DeadlineRisk> {
     queue.due_before(unix.after(MARGIN)).filter_map(move |waiting| late(waiting, unix))
 }
 
 /// Running tasks that are likely to end after their deadline.
-pub(super) fn running(ledger: &Ledger, now: Instant, unix: Unix) -> impl Iterator<Item = Risk> {
+pub(super) fn running(
+    ledger: &Ledger,
+    now: Instant,
+    unix: Unix,
+) -> impl Iterator<Item = DeadlineRisk> {
     ledger.dated().filter_map(move |(task, deadline, running)| {
         let left = running.likely_end(now)?.since(now);
         let expected = unix.after(left);
-        (expected > deadline).then_some(Risk {
+        (expected > deadline).then_some(DeadlineRisk {
             job: task.job,
             task: Some(task),
             deadline,
@@ -46,9 +50,9 @@
     })
 }
 
-fn late(waiting: &Waiting, unix: Unix) -> Option<Risk> {
+fn late(waiting: &Waiting, unix: Unix) -> Option<DeadlineRisk> {
     let deadline = waiting.deadline?;
-    let run = waiting.guess.map_or(Duration::ZERO, |guess| guess.typical);
+    let run = waiting.estimate.map_or(Duration::ZERO, |estimate| estimate.typical);
     let expected = Unix::from_millis(unix.as_millis().saturating_add(millis(run)));
-    Some(Risk { job: waiting.job, task: None, deadline, expected })
+    Some(DeadlineRisk { job: waiting.job, task: None, deadline, expected })
 }
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -7,7 +7,7 @@
 use super::health::Standing;
 use super::queue::{Band, Head, State, Waiting};
 use super::search::{Ask, Denial};
-use super::{Assignment, Decision, Engine, Event, Strategy, measure};
+use super::{Assignment, Decision, Engine, HealthEvent, Strategy, measure};
 use crate::clock::{Instant, Unix};
 use crate::job::{self, Kind, Urgency};
 use crate::resource::Amount;
@@ -75,7 +75,7 @@
     /// [`Self::release`] for each of its tasks.
     pub fn decide(&mut self, now: Instant, unix: Unix, limit: usize) -> Vec<Decision> {
         self.begin(now);
-        let mut round = Round::new(now, unix, limit.min(self.policy.starts));
+        let mut round = Round::new(now, unix, limit.min(self.policy.max_starts));
         let classes: Vec<_> = self
             .queue
             .classes()
@@ -123,7 +123,7 @@
             }
             self.pool.update(index, |node| node.standing = Standing::Probation(None));
             let worker = self.pool.get(index).name.clone();
-            self.note(Event::Probation { worker });
+            self.note(HealthEvent::Probation { worker });
         }
     }
 
@@ -133,7 +133,7 @@
                 self.reservations.remove(job, &mut self.pool);
             }
         }
-        let patience = self.policy.gang_patience;
+        let patience = self.policy.hard_reservation_after;
         self.reservations.refresh(&mut self.pool, &self.ledger, now, patience);
     }
 
@@ -141,7 +141,7 @@
         let Head { band, order, job } =
             self.queue.head(index, round.now, round.unix, &self.policy)?;
         let urgency = Reverse(self.queue.class(index).alike.urgency);
-        if self.policy.strategy != Strategy::Chosen {
+        if self.policy.strategy != Strategy::FairShare {
             return Some(Rank { above_quota: false, urgency, band, share: 0, order, job });
         }
         let waiting = self.queue.get(job)?;
@@ -216,7 +216,7 @@
 
     /// Whether the preset lets such work wait while much is in use.
     fn is_held_back(&self, ask: &Ask) -> bool {
-        let Some(above) = self.policy.hold_above else { return false };
+        let Some(above) = self.policy.hold_batch_above_permille else { return false };
         let used = measure::share(&self.pool.used, &self.pool.capacity);
         ask.plain && used >= above * (measure::WHOLE / 1_000)
     }
@@ -260,7 +260,7 @@
     /// After a try found no room: preempts for urgent work, reserves for gangs and for work
     /// that is overdue.
     fn make_room(&mut self, ask: &Ask, denial: Denial, round: &mut Round) -> Denial {
-        if ask.above_quota || self.policy.strategy != Strategy::Chosen {
+        if ask.above_quota || self.policy.strategy != Strategy::FairShare {
             return denial;
         }
         if self.may_preempt(ask, round.now) {
@@ -278,15 +278,15 @@
     fn may_preempt(&self, ask: &Ask, now: Instant) -> bool {
         let kept = self.reservations.get(ask.job).filter(|_| ask.kind == Kind::Gang);
         let waited = kept.map(|kept| kept.age(now));
-        let ripe = self.policy.gang_preempts.is_some_and(|bound| waited >= Some(bound));
-        self.policy.preempts && (ask.urgency == Urgency::Urgent || ripe)
+        let ripe = self.policy.gang_preemption_after.is_some_and(|bound| waited >= Some(bound));
+        self.policy.preemption_enabled && (ask.urgency == Urgency::Urgent || ripe)
     }
 
     /// Keeps room for a job; one reservation is left to gangs.
     fn reserve(&mut self, ask: &Ask, now: Instant) {
         let most = match ask.kind {
-            Kind::Gang => self.policy.reservations,
-            Kind::Batch | Kind::LongRunning => self.policy.reservations.saturating_sub(1),
+            Kind::Gang => self.policy.max_reservations,
+            Kind::Batch | Kind::LongRunning => self.policy.max_reservations.saturating_sub(1),
         };
         let known = self.reservations.get(ask.job).is_some();
         let impossible = self.pool.slots(&ask.demand) < ask.tasks && ask.kind == Kind::Gang;
--- a/src/placement/scorer.rs
+++ b/src/placement/scorer.rs
@@ -3,7 +3,7 @@
 use std::fmt::Debug;
 
 use super::measure::{self, WHOLE};
-use super::{Fit, Leaning, Policy, Strategy};
+use super::{FitMetric, Objective, Policy, Strategy};
 use crate::job::Kind;
 use crate::resource::Amount;
 
@@ -62,7 +62,7 @@
     fn score(&self, candidate: &Candidate) -> u64;
 
     /// Whether the first candidate is taken without looking at the others.
-    fn takes_first(&self) -> bool {
+    fn accepts_first(&self) -> bool {
         false
     }
 }
@@ -72,7 +72,9 @@
     match policy.strategy {
         Strategy::FirstFit => Box::new(FirstFit),
         Strategy::BestFit => Box::new(BestFit),
-        Strategy::Chosen => Box::new(Chosen { weighs: policy.weighs, fit: policy.fit }),
+        Strategy::FairShare => {
+            Box::new(PackOrSpread { objective: policy.objective, fit: policy.fit })
+        }
     }
 }
 
@@ -85,7 +87,7 @@
         0
     }
 
-    fn takes_first(&self) -> bool {
+    fn accepts_first(&self) -> bool {
         true
     }
 }
@@ -102,14 +104,14 @@
 
 /// Spreads long-running tasks over racks; packs the rest by the scarcest dimension.
 #[derive(Debug)]
-pub struct Chosen {
+pub struct PackOrSpread {
     /// The deployment's leaning.
-    pub weighs: Leaning,
+    pub objective: Objective,
     /// How the fit on a worker is rated.
-    pub fit: Fit,
+    pub fit: FitMetric,
 }
 
-impl Scorer for Chosen {
+impl Scorer for PackOrSpread {
     fn score(&self, candidate: &Candidate) -> u64 {
         match candidate.kind {
             Kind::LongRunning => self.spread(candidate),
@@ -123,11 +125,11 @@
 /// Weight of a task of the same job on the same worker, below one in the same rack.
 const SAME_WORKER: u64 = 1 << 24;
 
-impl Chosen {
+impl PackOrSpread {
     fn spread(&self, candidate: &Candidate) -> u64 {
-        let fit = match self.weighs {
-            Leaning::Packing => self.pack(candidate),
-            Leaning::Waiting => 3 * WHOLE - self.pack(candidate).min(3 * WHOLE),
+        let fit = match self.objective {
+            Objective::Packing => self.pack(candidate),
+            Objective::Waiting => 3 * WHOLE - self.pack(candidate).min(3 * WHOLE),
         };
         let rack = (candidate.in_rack as u64).min(1 << 20) * SAME_RACK;
         let worker = (candidate.on_worker as u64).min(1 << 14) * SAME_WORKER;
@@ -135,16 +137,16 @@
     }
 }
 
-impl Chosen {
+impl PackOrSpread {
     fn pack(&self, candidate: &Candidate) -> u64 {
         let room = candidate.free.saturating_sub(&candidate.demand);
         let cpu = measure::ratio(room.cpu_millis, candidate.capacity.cpu_millis);
         let memory = measure::ratio(room.memory_mib, candidate.capacity.memory_mib);
         let cost = match (self.fit, candidate.scarcest) {
-            (Fit::Scarcest, Dimension::Memory) => memory + cpu / 10,
-            (Fit::Scarcest, _) => cpu + memory / 10,
-            (Fit::Sum, _) => cpu + memory,
-            (Fit::Shape, _) => cpu.abs_diff(memory) + (cpu + memory) / 10,
+            (FitMetric::Scarcest, Dimension::Memory) => memory + cpu / 10,
+            (FitMetric::Scarcest, _) => cpu + memory / 10,
+            (FitMetric::Sum, _) => cpu + memory,
+            (FitMetric::Balance, _) => cpu.abs_diff(memory) + (cpu + memory) / 10,
         };
         cost + wasted(candidate)
     }
--- a/src/placement/search.rs
+++ b/src/placement/search.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use super::estimate::Guess;
+use super::estimate::RunTimeEstimate;
 use super::node::Node;
 use super::round::{Rank, Round};
 use super::scorer::{Candidate, Dimension};
-use super::{Backfill, Engine, measure};
+use super::{BackfillEstimate, Engine, measure};
 use crate::clock::Instant;
 use crate::job::{self, Kind, Urgency};
 use crate::resource::Amount;
@@ -76,7 +76,7 @@
         let ends = match waiting.kind {
             Kind::LongRunning => None,
             Kind::Batch | Kind::Gang => {
-                waiting.guess.map(|guess| round.now.after(self.horizon(&guess)))
+                waiting.estimate.map(|estimate| round.now.after(self.horizon(&estimate)))
             }
         };
         Some(Ask {
@@ -94,10 +94,10 @@
         })
     }
 
-    fn horizon(&self, guess: &Guess) -> Duration {
+    fn horizon(&self, estimate: &RunTimeEstimate) -> Duration {
         match self.policy.backfill {
-            Backfill::Typical => guess.typical,
-            Backfill::Safe => guess.safe,
+            BackfillEstimate::Typical => estimate.typical,
+            BackfillEstimate::UpperBound => estimate.upper_bound,
         }
     }
 
@@ -136,7 +136,7 @@
                 if best.is_none_or(|(least, _)| cost < least) {
                     best = Some((cost, index));
                 }
-                if self.scorer.takes_first() {
+                if self.scorer.accepts_first() {
                     return Ok(index);
                 }
             }
@@ -195,8 +195,9 @@
             let others = node.pledged.saturating_sub(&self.pledges.on(ask.job, index));
             room = node.room().saturating_sub(&others);
         }
-        if ask.plain && self.policy.headroom > 0 {
-            room = room.saturating_sub(&measure::part(&node.capacity, self.policy.headroom));
+        if ask.plain && self.policy.headroom_permille > 0 {
+            room =
+                room.saturating_sub(&measure::part(&node.capacity, self.policy.headroom_permille));
         }
         if !ask.demand.fits(&room) || !node.takes(ask.kind, ask.urgency) {
             return Err(Denial::NoRoom);
--- a/tests/logic/api/view.rs
+++ b/tests/logic/api/view.rs
@@ -8,7 +8,7 @@
 use oriolefork::config::publish::Id;
 use oriolefork::config::{Outcome, Preset, Value, Version};
 use oriolefork::job;
-use oriolefork::placement::Leaning;
+use oriolefork::placement::Objective;
 use test_case::test_case;
 
 #[test_case(&Outcome::Superseded { winner: None }, Reason::StaleVersion, Ran::NotRun ; "superseded")]
@@ -24,7 +24,7 @@
 
 #[test]
 fn presets_differ() {
-    let choice = preset::Choice::of(&Value::default(), Leaning::Packing);
+    let choice = preset::Choice::of(&Value::default(), Objective::Packing);
     assert_eq!(choice.presets.len(), Preset::ALL.len());
     assert_eq!(choice.current.preset, "ordinary");
     for (index, one) in choice.presets.iter().enumerate() {
--- a/tests/logic/placement/capacity.rs
+++ b/tests/logic/placement/capacity.rs
@@ -19,10 +19,10 @@
     let mut engine = engine(1);
     engine.enqueue(request("greedy", Kind::Batch, 1, cores(1)));
     decide(&mut engine, 0);
-    engine.observe_task(task_of("greedy", 0), cores(3));
+    engine.observe_task_usage(task_of("greedy", 0), cores(3));
     engine.enqueue(request("a", Kind::Batch, 3, cores(1)));
     assert_eq!(started(&decide(&mut engine, 1), &["a"]).len(), 1);
-    engine.observe_task(task_of("greedy", 0), cores(1));
+    engine.observe_task_usage(task_of("greedy", 0), cores(1));
     assert_eq!(started(&decide(&mut engine, 2), &["a"]).len(), 2);
 }
 
@@ -31,7 +31,7 @@
     let mut engine = engine(1);
     engine.enqueue(request("idle", Kind::Batch, 1, cores(4)));
     decide(&mut engine, 0);
-    engine.observe_usage(&worker::Name::from("w0"), Amount::ZERO);
+    engine.observe_worker_usage(&worker::Name::from("w0"), Amount::ZERO);
     engine.enqueue(request("a", Kind::Batch, 1, cores(1)));
     assert!(decide(&mut engine, 1).is_empty());
 }
--- a/tests/logic/placement/fairness.rs
+++ b/tests/logic/placement/fairness.rs
@@ -2,7 +2,7 @@
 
 use oriolefork::clock::Unix;
 use oriolefork::job::Kind;
-use oriolefork::placement::{Leaning, Policy, Preset, Reason, Request};
+use oriolefork::placement::{Objective, PendingReason, Policy, Preset, Request};
 use oriolefork::resource::Amount;
 
 use super::{at, cores, decide, engine, engine_with, job_of, lasting, request, started, task_of};
@@ -68,7 +68,10 @@
     engine.enqueue(of("shop", request("more", Kind::Batch, 4, cores(1))));
     decide(&mut engine, 3);
     let reason = engine.explain(job_of("more"));
-    assert!(matches!(reason, Some(Reason::Quota { .. } | Reason::NoRoom { .. })), "{reason:?}");
+    assert!(
+        matches!(reason, Some(PendingReason::Quota { .. } | PendingReason::NoRoom { .. })),
+        "{reason:?}"
+    );
 }
 
 // The team is at its quota and nobody else waits: idle room would help no one, so it is used.
@@ -88,7 +91,7 @@
     let mut engine = engine(1);
     let with = Amount { accelerators: 1, ..cores(4) };
     let gpu = oriolefork::worker::Name::from("gpu");
-    engine.upsert_worker(&gpu, "g", with, oriolefork::placement::Availability::Open);
+    engine.upsert_worker(&gpu, "g", with, oriolefork::placement::SchedulingState::Open);
     engine.enqueue(of(
         "mail",
         request("train", Kind::Batch, 2, Amount { accelerators: 1, ..cores(1) }),
@@ -103,8 +106,8 @@
 
 #[test]
 fn decide_shortest_first_where_waiting_weighs_more() {
-    for (leaning, first) in [(Leaning::Waiting, "short"), (Leaning::Packing, "long")] {
-        let mut engine = engine_with(Policy::of(Preset::Ordinary, leaning), 1);
+    for (objective, first) in [(Objective::Waiting, "short"), (Objective::Packing, "long")] {
+        let mut engine = engine_with(Policy::for_preset(Preset::Ordinary, objective), 1);
         engine.enqueue(lasting(500, request("long", Kind::Batch, 1, cores(4))));
         let short = lasting(5, request("short", Kind::Batch, 1, cores(4)));
         engine.enqueue(Request { queued: at(1), ..short });
@@ -116,7 +119,7 @@
 // were it not put first once it has waited for the bound.
 #[test]
 fn decide_aged_goes_first() {
-    let mut engine = engine_with(Policy::of(Preset::Ordinary, Leaning::Waiting), 1);
+    let mut engine = engine_with(Policy::for_preset(Preset::Ordinary, Objective::Waiting), 1);
     engine.enqueue(lasting(500, request("long", Kind::Batch, 1, cores(4))));
     let bound = engine_bound();
     let short = lasting(5, request("short", Kind::Batch, 1, cores(4)));
@@ -125,5 +128,5 @@
 }
 
 fn engine_bound() -> u64 {
-    Policy::of(Preset::Ordinary, Leaning::Waiting).age_bound.as_secs()
+    Policy::for_preset(Preset::Ordinary, Objective::Waiting).aging_threshold.as_secs()
 }
--- a/tests/logic/placement/gang.rs
+++ b/tests/logic/placement/gang.rs
@@ -2,7 +2,7 @@
 
 use oriolefork::clock::Unix;
 use oriolefork::job::Kind;
-use oriolefork::placement::{Decision, Policy, Reason, Request};
+use oriolefork::placement::{Decision, PendingReason, Policy, Request};
 use oriolefork::task::End;
 
 use super::{
@@ -16,7 +16,7 @@
     decide(&mut engine, 1);
     engine.enqueue(request("b", Kind::Gang, 8, cores(1)));
     assert!(decide(&mut engine, 2).is_empty());
-    assert_eq!(engine.explain(job_of("b")), Some(Reason::Gang { tasks: 8 }));
+    assert_eq!(engine.explain(job_of("b")), Some(PendingReason::ReservingForGang { tasks: 8 }));
     engine.release(task_of("a", 0));
     assert_eq!(started(&decide(&mut engine, 3), &["b"]).len(), 8);
 }
@@ -35,7 +35,10 @@
     engine.enqueue(lasting(50, request("short", Kind::Batch, 1, cores(1))));
     let keys = ["long", "unknown", "short"];
     assert_eq!(started(&decide(&mut engine, 2), &keys), ["short"]);
-    assert_eq!(engine.explain(job_of("long")), Some(Reason::Reserved { job: job_of("gang") }));
+    assert_eq!(
+        engine.explain(job_of("long")),
+        Some(PendingReason::ReservedForOther { job: job_of("gang") })
+    );
     engine.finish(task_of("short", 0), End::Succeeded, at(52));
     engine.finish(task_of("busy", 0), End::Succeeded, at(100));
     assert_eq!(started(&decide(&mut engine, 100), &["gang"]).len(), 2);
@@ -46,7 +49,7 @@
 // gang starts as soon as the tasks that were there have ended.
 #[test]
 fn decide_wrong_estimates_do_not_starve() {
-    let policy = Policy { gang_preempts: None, ..Policy::default() };
+    let policy = Policy { gang_preemption_after: None, ..Policy::default() };
     let mut engine = engine_with(policy, 2);
     engine.enqueue(lasting(10, request("busy", Kind::Batch, 1, cores(4))));
     decide(&mut engine, 0);
@@ -118,7 +121,7 @@
     engine.enqueue(request("first", Kind::Batch, 1, cores(1)));
     decide(&mut engine, 0);
     engine.enqueue(request("large", Kind::Batch, 1, cores(4)));
-    let bound = Policy::default().age_bound.as_secs();
+    let bound = Policy::default().aging_threshold.as_secs();
     let mut large_started = None;
     for round in 0..400 {
         let second = round * 20;
--- a/tests/logic/placement/health.rs
+++ b/tests/logic/placement/health.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use oriolefork::job::Kind;
-use oriolefork::placement::{Availability, Engine, Event};
+use oriolefork::placement::{Engine, HealthEvent, SchedulingState};
 use oriolefork::task::{self, End};
 use oriolefork::worker;
 
@@ -26,7 +26,7 @@
     }
     let span = Duration::from_secs(60);
     let worker = worker::Name::from("w0");
-    assert_eq!(engine.take_events(), [Event::Quarantined { worker, span }]);
+    assert_eq!(engine.take_events(), [HealthEvent::Quarantined { worker, span }]);
     assert!(!run(&mut engine, "d", 30, End::Succeeded));
 }
 
@@ -58,7 +58,7 @@
     }
     assert!(tried[0] != tried[1] && tried[1] != tried[2] && tried[0] != tried[2]);
     let events = engine.take_events();
-    assert!(matches!(&events[..], [Event::FailsEverywhere { .. }]), "{events:?}");
+    assert!(matches!(&events[..], [HealthEvent::FailsEverywhere { .. }]), "{events:?}");
 }
 
 #[test]
@@ -74,7 +74,7 @@
         engine.finish(task_of("d", index), End::Succeeded, at(71));
         decide(&mut engine, 71);
     }
-    let trusted = Event::Trusted { worker: worker::Name::from("w0") };
+    let trusted = HealthEvent::Restored { worker: worker::Name::from("w0") };
     assert_eq!(engine.take_events().last(), Some(&trusted));
     assert_eq!(engine.explain(super::job_of("web")), None);
 }
@@ -88,7 +88,7 @@
     assert!(run(&mut engine, "d", 70, End::Failed));
     let span = Duration::from_secs(120);
     let worker = worker::Name::from("w0");
-    assert_eq!(engine.take_events().last(), Some(&Event::Quarantined { worker, span }));
+    assert_eq!(engine.take_events().last(), Some(&HealthEvent::Quarantined { worker, span }));
 }
 
 // A rack of bad workers: one job name fails on three of them before they are found out. Once
@@ -98,7 +98,7 @@
     let mut engine = engine(4);
     for bad in 0..2 {
         for other in 0..4 {
-            let open = if other == bad { Availability::Open } else { Availability::Closed };
+            let open = if other == bad { SchedulingState::Open } else { SchedulingState::Closed };
             set_worker(&mut engine, other, open);
         }
         for key in ["nightly", "b", "c"] {
@@ -106,10 +106,10 @@
         }
     }
     for good in [2, 3] {
-        (0..4).for_each(|other| set_worker(&mut engine, other, Availability::Closed));
-        set_worker(&mut engine, good, Availability::Open);
+        (0..4).for_each(|other| set_worker(&mut engine, other, SchedulingState::Closed));
+        set_worker(&mut engine, good, SchedulingState::Open);
         run(&mut engine, "nightly", 2, End::Failed);
     }
-    let blamed = |event: &Event| matches!(event, Event::FailsEverywhere { .. });
+    let blamed = |event: &HealthEvent| matches!(event, HealthEvent::FailsEverywhere { .. });
     assert!(!engine.take_events().iter().any(blamed));
 }
--- a/tests/logic/placement/history.rs
+++ b/tests/logic/placement/history.rs
@@ -6,7 +6,7 @@
 use oriolefork::clock::{Instant, Unix};
 use oriolefork::job::{self, Kind, Urgency};
 use oriolefork::placement::{
-    Assignment, Availability, Decision, Engine, Holding, Leaning, Policy, Preset, Request,
+    Assignment, Decision, Engine, Objective, Policy, Preset, Request, RunningTask, SchedulingState,
 };
 use oriolefork::resource::Amount;
 use oriolefork::task::End;
@@ -25,7 +25,7 @@
 /// A call on the engine.
 #[derive(Clone, Debug)]
 enum Step {
-    Worker(usize, Amount, Availability),
+    Worker(usize, Amount, SchedulingState),
     Remove(usize),
     Enqueue(usize, u32),
     Withdraw(usize),
@@ -35,7 +35,7 @@
     Usage(usize, Amount),
     TaskUsage(usize, Amount),
     Quota(usize, Option<Amount>),
-    Policy(Preset, Leaning),
+    Policy(Preset, Objective),
     Decide(u64, usize),
 }
 
@@ -75,10 +75,10 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let availability = prop_oneof![
-        4 => Just(Availability::Open),
-        1 => Just(Availability::Draining),
-        1 => Just(Availability::Closed),
+    let scheduling_state = prop_oneof![
+        4 => Just(SchedulingState::Open),
+        1 => Just(SchedulingState::Draining),
+        1 => Just(SchedulingState::Closed),
     ];
     let end = prop_oneof![
         Just(End::Succeeded),
@@ -87,9 +87,9 @@
         Just(End::Lapsed)
     ];
     let preset = prop_oneof![Just(Preset::Ordinary), Just(Preset::Peak), Just(Preset::Maintenance)];
-    let leaning = prop_oneof![Just(Leaning::Packing), Just(Leaning::Waiting)];
+    let objective = prop_oneof![Just(Objective::Packing), Just(Objective::Waiting)];
     prop_oneof![
-        2 => (0..WORKERS, amount(12), availability).prop_map(|(w, a, v)| Step::Worker(w, a, v)),
+        2 => (0..WORKERS, amount(12), scheduling_state).prop_map(|(w, a, v)| Step::Worker(w, a, v)),
         1 => (0..WORKERS).prop_map(Step::Remove),
         6 => (0..JOBS, 1..6u32).prop_map(|(job, tasks)| Step::Enqueue(job, tasks)),
         1 => (0..JOBS).prop_map(Step::Withdraw),
@@ -101,7 +101,7 @@
         2 => (any::<usize>(), amount(8)).prop_map(|(task, a)| Step::TaskUsage(task, a)),
         1 => (0..TEAMS.len(), proptest::option::of(amount(12)))
             .prop_map(|(team, quota)| Step::Quota(team, quota)),
-        1 => (preset, leaning).prop_map(|(preset, leaning)| Step::Policy(preset, leaning)),
+        1 => (preset, objective).prop_map(|(preset, objective)| Step::Policy(preset, objective)),
         8 => (0..400u64, 0..12usize).prop_map(|(more, limit)| Step::Decide(more, limit)),
     ]
 }
@@ -119,7 +119,7 @@
     engine: Engine,
     shapes: Vec<Shape>,
     now: u64,
-    workers: BTreeMap<usize, (Amount, Availability)>,
+    workers: BTreeMap<usize, (Amount, SchedulingState)>,
     held: BTreeMap<task::Id, Held>,
     waiting: BTreeMap<usize, BTreeSet<task::Id>>,
 }
@@ -143,15 +143,15 @@
             waiting: BTreeMap::new(),
         };
         for worker in 0..WORKERS {
-            account.set_worker(worker, cores(6), Availability::Open);
+            account.set_worker(worker, cores(6), SchedulingState::Open);
         }
         account
     }
 
-    fn set_worker(&mut self, worker: usize, capacity: Amount, availability: Availability) {
+    fn set_worker(&mut self, worker: usize, capacity: Amount, scheduling_state: SchedulingState) {
         let rack = format!("r{}", worker / 2);
-        self.engine.upsert_worker(&name(worker), &rack, capacity, availability);
-        self.workers.insert(worker, (capacity, availability));
+        self.engine.upsert_worker(&name(worker), &rack, capacity, scheduling_state);
+        self.workers.insert(worker, (capacity, scheduling_state));
     }
 
     fn nth(&self, choice: usize) -> Option<task::Id> {
@@ -161,8 +161,8 @@
 
     fn apply(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match *step {
-            Step::Worker(worker, capacity, availability) => {
-                self.set_worker(worker, capacity, availability);
+            Step::Worker(worker, capacity, scheduling_state) => {
+                self.set_worker(worker, capacity, scheduling_state);
             }
             Step::Remove(worker) => {
                 self.engine.remove_worker(&name(worker));
@@ -186,16 +186,16 @@
                     self.held.remove(&task);
                 }
             }
-            Step::Usage(worker, usage) => self.engine.observe_usage(&name(worker), usage),
+            Step::Usage(worker, usage) => self.engine.observe_worker_usage(&name(worker), usage),
             Step::TaskUsage(choice, usage) => {
                 if let Some(task) = self.nth(choice) {
-                    self.engine.observe_task(task, usage);
+                    self.engine.observe_task_usage(task, usage);
                     self.held.get_mut(&task).unwrap().usage = usage;
                 }
             }
             Step::Quota(team, quota) => self.engine.set_quota(TEAMS[team], quota),
-            Step::Policy(preset, leaning) => {
-                self.engine.set_policy(Policy::of(preset, leaning));
+            Step::Policy(preset, objective) => {
+                self.engine.set_policy(Policy::for_preset(preset, objective));
             }
             Step::Decide(more, limit) => {
                 self.now += more;
@@ -227,7 +227,7 @@
     fn adopt(&mut self, job: usize, index: u32, worker: usize, demand: Amount) {
         let shape = &self.shapes[job];
         let task = id(job, index);
-        let holding = Holding {
+        let running_task = RunningTask {
             demand,
             team: TEAMS[shape.team].into(),
             name: format!("n{job}"),
@@ -237,7 +237,7 @@
             run_time: None,
             deadline: None,
         };
-        self.engine.adopt(task, &name(worker), &holding);
+        self.engine.adopt(task, &name(worker), &running_task);
         self.waiting.entry(job).or_default().remove(&task);
         let preemptible = shape.kind == Kind::Batch && shape.urgency == Urgency::Normal;
         let held = Held { worker, demand, usage: Amount::ZERO, preemptible };
@@ -284,9 +284,9 @@
     /// Nothing may have been placed on a worker beyond what it has by declared or measured use.
     fn check_worker(&self, worker: usize, demand: &Amount) -> Result<(), TestCaseError> {
         let known = self.workers.get(&worker);
-        let (capacity, availability) =
+        let (capacity, scheduling_state) =
             known.ok_or_else(|| TestCaseError::fail("unknown worker"))?;
-        proptest::prop_assert_eq!(*availability, Availability::Open);
+        proptest::prop_assert_eq!(*scheduling_state, SchedulingState::Open);
         let larger = |held: &Held| Amount {
             cpu_millis: held.demand.cpu_millis.max(held.usage.cpu_millis),
             memory_mib: held.demand.memory_mib.max(held.usage.memory_mib),
@@ -310,8 +310,8 @@
     fn drain(&mut self) -> Result<(), TestCaseError> {
         self.engine.set_policy(Policy::default());
         for worker in 0..WORKERS {
-            self.set_worker(worker, cores(6), Availability::Open);
-            self.engine.observe_usage(&name(worker), Amount::ZERO);
+            self.set_worker(worker, cores(6), SchedulingState::Open);
+            self.engine.observe_worker_usage(&name(worker), Amount::ZERO);
         }
         for _ in 0..8 * JOBS {
             let running: Vec<_> = self.held.keys().copied().collect();
@@ -324,7 +324,7 @@
         }
         for (job, tasks) in self.waiting.iter().filter(|(_, tasks)| !tasks.is_empty()) {
             let shape = &self.shapes[*job];
-            let impossible = self.engine.impossible(&shape.demand, shape.kind, tasks.len());
+            let impossible = self.engine.infeasible_reason(&shape.demand, shape.kind, tasks.len());
             proptest::prop_assert!(impossible.is_some(), "{:?} waits for ever", shape);
         }
         Ok(())
--- a/tests/logic/placement/mod.rs
+++ b/tests/logic/placement/mod.rs
@@ -14,7 +14,7 @@
 
 use oriolefork::clock::{Instant, Unix};
 use oriolefork::job::{self, Kind, Urgency};
-use oriolefork::placement::{Availability, Decision, Engine, Holding, Policy, Request};
+use oriolefork::placement::{Decision, Engine, Policy, Request, RunningTask, SchedulingState};
 use oriolefork::resource::Amount;
 use oriolefork::{task, worker};
 
@@ -45,8 +45,8 @@
     }
 }
 
-fn holding(demand: Amount) -> Holding {
-    Holding {
+fn running_task(demand: Amount) -> RunningTask {
+    RunningTask {
         demand,
         team: "shop".into(),
         name: "held".into(),
@@ -74,14 +74,19 @@
 fn engine_with(policy: Policy, workers: u64) -> Engine {
     let mut engine = Engine::new(policy);
     for index in 0..workers {
-        set_worker(&mut engine, index, Availability::Open);
+        set_worker(&mut engine, index, SchedulingState::Open);
     }
     engine
 }
 
-fn set_worker(engine: &mut Engine, index: u64, availability: Availability) {
+fn set_worker(engine: &mut Engine, index: u64, scheduling_state: SchedulingState) {
     let rack = format!("r{}", index / 2);
-    engine.upsert_worker(&worker::Name::from(format!("w{index}")), &rack, cores(4), availability);
+    engine.upsert_worker(
+        &worker::Name::from(format!("w{index}")),
+        &rack,
+        cores(4),
+        scheduling_state,
+    );
 }
 
 fn at(seconds: u64) -> Instant {
--- a/tests/logic/placement/preset.rs
+++ b/tests/logic/placement/preset.rs
@@ -2,14 +2,14 @@
 
 use oriolefork::clock::Unix;
 use oriolefork::job::Kind;
-use oriolefork::placement::{Availability, Leaning, Policy, Preset, Reason, Request};
+use oriolefork::placement::{Objective, PendingReason, Policy, Preset, Request, SchedulingState};
 
 use super::{
     cores, decide, engine_with, job_of, lasting, request, set_worker, started, urgent, workers,
 };
 
 fn preset(preset: Preset) -> Policy {
-    Policy::of(preset, Leaning::Packing)
+    Policy::for_preset(preset, Objective::Packing)
 }
 
 #[test]
@@ -19,7 +19,10 @@
     decide(&mut engine, 1);
     engine.enqueue(request("resize", Kind::Batch, 1, cores(1)));
     assert!(decide(&mut engine, 2).is_empty());
-    assert_eq!(engine.explain(job_of("resize")), Some(Reason::Held { preset: Preset::Peak }));
+    assert_eq!(
+        engine.explain(job_of("resize")),
+        Some(PendingReason::HeldByPreset { preset: Preset::Peak })
+    );
     engine.set_policy(preset(Preset::Ordinary));
     assert_eq!(started(&decide(&mut engine, 3), &["resize"]), ["resize"]);
 }
@@ -48,7 +51,7 @@
 #[test]
 fn decide_maintenance_avoids_serviced_rack() {
     let mut engine = engine_with(preset(Preset::Maintenance), 4);
-    set_worker(&mut engine, 0, Availability::Draining);
+    set_worker(&mut engine, 0, SchedulingState::Draining);
     engine.enqueue(request("web", Kind::LongRunning, 2, cores(1)));
     let decisions = decide(&mut engine, 1);
     assert!(workers(&decisions).iter().all(|name| matches!(*name, "w2" | "w3")));
@@ -59,7 +62,7 @@
 #[test]
 fn decide_ordinary_uses_rest_of_draining_rack() {
     let mut engine = engine_with(preset(Preset::Ordinary), 4);
-    set_worker(&mut engine, 0, Availability::Draining);
+    set_worker(&mut engine, 0, SchedulingState::Draining);
     engine.enqueue(request("web", Kind::LongRunning, 2, cores(1)));
     let decisions = decide(&mut engine, 1);
     assert!(workers(&decisions).contains(&"w1"));
--- a/tests/logic/placement/risk.rs
+++ b/tests/logic/placement/risk.rs
@@ -4,7 +4,7 @@
 
 use oriolefork::clock::Unix;
 use oriolefork::job::Kind;
-use oriolefork::placement::{Estimator, Request};
+use oriolefork::placement::{Request, RunTimeEstimator};
 use oriolefork::task::End;
 
 use super::{at, cores, decide, engine, job_of, lasting, request, task_of};
@@ -15,31 +15,31 @@
 
 #[test]
 fn guess_declared_until_measured() {
-    let mut estimator = Estimator::default();
+    let mut estimator = RunTimeEstimator::default();
     let declared = Some(secs(10));
-    assert_eq!(estimator.guess("t", "n", declared).unwrap().typical, secs(10));
-    (0..3).for_each(|_| estimator.learn("t", "n", secs(100)));
-    assert_eq!(estimator.guess("t", "n", declared).unwrap().typical, secs(100));
-    assert_eq!(estimator.guess("other", "n", None), None);
+    assert_eq!(estimator.estimate("t", "n", declared).unwrap().typical, secs(10));
+    (0..3).for_each(|_| estimator.record_run("t", "n", secs(100)));
+    assert_eq!(estimator.estimate("t", "n", declared).unwrap().typical, secs(100));
+    assert_eq!(estimator.estimate("other", "n", None), None);
 }
 
 #[test]
 fn guess_withstands_outlier() {
-    let mut estimator = Estimator::default();
+    let mut estimator = RunTimeEstimator::default();
     for seconds in [100, 100, 101, 99, 100_000] {
-        estimator.learn("t", "n", secs(seconds));
+        estimator.record_run("t", "n", secs(seconds));
     }
-    let guess = estimator.guess("t", "n", None).unwrap();
-    assert_eq!(guess.typical, secs(100));
-    assert!(guess.safe > secs(100_000));
+    let estimate = estimator.estimate("t", "n", None).unwrap();
+    assert_eq!(estimate.typical, secs(100));
+    assert!(estimate.upper_bound > secs(100_000));
 }
 
 #[test]
 fn guess_follows_change() {
-    let mut estimator = Estimator::default();
-    (0..20).for_each(|_| estimator.learn("t", "n", secs(10)));
-    (0..8).for_each(|_| estimator.learn("t", "n", secs(50)));
-    assert_eq!(estimator.guess("t", "n", None).unwrap().typical, secs(50));
+    let mut estimator = RunTimeEstimator::default();
+    (0..20).for_each(|_| estimator.record_run("t", "n", secs(10)));
+    (0..8).for_each(|_| estimator.record_run("t", "n", secs(50)));
+    assert_eq!(estimator.estimate("t", "n", None).unwrap().typical, secs(50));
 }
 
 // The rebuild must end at second 1,000 and takes 600; no worker has room. It is reported a while
--- a/tests/logic/placement/spread.rs
+++ b/tests/logic/placement/spread.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use oriolefork::job::Kind;
-use oriolefork::placement::{Availability, Engine, Policy, Reason};
+use oriolefork::placement::{Engine, PendingReason, Policy, SchedulingState};
 use oriolefork::resource::Amount;
 use oriolefork::worker;
 
@@ -41,9 +41,9 @@
     for (index, (name, cores, gib)) in [("a", 6, 4), ("b", 2, 12), ("c", 1, 16)].iter().enumerate()
     {
         let worker = worker::Name::from(*name);
-        engine.upsert_worker(&worker, "r", amount(8, 16), Availability::Open);
+        engine.upsert_worker(&worker, "r", amount(8, 16), SchedulingState::Open);
         let task = super::task_of("held", u32::try_from(index).unwrap());
-        engine.adopt(task, &worker, &super::holding(amount(*cores, *gib)));
+        engine.adopt(task, &worker, &super::running_task(amount(*cores, *gib)));
     }
     engine.enqueue(request("next", Kind::Batch, 1, amount(1, 3)));
     assert_eq!(workers(&decide(&mut engine, 1)), ["b"]);
@@ -53,8 +53,8 @@
 fn decide_leaves_accelerators_to_those_who_need_them() {
     let mut engine = Engine::new(Policy::default());
     let with = Amount { accelerators: 1, ..cores(4) };
-    engine.upsert_worker(&worker::Name::from("a"), "r", with, Availability::Open);
-    engine.upsert_worker(&worker::Name::from("b"), "r", cores(8), Availability::Open);
+    engine.upsert_worker(&worker::Name::from("a"), "r", with, SchedulingState::Open);
+    engine.upsert_worker(&worker::Name::from("b"), "r", cores(8), SchedulingState::Open);
     engine.enqueue(request("plain", Kind::Batch, 1, cores(1)));
     assert_eq!(workers(&decide(&mut engine, 1)), ["b"]);
 }
@@ -74,33 +74,33 @@
 #[test]
 fn impossible_larger_than_every_worker() {
     let engine = engine(2);
-    let reason = engine.impossible(&cores(5), Kind::Batch, 1);
-    assert_eq!(reason, Some(Reason::TooLarge { demand: cores(5), largest: cores(4) }));
+    let reason = engine.infeasible_reason(&cores(5), Kind::Batch, 1);
+    assert_eq!(reason, Some(PendingReason::TooLarge { demand: cores(5), largest: cores(4) }));
 }
 
 #[test]
 fn impossible_gang_larger_than_all_workers() {
     let engine = engine(2);
-    let reason = engine.impossible(&cores(4), Kind::Gang, 3);
-    assert_eq!(reason, Some(Reason::TooMany { tasks: 3, slots: 2 }));
+    let reason = engine.infeasible_reason(&cores(4), Kind::Gang, 3);
+    assert_eq!(reason, Some(PendingReason::TooManyTasks { tasks: 3, slots: 2 }));
 }
 
 #[test]
 fn impossible_unknown_without_workers() {
     let mut engine = Engine::new(Policy::default());
-    assert_eq!(engine.impossible(&cores(4), Kind::Gang, 3), None);
+    assert_eq!(engine.infeasible_reason(&cores(4), Kind::Gang, 3), None);
     engine.enqueue(request("a", Kind::Batch, 1, cores(1)));
     decide(&mut engine, 1);
-    assert_eq!(engine.explain(super::job_of("a")), Some(Reason::NoWorker));
+    assert_eq!(engine.explain(super::job_of("a")), Some(PendingReason::NoWorkers));
 }
 
 #[test]
 fn decide_draining_takes_nothing() {
     let mut engine = engine(1);
-    set_worker(&mut engine, 0, Availability::Draining);
+    set_worker(&mut engine, 0, SchedulingState::Draining);
     engine.enqueue(request("a", Kind::Batch, 1, cores(1)));
     assert!(decide(&mut engine, 1).is_empty());
-    assert_eq!(engine.explain(super::job_of("a")), Some(Reason::Unavailable));
-    set_worker(&mut engine, 0, Availability::Open);
+    assert_eq!(engine.explain(super::job_of("a")), Some(PendingReason::Unavailable));
+    set_worker(&mut engine, 0, SchedulingState::Open);
     assert_eq!(workers(&decide(&mut engine, 2)), ["w0"]);
 }
--- a/tests/logic/placement/urgent.rs
+++ b/tests/logic/placement/urgent.rs
@@ -1,7 +1,7 @@
 //! Urgent work and the batch tasks that make room for it.
 
 use oriolefork::job::Kind;
-use oriolefork::placement::{Decision, Leaning, Policy, Preset, Reason};
+use oriolefork::placement::{Decision, Objective, PendingReason, Policy, Preset};
 use oriolefork::task::End;
 
 use super::{
@@ -26,7 +26,7 @@
     engine.enqueue(urgent(request("renewal", Kind::Batch, 1, cores(1))));
     let decisions = decide(&mut engine, 100);
     assert_eq!(preempted(&decisions), [task_of("young", 0)]);
-    assert_eq!(engine.explain(job_of("renewal")), Some(Reason::Preempting { tasks: 1 }));
+    assert_eq!(engine.explain(job_of("renewal")), Some(PendingReason::Preempting { tasks: 1 }));
 }
 
 // The victim has stopped, and work that waited longer would take its room before the urgent job
@@ -73,7 +73,7 @@
 
 #[test]
 fn decide_maintenance_preempts_nothing() {
-    let policy = Policy::of(Preset::Maintenance, Leaning::Packing);
+    let policy = Policy::for_preset(Preset::Maintenance, Objective::Packing);
     let mut engine = engine_with(policy, 1);
     engine.enqueue(request("batch", Kind::Batch, 1, cores(4)));
     decide(&mut engine, 0);
--- a/tests/logic/world.rs
+++ b/tests/logic/world.rs
@@ -13,7 +13,7 @@
 use oriolefork::owner::machine::{Answer, Call, Effect, Machine, Message};
 use oriolefork::owner::session::{Channel, Send};
 use oriolefork::owner::{Beat, Hold, Ticket, Timings};
-use oriolefork::placement::{Leaning, Policy, Preset};
+use oriolefork::placement::{Objective, Policy, Preset};
 use oriolefork::resource::Amount;
 use oriolefork::standin::{log as fake_log, worker as fake};
 use oriolefork::store::{self, Offset, Outcome, Page, Step};
@@ -225,7 +225,7 @@
     pub fn start(&mut self, node: usize) {
         let run = self.next_run();
         let me = Instance { name: self.nodes[node].name.clone(), run, peer: address(1, node) };
-        let policy = Policy::of(Preset::Ordinary, Leaning::Waiting);
+        let policy = Policy::for_preset(Preset::Ordinary, Objective::Waiting);
         let now = Instant::from_millis(self.now);
         let machine = Machine::new(me, DOMAIN.into(), self.timings.clone(), policy, now);
         self.nodes[node].run = run;
--- a/tests/process/controller.rs
+++ b/tests/process/controller.rs
@@ -23,7 +23,7 @@
 use oriolefork::owner::Timings;
 use oriolefork::owner::machine::Machine;
 use oriolefork::peer;
-use oriolefork::placement::{Leaning, Policy, Preset};
+use oriolefork::placement::{Objective, Policy, Preset};
 use oriolefork::shutdown::Shutdown;
 use oriolefork::store::{self, Offset, Page, Store};
 use oriolefork::worker::{self, Exchange, Link, Report};
@@ -107,7 +107,7 @@
         let clock: Rc<dyn Clock> = Rc::new(System::start());
         let store = Rc::new(Silent::default());
         let me = Instance { name: "kurow-1".into(), run: 1, peer: ([127, 0, 0, 1], 9).into() };
-        let policy = Policy::of(Preset::Ordinary, Leaning::Waiting);
+        let policy = Policy::for_preset(Preset::Ordinary, Objective::Waiting);
         let witness = witness(&me, &clock);
         let machine = Machine::new(me, DOMAIN.into(), Timings::default(), policy, clock.now());
         let borders = Borders {
