--- a/benches/routing/candidate.rs
+++ b/benches/routing/candidate.rs
@@ -9,14 +9,14 @@
 use oriolefork::job;
 use oriolefork::membership::{Member, Role, State};
 use oriolefork::runner::attempt::{Id, Outcome};
-use oriolefork::runner::share::{Holder, Keeper, Ledger, Position, Terms};
-use oriolefork::runner::{Effect, Policy, Request, Router, Verdict, request};
+use oriolefork::runner::share::{CoordinatorId, LeaseDurations, Ledger, LocalSlots, Position};
+use oriolefork::runner::{Effect, Policy, Request, RequestOutcome, Router, request};
 
 use super::field::{Action, Answer, Arrival, Balancer, INSTANCES, Plan, RUNNERS, SLOTS};
 
 const SERVICE: &str = "portal";
 const PORT: u16 = 1000;
-const KEEPER: Keeper = Keeper { epoch: Epoch::FIRST, run: 1 };
+const COORDINATOR: CoordinatorId = CoordinatorId { epoch: Epoch::FIRST, run: 1 };
 
 /// One entry instance.
 pub struct Candidate {
@@ -35,25 +35,25 @@
         Self::make(true)
     }
 
-    pub fn without_keeper(_plan: &Plan) -> Vec<Box<dyn Balancer>> {
+    pub fn without_coordinator(_plan: &Plan) -> Vec<Box<dyn Balancer>> {
         Self::make(false)
     }
 
-    fn make(kept: bool) -> Vec<Box<dyn Balancer>> {
+    fn make(coordinated: bool) -> Vec<Box<dyn Balancer>> {
         let mut instances: Vec<Self> = (0..INSTANCES).map(Self::new).collect();
-        let terms = Terms::for_run_limit(Policy::default().run_limit);
-        instances[0].ledger = kept.then(|| Ledger::new(KEEPER, terms));
+        let durations = LeaseDurations::for_run_limit(Policy::default().run_limit);
+        instances[0].ledger = coordinated.then(|| Ledger::new(COORDINATOR, durations));
         instances.into_iter().map(|instance| Box::new(instance) as Box<dyn Balancer>).collect()
     }
 
     fn new(index: usize) -> Self {
         let policy = Policy::default();
         let run_limit = policy.run_limit.as_micros() as u64;
-        let terms = Terms::for_run_limit(policy.run_limit);
+        let durations = LeaseDurations::for_run_limit(policy.run_limit);
         let position = Position { index: index as u32, count: INSTANCES as u32 };
-        let holder = Holder::new(position, index as u64, terms, Instant::default());
+        let local_slots = LocalSlots::new(position, index as u64, durations, Instant::default());
         let domain = domain::Name::from("kurow");
-        let mut router = Router::new(policy, domain.clone(), holder, index as u64);
+        let mut router = Router::new(policy, domain.clone(), local_slots, index as u64);
         let member = |number: usize| Member {
             name: format!("runner-{number}"),
             role: Role::Runner { service: SERVICE.to_owned(), slots: SLOTS, connections: 64 },
@@ -78,8 +78,8 @@
                     let runner = usize::from(peer.port() - PORT);
                     actions.push(Action::Send { attempt: attempt.raw(), runner });
                 }
-                Effect::Answer { request, verdict } => {
-                    actions.push(self.end(request.raw(), verdict))
+                Effect::Answer { request, outcome } => {
+                    actions.push(self.end(request.raw(), outcome))
                 }
                 Effect::Forward { .. } => unreachable!("there is one domain"),
             }
@@ -87,14 +87,14 @@
         actions
     }
 
-    fn end(&self, request: u64, verdict: Verdict) -> Action {
-        match verdict {
-            Verdict::Whole(attempt) if self.failed.contains(&attempt.raw()) => {
+    fn end(&self, request: u64, outcome: RequestOutcome) -> Action {
+        match outcome {
+            RequestOutcome::Complete(attempt) if self.failed.contains(&attempt.raw()) => {
                 Action::Doubt { request }
             }
-            Verdict::Whole(_) => Action::Deliver { request, wrong: false },
-            Verdict::NotRun { .. } => Action::Refuse { request },
-            Verdict::Unknown { .. } => Action::Doubt { request },
+            RequestOutcome::Complete(_) => Action::Deliver { request, wrong: false },
+            RequestOutcome::NotRun { .. } => Action::Refuse { request },
+            RequestOutcome::Unknown { .. } => Action::Doubt { request },
         }
     }
 
@@ -107,9 +107,9 @@
     }
 
     fn call(&mut self, ledger: &mut Ledger, now: u64) -> Vec<Action> {
-        let ask = self.router.ask(KEEPER, at(now));
-        let grant = ledger.ask(&ask, at(now)).expect("calls come in order");
-        let effects = self.router.granted(&grant, at(now));
+        let request = self.router.build_share_request(COORDINATOR, at(now));
+        let response = ledger.handle(&request, at(now)).expect("calls come in order");
+        let effects = self.router.apply_response(&response, at(now));
         self.act(effects, now)
     }
 }
@@ -136,8 +136,8 @@
             self.failed.insert(attempt);
         }
         let outcome = match answer {
-            Answer::Good => Outcome::Whole { failed: false },
-            Answer::Failed => Outcome::Whole { failed: true },
+            Answer::Good => Outcome::Complete { failed: false },
+            Answer::Failed => Outcome::Complete { failed: true },
             Answer::Wrong => Outcome::Mismatched,
             Answer::Lost => Outcome::Broken,
         };
--- a/benches/routing/main.rs
+++ b/benches/routing/main.rs
@@ -46,7 +46,7 @@
     for load in [0.5, 0.8] {
         let plan = Plan { load, fault: Fault::None, parts: SKEWED };
         let label = format!("70% to one, load {load}");
-        show(&label, "without keeper", &plan, Candidate::without_keeper);
+        show(&label, "without keeper", &plan, Candidate::without_coordinator);
         show(&label, "oriolefork", &plan, Candidate::instances);
     }
 }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -59,7 +59,9 @@
             }
             STATUS => encode(&self.entry.domain_status(decode(body)?).await),
             forward::CALL => encode(&self.entry.route(decode::<Envelope>(body)?).await),
-            runner::peer::ASK | runner::peer::RUN => self.requests.answer(method, body).await,
+            runner::peer::REQUEST_SHARES | runner::peer::RUN_FORWARDED => {
+                self.requests.answer(method, body).await
+            }
             other => self.answer_settings(other, body).await,
         }
     }
--- a/src/entry/requests.rs
+++ b/src/entry/requests.rs
@@ -10,8 +10,8 @@
 use crate::owner::machine::Machine;
 use crate::runner::handler::Access;
 use crate::runner::proxy::{Options, Proxy, Role};
-use crate::runner::share::Keeper;
-use crate::runner::{self, Link};
+use crate::runner::share::CoordinatorId;
+use crate::runner::{self, RunnerTransport};
 use crate::settings::Settings;
 use crate::shutdown::Shutdown;
 use crate::store::Store;
@@ -48,14 +48,14 @@
 /// Starts the tasks that answer quick requests until `stop` is triggered and all are answered.
 pub fn start(settings: &Settings, me: &Instance, ways: Ways, stop: Shutdown) -> Proxy {
     let Ways { runners, peers, guard, handle, clock } = ways;
-    let link: Rc<dyn Link> = Rc::new(runner::http::Client::new(runners));
+    let transport: Rc<dyn RunnerTransport> = Rc::new(runner::http::Client::new(runners));
     let (proxy, driver) = Proxy::new(Options {
         policy: settings.queues.routing(),
         domain: settings.domain.clone(),
         position: settings.position(),
         run: me.run,
-        rest: settings.queues.request_restart_wait,
-        link: Rc::new(measured::Runners(link)),
+        warm_up: settings.queues.request_restart_wait,
+        transport: Rc::new(measured::Runners(transport)),
         peers: Rc::new(runner::peer::Client::new(peers)),
         clock: clock.clone(),
         guard: Some(guard),
@@ -86,10 +86,10 @@
 
 fn role(me: &Instance, machine: &Machine) -> Role {
     let Some(owner) = machine.owner() else { return Role::Unknown };
-    let keeper = Keeper { epoch: machine.known_epoch(), run: owner.run };
+    let coordinator = CoordinatorId { epoch: machine.known_epoch(), run: owner.run };
     match owner.run == me.run {
-        true if machine.is_owner() => Role::Owner(keeper),
+        true if machine.is_owner() => Role::Owner(coordinator),
         true => Role::Unknown,
-        false => Role::Follower(keeper, owner.peer),
+        false => Role::Follower(coordinator, owner.peer),
     }
 }
--- a/src/runner/attempt.rs
+++ b/src/runner/attempt.rs
@@ -51,14 +51,14 @@
     /// When it started.
     pub started: Instant,
     /// Whether it failed while the runner may still work on it.
-    pub in_doubt: bool,
+    pub outcome_unknown: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// A whole answer to this very request came; `failed` when it reports a fault of the server.
-    Whole {
+    Complete {
         /// Whether the status is one of a server's faults.
         failed: bool,
     },
--- a/src/runner/demand.rs
+++ b/src/runner/demand.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use crate::runner::share::{Handle, Holder};
+use crate::runner::share::{Handle, LocalSlots};
 
 /// Part of the owned slots that is kept whatever the load is, one of so many: a request that comes
 /// after a quiet time finds a slot at once.
@@ -12,15 +12,15 @@
 
 /// A runner's slots at this instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Slots {
+pub struct RunnerSlots {
     handle: Handle,
     owned: u32,
     in_use: u32,
 }
 
-impl Slots {
+impl RunnerSlots {
     /// What `shares` says of a runner.
-    pub fn of(handle: Handle, shares: &Holder) -> Self {
+    pub fn of(handle: Handle, shares: &LocalSlots) -> Self {
         Self { handle, owned: shares.owned(handle), in_use: shares.in_use(handle) }
     }
 }
@@ -48,7 +48,7 @@
     ///
     /// The need is the mean load and some of its deviations, which for independent arrivals is the
     /// square root of the mean. After a refusal the need is not known and everything is asked for.
-    pub fn take(&mut self, mut runners: Vec<Slots>) -> Vec<(Handle, u32)> {
+    pub fn distribute(&mut self, mut runners: Vec<RunnerSlots>) -> Vec<(Handle, u32)> {
         let owned: u32 = runners.iter().map(|slots| slots.owned).sum();
         let measured = if self.samples > 0 { self.sum / f64::from(self.samples) } else { 0.0 };
         // Grows at once and shrinks slowly.
@@ -61,10 +61,10 @@
         let need = (self.mean + DEVIATIONS * self.mean.sqrt()).ceil() as u32;
         let need = need.max(owned.div_ceil(RESERVE));
         let count = u32::try_from(runners.len()).unwrap_or(u32::MAX).max(1);
-        let (each, odd) = (need / count, need % count);
+        let (each, remainder) = (need / count, need % count);
         runners.sort_by_key(|slots| Reverse(slots.in_use));
-        let part = |(index, slots): (usize, &Slots)| {
-            let part = each + u32::from((index as u32) < odd);
+        let part = |(index, slots): (usize, &RunnerSlots)| {
+            let part = each + u32::from((index as u32) < remainder);
             (slots.handle, part.max(slots.in_use))
         };
         runners.iter().enumerate().map(part).collect()
--- a/src/runner/handler.rs
+++ b/src/runner/handler.rs
@@ -10,9 +10,9 @@
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 
-use super::link::{Answer, Call};
 use super::proxy::{Proxy, Reply};
-use super::request::{self, Doubt, Refusal};
+use super::request::{self, Refusal, UnknownCause};
+use super::transport::{Answer, Call};
 use crate::api::{self, Reason, header, reply};
 use crate::http::{Handler, Request, Response};
 use crate::intent::{self, Admission, Body, Outcome, Permit, Progress, State};
@@ -21,15 +21,15 @@
 
 /// Says whether a second run of the request does harm.
 pub const EFFECT: &str = "x-effect";
-/// Says how the request ended: `whole`, `not-run` or `unknown`.
+/// Says how the request ended: `complete`, `not-run` or `unknown`.
 pub const RESULT: &str = "x-result";
 /// Identity of the request, for questions about it.
 pub const REQUEST_ID: &str = "x-request-id";
 
 /// When to come back after at-most-once work could not be recorded.
-const UNRECORDED_PAUSE: Duration = Duration::from_secs(1);
+const UNRECORDED_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Part of the caller's time that may be spent on the record of at-most-once work.
-const RECORD_PART: u32 = 2;
+const RECORD_TIME_DIVISOR: u32 = 2;
 
 /// Services whose requests are taken, each with what its callers must present, if anything.
 pub struct Access {
@@ -66,7 +66,7 @@
 }
 
 /// What a request's headers say.
-struct Terms {
+struct RequestOptions {
     effect: Effect,
     key: Option<String>,
     timeout: Duration,
@@ -88,15 +88,15 @@
     async fn answer(&self, request: Request) -> Result<Reply, api::Refusal> {
         let service = service(request.uri().path())?;
         self.access().check(&service, request.headers())?;
-        let terms = Terms::read(request.headers(), self.access().timeout)?;
+        let options = RequestOptions::read(request.headers(), self.access().timeout)?;
         let content_type = request.headers().get(CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok()).map(str::to_owned);
         let id = request::Id::from_raw(0);
         let body = request.into_body();
-        let call = Call { id, service, content_type, body, budget: terms.timeout };
-        match &terms.key {
-            Some(key) if terms.effect == Effect::AtMostOnce => self.run_once(call, key).await,
-            _ => Ok(self.run(call, terms.effect, None).await),
+        let call = Call { id, service, content_type, body, budget: options.timeout };
+        match &options.key {
+            Some(key) if options.effect == Effect::AtMostOnce => self.run_once(call, key).await,
+            _ => Ok(self.run(call, options.effect, None).await),
         }
     }
 
@@ -105,18 +105,20 @@
         let Some(guard) = self.guard() else { return Ok(unrecorded()) };
         let started = self.clock().now();
         let request = intent_of(&call, key)?;
-        match guard.begin(request, call.budget / RECORD_PART).await {
+        match guard.begin(request, call.budget / RECORD_TIME_DIVISOR).await {
             Admission::Won(permit) => {
                 let spent = self.clock().now().since(started);
                 let budget = call.budget.saturating_sub(spent);
-                Ok(self.run_won(Call { budget, ..call }, permit).await)
+                Ok(self.run_with_permit(Call { budget, ..call }, permit).await)
+            }
+            Admission::Duplicate(state) => duplicate_reply(&state),
+            Admission::NotRun(refusal) => {
+                Err(api::Refusal::from(refusal).after(UNRECORDED_RETRY_AFTER))
             }
-            Admission::Duplicate(state) => repeated(&state),
-            Admission::NotRun(refusal) => Err(api::Refusal::from(refusal).after(UNRECORDED_PAUSE)),
         }
     }
 
-    async fn run_won(&self, call: Call, permit: Permit) -> Reply {
+    async fn run_with_permit(&self, call: Call, permit: Permit) -> Reply {
         self.run(call, Effect::AtMostOnce, Some(permit)).await
     }
 }
@@ -127,7 +129,7 @@
     }
 }
 
-impl Terms {
+impl RequestOptions {
     /// Reads the headers. A request that does not say it is idempotent is sent once at most; only
     /// with a key are several requests known to be the same. `timeout` stands for one not named.
     fn read(headers: &HeaderMap, timeout: Duration) -> Result<Self, api::Refusal> {
@@ -169,11 +171,11 @@
 }
 
 /// The answer to a request whose key an earlier one has won: its recorded end, never a second run.
-fn repeated(state: &State) -> Result<Reply, api::Refusal> {
+fn duplicate_reply(state: &State) -> Result<Reply, api::Refusal> {
     let unknown = |message: &str| Err(api::Refusal::unknown(Reason::AnswerLost, message));
     match &state.progress {
         Progress::Done(Outcome::Answered(answer)) => match &answer.body {
-            Body::Whole(body) => Ok(Reply::Whole(Answer {
+            Body::Whole(body) => Ok(Reply::Complete(Answer {
                 status: answer.status,
                 content_type: Some(answer.content_type.clone()).filter(|text| !text.is_empty()),
                 body: body.clone(),
@@ -189,22 +191,22 @@
 }
 
 fn unrecorded() -> Reply {
-    Reply::NotRun { refusal: Refusal::Unrecorded, retry_after: UNRECORDED_PAUSE }
+    Reply::NotRun { refusal: Refusal::Unrecorded, retry_after: UNRECORDED_RETRY_AFTER }
 }
 
 fn respond(reply: Reply) -> Response {
     match reply {
-        Reply::Whole(answer) => whole(answer),
+        Reply::Complete(answer) => complete(answer),
         Reply::NotRun { refusal, retry_after } => {
             let message = refusal.to_string();
             refuse(api::Refusal::not_run(reason(refusal), message).after(retry_after))
         }
-        Reply::Unknown { id, doubt, retry_after } => {
-            let reason = match doubt {
-                Doubt::Deadline => Reason::Deadline,
-                Doubt::Broken => Reason::AnswerLost,
+        Reply::Unknown { id, cause, retry_after } => {
+            let reason = match cause {
+                UnknownCause::Deadline => Reason::Deadline,
+                UnknownCause::Broken => Reason::AnswerLost,
             };
-            let refusal = api::Refusal::unknown(reason, doubt.to_string()).after(retry_after);
+            let refusal = api::Refusal::unknown(reason, cause.to_string()).after(retry_after);
             let mut response = refuse(refusal);
             set(&mut response, REQUEST_ID, &id.to_string());
             response
@@ -212,7 +214,7 @@
     }
 }
 
-fn whole(answer: Answer) -> Response {
+fn complete(answer: Answer) -> Response {
     let mut response = Response::new(answer.body);
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Some(content_type) = &answer.content_type {
--- a/src/runner/http.rs
+++ b/src/runner/http.rs
@@ -9,8 +9,8 @@
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 
-use super::link::{Answer, Call, Error, Fault, Link};
 use super::request;
+use super::transport::{Answer, Call, Error, Fault, RunnerTransport};
 use crate::clock;
 use crate::http;
 
@@ -47,7 +47,7 @@
     }
 }
 
-impl Link for Client {
+impl RunnerTransport for Client {
     fn call<'a>(
         &'a self,
         peer: SocketAddr,
--- a/src/runner/mod.rs
+++ b/src/runner/mod.rs
@@ -11,7 +11,6 @@
 pub mod health;
 pub mod http;
 pub mod latency;
-pub mod link;
 pub mod peer;
 pub mod policy;
 pub mod proxy;
@@ -20,14 +19,15 @@
 pub mod router;
 pub mod service;
 pub mod share;
+pub mod transport;
 pub mod upstream;
 pub mod wire;
 
-pub use link::Link;
 pub use policy::Policy;
 pub use proxy::Proxy;
-pub use request::{Request, Verdict};
+pub use request::{Request, RequestOutcome};
 pub use router::{Effect, Router};
+pub use transport::RunnerTransport;
 
 use derive_more::{Display, From};
 use serde::{Deserialize, Serialize};
--- a/src/runner/peer.rs
+++ b/src/runner/peer.rs
@@ -9,23 +9,23 @@
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 
-use super::link::{Answer, Call, Fault};
-use super::proxy::{Passed, Proxy};
+use super::proxy::{ForwardedRequest, Proxy};
+use super::transport::{Answer, Call, Fault};
 use super::{share, wire};
 use crate::codec;
 use crate::job::Effect;
 use crate::peer;
 
 /// Method of a call to the keeper of shares.
-pub const ASK: &str = "runner.ask";
+pub const REQUEST_SHARES: &str = "runner.ask";
 /// Method of a request passed on.
-pub const RUN: &str = "runner.run";
+pub const RUN_FORWARDED: &str = "runner.run";
 
 /// How a request that was passed on ended there.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum ForwardOutcome {
     /// With a runner's whole answer.
-    Whole(Answer),
+    Complete(Answer),
     /// Before anything reached a runner.
     NotRun {
         /// When to ask again.
@@ -36,14 +36,14 @@
 }
 
 /// Way to reach other entry instances.
-pub trait Peers {
+pub trait PeerTransport {
     /// Asks the keeper at `peer` for shares; `None` when the call or its answer was lost or void.
-    fn ask<'a>(
+    fn request_shares<'a>(
         &'a self,
         peer: SocketAddr,
-        ask: &'a share::Ask,
+        request: &'a share::ShareRequest,
         timeout: Duration,
-    ) -> LocalBoxFuture<'a, Option<share::Grant>>;
+    ) -> LocalBoxFuture<'a, Option<share::ShareResponse>>;
 
     /// Passes a request on to the instance at `peer`.
     ///
@@ -56,7 +56,7 @@
         call: &'a Call,
         effect: Effect,
         timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<Ended, Fault>>;
+    ) -> LocalBoxFuture<'a, Result<ForwardOutcome, Fault>>;
 }
 
 /// Reaches other entry instances by the peer protocol.
@@ -70,17 +70,17 @@
         Self { peers }
     }
 
-    async fn ask(
+    async fn request_shares(
         &self,
         peer: SocketAddr,
-        ask: &share::Ask,
+        request: &share::ShareRequest,
         timeout: Duration,
-    ) -> Option<share::Grant> {
-        let ask = wire::Ask::from(ask);
-        let answer: Result<Option<wire::Grant>, _> =
-            self.peers.call(peer, ASK, &ask, timeout).await;
+    ) -> Option<share::ShareResponse> {
+        let request = wire::ShareRequest::from(request);
+        let answer: Result<Option<wire::ShareResponse>, _> =
+            self.peers.call(peer, REQUEST_SHARES, &request, timeout).await;
         match answer {
-            Ok(grant) => share::Grant::try_from(grant?).ok(),
+            Ok(response) => share::ShareResponse::try_from(response?).ok(),
             Err(error) => {
                 log::debug!("event=runner.shares_unanswered peer={peer} cause=\"{error}\"");
                 None
@@ -94,9 +94,10 @@
         call: &Call,
         effect: Effect,
         timeout: Duration,
-    ) -> Result<Ended, Fault> {
-        let run = wire::Run::new(call, effect);
-        let answer: Result<wire::Ran, _> = self.peers.call(peer, RUN, &run, timeout).await;
+    ) -> Result<ForwardOutcome, Fault> {
+        let run = wire::RunRequest::new(call, effect);
+        let answer: Result<wire::RunResponse, _> =
+            self.peers.call(peer, RUN_FORWARDED, &run, timeout).await;
         match answer {
             Ok(ran) => Ok(ran.into()),
             Err(error) if error.sent => Err(Fault::Broken(error.to_string())),
@@ -105,14 +106,14 @@
     }
 }
 
-impl Peers for Client {
-    fn ask<'a>(
+impl PeerTransport for Client {
+    fn request_shares<'a>(
         &'a self,
         peer: SocketAddr,
-        ask: &'a share::Ask,
+        request: &'a share::ShareRequest,
         timeout: Duration,
-    ) -> LocalBoxFuture<'a, Option<share::Grant>> {
-        self.ask(peer, ask, timeout).boxed_local()
+    ) -> LocalBoxFuture<'a, Option<share::ShareResponse>> {
+        self.request_shares(peer, request, timeout).boxed_local()
     }
 
     fn run<'a>(
@@ -121,7 +122,7 @@
         call: &'a Call,
         effect: Effect,
         timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<Ended, Fault>> {
+    ) -> LocalBoxFuture<'a, Result<ForwardOutcome, Fault>> {
         self.run(peer, call, effect, timeout).boxed_local()
     }
 }
@@ -141,33 +142,33 @@
     ///
     /// # Errors
     ///
-    /// Refuses methods other than [`ASK`] and [`RUN`], and bodies that are not theirs.
+    /// Refuses methods other than [`REQUEST_SHARES`] and [`RUN_FORWARDED`], and bodies that are not theirs.
     pub async fn answer(&self, method: &str, body: &[u8]) -> Result<Bytes, peer::Refusal> {
         match method {
-            ASK => self.grant(body).await,
-            RUN => self.run(body).await,
+            REQUEST_SHARES => self.grant_shares(body).await,
+            RUN_FORWARDED => self.run(body).await,
             _ => Err(peer::Refusal::new(peer::Code::UnknownMethod, method)),
         }
     }
 
-    async fn grant(&self, body: &[u8]) -> Result<Bytes, peer::Refusal> {
-        let ask: wire::Ask = peer::decode(body)?;
-        let ask = share::Ask::try_from(ask)
+    async fn grant_shares(&self, body: &[u8]) -> Result<Bytes, peer::Refusal> {
+        let request: wire::ShareRequest = peer::decode(body)?;
+        let request = share::ShareRequest::try_from(request)
             .map_err(|error| peer::Refusal::new(peer::Code::Malformed, error))?;
-        let grant = self.proxy.keep(ask).await;
-        encode(&grant.as_ref().map(wire::Grant::from))
+        let response = self.proxy.grant_shares(request).await;
+        encode(&response.as_ref().map(wire::ShareResponse::from))
     }
 
     async fn run(&self, body: &[u8]) -> Result<Bytes, peer::Refusal> {
-        let run: wire::Run = peer::decode(body)?;
-        let passed = Passed {
+        let run: wire::RunRequest = peer::decode(body)?;
+        let forwarded = ForwardedRequest {
             service: run.service,
             effect: run.effect,
             content_type: run.content_type,
             body: run.body.into(),
             budget: Duration::from_millis(run.budget_ms),
         };
-        encode(&wire::Ran::from(self.proxy.run_passed(passed).await))
+        encode(&wire::RunResponse::from(self.proxy.run_forwarded(forwarded).await))
     }
 }
 
--- a/src/runner/proxy/work.rs
+++ b/src/runner/proxy/active_request.rs
@@ -10,47 +10,47 @@
 use crate::intent::{self, Outcome, Permit};
 use crate::job::Effect;
 use crate::runner::attempt;
-use crate::runner::link::{Answer, Call};
-use crate::runner::request::{self, Verdict};
+use crate::runner::request::{self, RequestOutcome};
+use crate::runner::transport::{Answer, Call};
 
 /// Longest answer that is kept with the record of at-most-once work.
 const RECORDED_BYTES: usize = 4096;
 
 /// A request from its arrival until its last attempt has ended.
-pub(super) struct Work {
+pub(super) struct ActiveRequest {
     pub(super) call: Rc<Call>,
     pub(super) effect: Effect,
     reply: Option<oneshot::Sender<Reply>>,
-    record: Record,
+    record: ExecutionRecord,
     answers: HashMap<attempt::Id, Answer>,
 }
 
-impl Work {
+impl ActiveRequest {
     pub(super) fn new(submission: Submission) -> Self {
         let Submission { call, effect, permit, reply, .. } = submission;
         Self {
             call: Rc::new(call),
             effect,
             reply: Some(reply),
-            record: Record { permit, live: 0, sent: false },
+            record: ExecutionRecord { permit, in_flight: 0, sent: false },
             answers: HashMap::new(),
         }
     }
 
     /// Counts an attempt, of which bytes may leave from now on.
-    pub(super) fn begin(&mut self) {
-        self.record.live += 1;
+    pub(super) fn count_attempt(&mut self) {
+        self.record.in_flight += 1;
     }
 
     /// Counts the end of an attempt of which nothing left.
-    pub(super) fn end_unsent(&mut self) {
-        self.record.live -= 1;
+    pub(super) fn end_not_sent(&mut self) {
+        self.record.in_flight -= 1;
     }
 
     /// Counts the end of an attempt that was sent, perhaps long after the caller was told that its
     /// outcome is unknown. The record takes such a late answer; no caller does.
     pub(super) fn end_sent(&mut self, id: attempt::Id, answer: Option<Answer>) {
-        self.record.live -= 1;
+        self.record.in_flight -= 1;
         self.record.sent = true;
         let Some(answer) = answer else { return };
         if self.reply.is_some() {
@@ -61,24 +61,26 @@
     }
 
     /// Whether nothing more will come.
-    pub(super) fn is_over(&self) -> bool {
-        self.reply.is_none() && self.record.live == 0
+    pub(super) fn is_finished(&self) -> bool {
+        self.reply.is_none() && self.record.in_flight == 0
     }
 
     /// Whether a caller or a record still waits for its end.
-    pub(super) fn is_owed(&self) -> bool {
+    pub(super) fn is_awaited(&self) -> bool {
         self.reply.is_some() || self.record.permit.is_some()
     }
 
     /// Tells the caller the end.
-    pub(super) fn answer(&mut self, id: request::Id, verdict: Verdict) {
-        let reply = match verdict {
-            Verdict::Whole(attempt) => self.whole(id, attempt),
-            Verdict::NotRun { refusal, retry_after } => {
-                self.record.give_back();
+    pub(super) fn answer(&mut self, id: request::Id, outcome: RequestOutcome) {
+        let reply = match outcome {
+            RequestOutcome::Complete(attempt) => self.complete(id, attempt),
+            RequestOutcome::NotRun { refusal, retry_after } => {
+                self.record.release_permit();
                 Reply::NotRun { refusal, retry_after }
             }
-            Verdict::Unknown { doubt, retry_after } => Reply::Unknown { id, doubt, retry_after },
+            RequestOutcome::Unknown { cause, retry_after } => {
+                Reply::Unknown { id, cause, retry_after }
+            }
         };
         self.answers.clear();
         if let Some(caller) = self.reply.take() {
@@ -87,13 +89,13 @@
         }
     }
 
-    fn whole(&mut self, id: request::Id, attempt: attempt::Id) -> Reply {
+    fn complete(&mut self, id: request::Id, attempt: attempt::Id) -> Reply {
         let Some(answer) = self.answers.remove(&attempt) else {
-            let doubt = request::Doubt::Broken;
-            return Reply::Unknown { id, doubt, retry_after: Duration::ZERO };
+            let cause = request::UnknownCause::Broken;
+            return Reply::Unknown { id, cause, retry_after: Duration::ZERO };
         };
         self.record.finish(&answer);
-        Reply::Whole(answer)
+        Reply::Complete(answer)
     }
 }
 
@@ -101,15 +103,15 @@
 ///
 /// A permit that is dropped gives its key back, and a retry would run the work again. Dropped
 /// after bytes may have left, it therefore has to count as a try whose outcome was lost.
-struct Record {
+struct ExecutionRecord {
     permit: Option<Permit>,
-    live: usize,
+    in_flight: usize,
     sent: bool,
 }
 
-impl Record {
+impl ExecutionRecord {
     fn may_have_run(&self) -> bool {
-        self.sent || self.live > 0
+        self.sent || self.in_flight > 0
     }
 
     fn finish(&mut self, answer: &Answer) {
@@ -119,14 +121,14 @@
         permit.start().finish(Outcome::Answered(kept));
     }
 
-    fn give_back(&mut self) {
+    fn release_permit(&mut self) {
         if !self.may_have_run() {
             self.permit = None;
         }
     }
 }
 
-impl Drop for Record {
+impl Drop for ExecutionRecord {
     fn drop(&mut self) {
         let may_have_run = self.may_have_run();
         if let Some(permit) = self.permit.take().filter(|_| may_have_run) {
--- a/src/runner/proxy/driver.rs
+++ b/src/runner/proxy/driver.rs
@@ -11,15 +11,15 @@
 use local_sync::mpsc::unbounded::Rx;
 use local_sync::oneshot;
 
-use super::exchange::Exchange;
-use super::work::Work;
+use super::active_request::ActiveRequest;
+use super::exchange::ShareExchange;
 use super::{Dump, Message, Submission};
 use crate::clock::{Clock, Instant};
 use crate::runner::attempt::{self, Outcome};
-use crate::runner::link::{Answer, Call, Fault, Link};
-use crate::runner::peer::{Ended, Peers};
+use crate::runner::peer::{ForwardOutcome, PeerTransport};
 use crate::runner::request::{self, Request};
-use crate::runner::share::{Grant, Terms};
+use crate::runner::share::{LeaseDurations, ShareResponse};
+use crate::runner::transport::{Answer, Call, Fault, RunnerTransport};
 use crate::runner::{Effect, Router};
 
 /// Time that a passed-on request may take beyond its deadline before it counts as lost.
@@ -28,43 +28,43 @@
 /// The task of one instance.
 pub struct Driver {
     pub(super) router: Router,
-    pub(super) exchange: Exchange,
-    pub(super) peers: Rc<dyn Peers>,
+    pub(super) exchange: ShareExchange,
+    pub(super) peers: Rc<dyn PeerTransport>,
     pub(super) clock: Rc<dyn Clock>,
-    pub(super) calls: FuturesUnordered<LocalBoxFuture<'static, Done>>,
-    link: Rc<dyn Link>,
+    pub(super) calls: FuturesUnordered<LocalBoxFuture<'static, Completion>>,
+    transport: Rc<dyn RunnerTransport>,
     inbox: Rx<Message>,
-    works: HashMap<request::Id, Work>,
+    active: HashMap<request::Id, ActiveRequest>,
     run: u64,
     serial: u64,
     drains: Vec<oneshot::Sender<()>>,
 }
 
 /// The end of a call to a runner or a peer.
-pub(super) enum Done {
+pub(super) enum Completion {
     Attempt { id: attempt::Id, request: request::Id, outcome: Outcome, answer: Option<Answer> },
-    Shares(Option<Grant>),
+    Shares(Option<ShareResponse>),
 }
 
 impl Driver {
     pub(super) fn new(
         router: Router,
-        terms: Terms,
+        durations: LeaseDurations,
         run: u64,
-        link: Rc<dyn Link>,
-        peers: Rc<dyn Peers>,
+        transport: Rc<dyn RunnerTransport>,
+        peers: Rc<dyn PeerTransport>,
         clock: Rc<dyn Clock>,
         inbox: Rx<Message>,
     ) -> Self {
         Self {
             router,
-            exchange: Exchange::new(terms),
+            exchange: ShareExchange::new(durations),
             peers,
             clock,
             calls: FuturesUnordered::new(),
-            link,
+            transport,
             inbox,
-            works: HashMap::new(),
+            active: HashMap::new(),
             run,
             serial: 0,
             drains: Vec::new(),
@@ -74,10 +74,10 @@
     /// Runs until every handle is gone and every request taken has been answered.
     pub async fn run(mut self) {
         let mut open = true;
-        while open || self.works.values().any(Work::is_owed) {
+        while open || self.active.values().any(ActiveRequest::is_awaited) {
             open = self.step(open).await;
             self.exchange_shares();
-            self.end_drains();
+            self.complete_drains();
         }
     }
 
@@ -126,15 +126,15 @@
                 self.carry_out(effects);
             }
             Message::Role(role) => self.exchange.set_role(role, now),
-            Message::Keep(ask, reply) => {
+            Message::GrantShares(request, reply) => {
                 // Whoever asked may have gone.
-                let _ = reply.send(self.exchange.keep(&ask, now));
+                let _ = reply.send(self.exchange.grant_shares(&request, now));
             }
             Message::Drain(reply) => {
                 self.router.drain();
                 self.drains.push(reply);
             }
-            Message::Observe(reply) => {
+            Message::Dump(reply) => {
                 let _ = reply.send(Dump::of(&self.router, now));
             }
         }
@@ -151,28 +151,28 @@
             deadline: now.after(submission.call.budget),
             forwarded: submission.forwarded,
         };
-        self.works.insert(id, Work::new(submission));
+        self.active.insert(id, ActiveRequest::new(submission));
         let effects = self.router.submit(request, now);
         self.carry_out(effects);
     }
 
-    fn end(&mut self, done: Done, now: Instant) {
+    fn end(&mut self, done: Completion, now: Instant) {
         let (id, request, outcome, answer) = match done {
-            Done::Attempt { id, request, outcome, answer } => (id, request, outcome, answer),
-            Done::Shares(grant) => {
-                let effects = self.exchange.end(&mut self.router, grant, now);
+            Completion::Attempt { id, request, outcome, answer } => (id, request, outcome, answer),
+            Completion::Shares(response) => {
+                let effects = self.exchange.finish(&mut self.router, response, now);
                 return self.carry_out(effects);
             }
         };
-        if let Some(work) = self.works.get_mut(&request) {
+        if let Some(active_request) = self.active.get_mut(&request) {
             match outcome {
-                Outcome::NotSent | Outcome::Refused { .. } => work.end_unsent(),
-                _ => work.end_sent(id, answer),
+                Outcome::NotSent | Outcome::Refused { .. } => active_request.end_not_sent(),
+                _ => active_request.end_sent(id, answer),
             }
         }
         let effects = self.router.finish(id, outcome, now);
         self.carry_out(effects);
-        self.forget(request);
+        self.remove_finished(request);
     }
 
     pub(super) fn carry_out(&mut self, effects: Vec<Effect>) {
@@ -184,11 +184,11 @@
                 Effect::Forward { attempt, request, peer, budget } => {
                     self.forward(attempt, request, peer, budget);
                 }
-                Effect::Answer { request, verdict } => {
-                    if let Some(work) = self.works.get_mut(&request) {
-                        work.answer(request, verdict);
+                Effect::Answer { request, outcome } => {
+                    if let Some(active_request) = self.active.get_mut(&request) {
+                        active_request.answer(request, outcome);
                     }
-                    self.forget(request);
+                    self.remove_finished(request);
                 }
             }
         }
@@ -202,19 +202,19 @@
         budget: Duration,
         timeout: Duration,
     ) {
-        let Some(work) = self.works.get_mut(&request) else { return };
-        work.begin();
-        let call = Call { budget, ..(*work.call).clone() };
-        let link = Rc::clone(&self.link);
+        let Some(active_request) = self.active.get_mut(&request) else { return };
+        active_request.count_attempt();
+        let call = Call { budget, ..(*active_request.call).clone() };
+        let transport = Rc::clone(&self.transport);
         let attempt = async move {
-            let (outcome, answer) = match link.call(peer, &call, timeout).await {
-                Ok(answer) => whole(answer),
+            let (outcome, answer) = match transport.call(peer, &call, timeout).await {
+                Ok(answer) => complete(answer),
                 Err(error) => {
                     log::debug!("event=runner.call_failed request={request} {error}");
                     (outcome_of(&error.fault), None)
                 }
             };
-            Done::Attempt { id, request, outcome, answer }
+            Completion::Attempt { id, request, outcome, answer }
         };
         self.calls.push(attempt.boxed_local());
     }
@@ -226,31 +226,33 @@
         peer: SocketAddr,
         budget: Duration,
     ) {
-        let Some(work) = self.works.get_mut(&request) else { return };
-        work.begin();
-        let call = Call { budget, ..(*work.call).clone() };
-        let (peers, effect) = (Rc::clone(&self.peers), work.effect);
+        let Some(active_request) = self.active.get_mut(&request) else { return };
+        active_request.count_attempt();
+        let call = Call { budget, ..(*active_request.call).clone() };
+        let (peers, effect) = (Rc::clone(&self.peers), active_request.effect);
         let attempt = async move {
             let ended = peers.run(peer, &call, effect, budget + FORWARD_SLACK).await;
             let (outcome, answer) = match ended {
-                Ok(Ended::Whole(answer)) => whole(answer),
-                Ok(Ended::NotRun { retry_after }) => (Outcome::Refused { retry_after }, None),
-                Ok(Ended::Unknown) => (Outcome::Broken, None),
+                Ok(ForwardOutcome::Complete(answer)) => complete(answer),
+                Ok(ForwardOutcome::NotRun { retry_after }) => {
+                    (Outcome::Refused { retry_after }, None)
+                }
+                Ok(ForwardOutcome::Unknown) => (Outcome::Broken, None),
                 Err(fault) => (outcome_of(&fault), None),
             };
-            Done::Attempt { id, request, outcome, answer }
+            Completion::Attempt { id, request, outcome, answer }
         };
         self.calls.push(attempt.boxed_local());
     }
 
-    fn forget(&mut self, id: request::Id) {
-        if self.works.get(&id).is_some_and(Work::is_over) {
-            self.works.remove(&id);
+    fn remove_finished(&mut self, id: request::Id) {
+        if self.active.get(&id).is_some_and(ActiveRequest::is_finished) {
+            self.active.remove(&id);
         }
     }
 
-    fn end_drains(&mut self) {
-        if self.drains.is_empty() || self.works.values().any(Work::is_owed) {
+    fn complete_drains(&mut self) {
+        if self.drains.is_empty() || self.active.values().any(ActiveRequest::is_awaited) {
             return;
         }
         for drained in self.drains.drain(..) {
@@ -260,8 +262,8 @@
 }
 
 /// A whole answer, which may still say that the runner failed.
-fn whole(answer: Answer) -> (Outcome, Option<Answer>) {
-    (Outcome::Whole { failed: answer.status >= 500 }, Some(answer))
+fn complete(answer: Answer) -> (Outcome, Option<Answer>) {
+    (Outcome::Complete { failed: answer.status >= 500 }, Some(answer))
 }
 
 fn outcome_of(fault: &Fault) -> Outcome {
--- a/src/runner/proxy/dump.rs
+++ b/src/runner/proxy/dump.rs
@@ -4,9 +4,9 @@
 
 use crate::clock::Instant;
 use crate::runner::Router;
-use crate::runner::health::Standing;
+use crate::runner::health::HealthState;
 use crate::runner::service::Service;
-use crate::runner::share::Holder;
+use crate::runner::share::LocalSlots;
 use crate::runner::upstream::Upstream;
 
 /// State of request routing at one instance.
@@ -77,11 +77,11 @@
     }
 }
 
-fn dump(runner: &Upstream, shares: &Holder, now: Instant) -> RunnerDump {
-    let standing = match runner.health.standing(now) {
-        Standing::Good => "good",
-        Standing::Probation => "probation",
-        Standing::Ejected(_) => "ejected",
+fn dump(runner: &Upstream, shares: &LocalSlots, now: Instant) -> RunnerDump {
+    let standing = match runner.health.state(now) {
+        HealthState::Healthy => "good",
+        HealthState::Probation => "probation",
+        HealthState::Ejected(_) => "ejected",
     };
     RunnerDump {
         name: runner.name.to_string(),
--- a/src/runner/proxy/exchange.rs
+++ b/src/runner/proxy/exchange.rs
@@ -7,9 +7,9 @@
 use futures_util::FutureExt;
 
 use super::Role;
-use super::driver::{Done, Driver};
+use super::driver::{Completion, Driver};
 use crate::clock::Instant;
-use crate::runner::share::{Ask, Grant, Keeper, Ledger, Terms};
+use crate::runner::share::{CoordinatorId, LeaseDurations, Ledger, ShareRequest, ShareResponse};
 use crate::runner::{Effect, Router};
 use crate::telemetry::names;
 
@@ -21,18 +21,18 @@
 const TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Who keeps the shares, and the ledger when it is this instance.
-pub(super) struct Exchange {
-    terms: Terms,
+pub(super) struct ShareExchange {
+    durations: LeaseDurations,
     role: Role,
     ledger: Option<Ledger>,
     next: Instant,
-    is_out: bool,
+    in_flight: bool,
 }
 
-impl Exchange {
-    pub(super) fn new(terms: Terms) -> Self {
+impl ShareExchange {
+    pub(super) fn new(durations: LeaseDurations) -> Self {
         let next = Instant::default();
-        Self { terms, role: Role::Unknown, ledger: None, next, is_out: false }
+        Self { durations, role: Role::Unknown, ledger: None, next, in_flight: false }
     }
 
     pub(super) fn next(&self) -> Instant {
@@ -46,30 +46,34 @@
         self.role = role;
         self.next = now;
         self.ledger = match role {
-            Role::Owner(keeper) => Some(Ledger::new(keeper, self.terms)),
+            Role::Owner(coordinator) => Some(Ledger::new(coordinator, self.durations)),
             Role::Follower(..) | Role::Unknown => None,
         };
     }
 
-    pub(super) fn keep(&mut self, ask: &Ask, now: Instant) -> Option<Grant> {
-        self.ledger.as_mut()?.ask(ask, now)
+    pub(super) fn grant_shares(
+        &mut self,
+        request: &ShareRequest,
+        now: Instant,
+    ) -> Option<ShareResponse> {
+        self.ledger.as_mut()?.handle(request, now)
     }
 
-    pub(super) fn end(
+    pub(super) fn finish(
         &mut self,
         router: &mut Router,
-        grant: Option<Grant>,
+        response: Option<ShareResponse>,
         now: Instant,
     ) -> Vec<Effect> {
-        self.is_out = false;
-        grant.map(|grant| router.granted(&grant, now)).unwrap_or_default()
+        self.in_flight = false;
+        response.map(|response| router.apply_response(&response, now)).unwrap_or_default()
     }
 
-    fn keeper(&self) -> Option<(Keeper, Option<SocketAddr>)> {
+    fn coordinator(&self) -> Option<(CoordinatorId, Option<SocketAddr>)> {
         match self.role {
             Role::Unknown => None,
-            Role::Follower(keeper, peer) => Some((keeper, Some(peer))),
-            Role::Owner(keeper) => Some((keeper, None)),
+            Role::Follower(coordinator, peer) => Some((coordinator, Some(peer))),
+            Role::Owner(coordinator) => Some((coordinator, None)),
         }
     }
 
@@ -79,7 +83,7 @@
             return false;
         }
         self.next = now.after(INTERVAL);
-        !self.is_out
+        !self.in_flight
     }
 }
 
@@ -90,32 +94,33 @@
         if !self.exchange.is_due(now) {
             return;
         }
-        self.show_waiting();
-        let Some((keeper, peer)) = self.exchange.keeper() else { return };
-        let ask = self.router.ask(keeper, now);
-        if ask.lines.is_empty() {
+        self.report_waiting();
+        let Some((coordinator, peer)) = self.exchange.coordinator() else { return };
+        let request = self.router.build_share_request(coordinator, now);
+        if request.runners.is_empty() {
             self.exchange.next = now.after(QUIET_INTERVAL);
         }
         match peer {
-            Some(peer) => self.call_keeper(peer, ask),
+            Some(peer) => self.call_coordinator(peer, request),
             None => {
-                let grant = self.exchange.keep(&ask, now);
-                let effects = self.exchange.end(&mut self.router, grant, now);
+                let response = self.exchange.grant_shares(&request, now);
+                let effects = self.exchange.finish(&mut self.router, response, now);
                 self.carry_out(effects);
             }
         }
     }
 
-    fn show_waiting(&self) {
+    fn report_waiting(&self) {
         let services = self.router.services().values();
         let waiting: usize = services.map(|service| service.queue.len()).sum();
         names::REQUESTS_WAITING.set(waiting as f64, &[]);
     }
 
-    fn call_keeper(&mut self, peer: SocketAddr, ask: Ask) {
-        self.exchange.is_out = true;
+    fn call_coordinator(&mut self, peer: SocketAddr, request: ShareRequest) {
+        self.exchange.in_flight = true;
         let peers = Rc::clone(&self.peers);
-        let call = async move { Done::Shares(peers.ask(peer, &ask, TIMEOUT).await) };
+        let call =
+            async move { Completion::Shares(peers.request_shares(peer, &request, TIMEOUT).await) };
         self.calls.push(call.boxed_local());
     }
 }
--- a/src/runner/proxy/mod.rs
+++ b/src/runner/proxy/mod.rs
@@ -9,10 +9,12 @@
 use local_sync::oneshot;
 
 use super::handler::Access;
-use super::link::{Answer, Call, Link};
-use super::peer::Peers;
-use super::request::{self, Doubt, Refusal};
-use super::share::{Ask, Grant, Holder, Keeper, Position, Terms};
+use super::peer::PeerTransport;
+use super::request::{self, Refusal, UnknownCause};
+use super::share::{
+    CoordinatorId, LeaseDurations, LocalSlots, Position, ShareRequest, ShareResponse,
+};
+use super::transport::{Answer, Call, RunnerTransport};
 use super::{Policy, Router};
 use crate::clock::Clock;
 use crate::domain;
@@ -21,10 +23,10 @@
 use crate::membership::Member;
 use crate::telemetry::names;
 
+mod active_request;
 mod driver;
 mod dump;
 mod exchange;
-mod work;
 
 pub use driver::Driver;
 pub use dump::{Dump, RunnerDump, ServiceDump};
@@ -35,16 +37,16 @@
     /// No owner is known: each instance uses what it owns.
     Unknown,
     /// The owner at this peer address keeps the shares.
-    Follower(Keeper, SocketAddr),
+    Follower(CoordinatorId, SocketAddr),
     /// This instance is the owner.
-    Owner(Keeper),
+    Owner(CoordinatorId),
 }
 
 /// The end of a request, with its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// The runner's whole answer.
-    Whole(Answer),
+    Complete(Answer),
     /// Nothing reached a runner, and nothing will.
     NotRun {
         /// Why.
@@ -57,7 +59,7 @@
         /// Identity under which the runner knows it.
         id: request::Id,
         /// Why.
-        doubt: Doubt,
+        cause: UnknownCause,
         /// When a further try makes sense.
         retry_after: Duration,
     },
@@ -67,7 +69,7 @@
     /// Its kind, for metrics.
     const fn outcome(&self) -> &'static str {
         match self {
-            Self::Whole(_) => "whole",
+            Self::Complete(_) => "whole",
             Self::NotRun { .. } => "not_run",
             Self::Unknown { .. } => "unknown",
         }
@@ -76,7 +78,7 @@
 
 /// A request that another failure domain passed on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Passed {
+pub struct ForwardedRequest {
     /// Service addressed.
     pub service: String,
     /// Whether a second run does harm.
@@ -99,13 +101,13 @@
     pub position: Position,
     /// Random number of the process.
     pub run: u64,
-    /// Time for which its own slots rest after the start; see [`Holder::new`]. The loan span when
+    /// Time for which its own slots rest after the start; see [`LocalSlots::new`]. The loan span when
     /// none is given.
-    pub rest: Option<Duration>,
+    pub warm_up: Option<Duration>,
     /// Way to runners.
-    pub link: Rc<dyn Link>,
+    pub transport: Rc<dyn RunnerTransport>,
     /// Way to other entry instances.
-    pub peers: Rc<dyn Peers>,
+    pub peers: Rc<dyn PeerTransport>,
     /// Time.
     pub clock: Rc<dyn Clock>,
     /// Record of at-most-once work; without it such work is refused.
@@ -117,7 +119,7 @@
 /// Handle to the request routing of one instance.
 #[derive(Clone)]
 pub struct Proxy {
-    home: Tx<Message>,
+    sender: Tx<Message>,
     guard: Option<Guard>,
     access: Rc<Access>,
     clock: Rc<dyn Clock>,
@@ -128,9 +130,9 @@
     Submit(Submission),
     Members(Vec<Member>),
     Role(Role),
-    Keep(Ask, oneshot::Sender<Option<Grant>>),
+    GrantShares(ShareRequest, oneshot::Sender<Option<ShareResponse>>),
     Drain(oneshot::Sender<()>),
-    Observe(oneshot::Sender<Dump>),
+    Dump(oneshot::Sender<Dump>),
 }
 
 /// A request on its way to the task.
@@ -145,38 +147,39 @@
 impl Proxy {
     /// Builds a handle and the task behind it.
     pub fn new(options: Options) -> (Self, Driver) {
-        let (home, inbox) = unbounded::channel();
-        let Options { policy, domain, position, run, rest, .. } = options;
-        let Options { link, peers, clock, guard, access, .. } = options;
-        let terms = Terms::for_run_limit(policy.run_limit);
-        let usable_from = clock.now().after(rest.unwrap_or(terms.loan));
-        let holder = Holder::new(position, run, terms, usable_from);
-        let router = Router::new(policy, domain, holder, run);
-        let driver = Driver::new(router, terms, run, link, peers, Rc::clone(&clock), inbox);
-        (Self { home, guard, access: Rc::new(access), clock }, driver)
+        let (sender, inbox) = unbounded::channel();
+        let Options { policy, domain, position, run, warm_up, .. } = options;
+        let Options { transport, peers, clock, guard, access, .. } = options;
+        let durations = LeaseDurations::for_run_limit(policy.run_limit);
+        let usable_from = clock.now().after(warm_up.unwrap_or(durations.loan));
+        let local_slots = LocalSlots::new(position, run, durations, usable_from);
+        let router = Router::new(policy, domain, local_slots, run);
+        let driver =
+            Driver::new(router, durations, run, transport, peers, Rc::clone(&clock), inbox);
+        (Self { sender, guard, access: Rc::new(access), clock }, driver)
     }
 
     /// Takes in the list of instances as it is now believed.
     pub fn set_members(&self, members: Vec<Member>) {
-        self.tell(Message::Members(members));
+        self.send(Message::Members(members));
     }
 
     /// Takes in who keeps the shares of the domain's runners.
     pub fn set_role(&self, role: Role) {
-        self.tell(Message::Role(role));
+        self.send(Message::Role(role));
     }
 
     /// Answers a call for shares as the domain's keeper; `None` when this instance is not the
     /// keeper or a later call of the same instance came first.
-    pub async fn keep(&self, ask: Ask) -> Option<Grant> {
+    pub async fn grant_shares(&self, request: ShareRequest) -> Option<ShareResponse> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Keep(ask, reply));
+        self.send(Message::GrantShares(request, reply));
         answer.await.ok().flatten()
     }
 
     /// Answers a request that another domain passed on; the other domain keeps its record.
-    pub async fn run_passed(&self, passed: Passed) -> Reply {
-        let Passed { service, effect, content_type, body, budget } = passed;
+    pub async fn run_forwarded(&self, forwarded: ForwardedRequest) -> Reply {
+        let ForwardedRequest { service, effect, content_type, body, budget } = forwarded;
         let call = Call { id: request::Id::from_raw(0), service, content_type, body, budget };
         self.submit(call, effect, true, None).await
     }
@@ -190,14 +193,14 @@
     /// Refuses new requests from now on and returns once every request taken has been answered.
     pub async fn drain(&self) {
         let (reply, drained) = oneshot::channel();
-        self.tell(Message::Drain(reply));
+        self.send(Message::Drain(reply));
         let _ = drained.await;
     }
 
     /// The state of the task; `None` when it has ended.
     pub async fn dump(&self) -> Option<Dump> {
         let (reply, dump) = oneshot::channel();
-        self.tell(Message::Observe(reply));
+        self.send(Message::Dump(reply));
         dump.await.ok()
     }
 
@@ -225,7 +228,7 @@
     ) -> Reply {
         let (reply, answer) = oneshot::channel();
         let arrived = self.clock.now();
-        self.tell(Message::Submit(Submission { call, effect, forwarded, permit, reply }));
+        self.send(Message::Submit(Submission { call, effect, forwarded, permit, reply }));
         // Without a task the message is dropped, and with it the permit: nothing ran.
         let ended =
             Reply::NotRun { refusal: Refusal::ShuttingDown, retry_after: Duration::from_secs(1) };
@@ -235,8 +238,8 @@
         reply
     }
 
-    fn tell(&self, message: Message) {
+    fn send(&self, message: Message) {
         // A task that has ended answers nobody; each caller above says what that means.
-        let _ = self.home.send(message);
+        let _ = self.sender.send(message);
     }
 }
--- a/src/runner/request.rs
+++ b/src/runner/request.rs
@@ -66,7 +66,7 @@
 
 /// Why nothing is known of a request that was sent.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Doubt {
+pub enum UnknownCause {
     /// The deadline passed before a whole answer came.
     #[display("deadline passed")]
     Deadline,
@@ -77,9 +77,9 @@
 
 /// The end of a request, told to its caller once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RequestOutcome {
     /// The whole answer that this attempt received.
-    Whole(attempt::Id),
+    Complete(attempt::Id),
     /// Nothing was sent, and nothing will be.
     NotRun {
         /// Why.
@@ -90,7 +90,7 @@
     /// A runner may have worked on it, or still does.
     Unknown {
         /// Why.
-        doubt: Doubt,
+        cause: UnknownCause,
         /// When a further try makes sense.
         retry_after: Duration,
     },
--- a/src/runner/router/way.rs
+++ b/src/runner/router/dispatch.rs
@@ -8,36 +8,36 @@
 use crate::clock::Instant;
 use crate::runner::attempt::{self, Target};
 use crate::runner::queue::Entry;
-use crate::runner::request::{self, Doubt, Refusal, Verdict};
+use crate::runner::request::{self, Refusal, RequestOutcome, UnknownCause};
 use crate::runner::router::pending::Pending;
 use crate::runner::router::{Effect, MIN_RETRY_AFTER, Router, Timer};
 use crate::runner::upstream::Upstream;
 
 impl Router {
     /// Starts, passes on, queues or refuses a request that has no attempt.
-    pub(super) fn place(&mut self, id: request::Id, now: Instant) {
+    pub(super) fn route(&mut self, id: request::Id, now: Instant) {
         let Some(pending) = self.pending.get(&id) else { return };
-        let left = pending.request.deadline.since(now);
+        let remaining = pending.request.deadline.since(now);
         let Some(service) = self.services.get(&pending.request.service) else {
-            return self.give_up(id, Refusal::NoRunner, MIN_RETRY_AFTER);
+            return self.end_unanswered(id, Refusal::NoRunner, MIN_RETRY_AFTER);
         };
-        if self.draining && pending.tries == 0 {
-            return self.give_up(id, Refusal::ShuttingDown, MIN_RETRY_AFTER);
+        if self.draining && pending.attempts == 0 {
+            return self.end_unanswered(id, Refusal::ShuttingDown, MIN_RETRY_AFTER);
         }
-        if left.is_zero() {
-            return self.give_up(id, Refusal::Deadline, MIN_RETRY_AFTER);
+        if remaining.is_zero() {
+            return self.end_unanswered(id, Refusal::Deadline, MIN_RETRY_AFTER);
         }
         let slots = service.slots(&self.shares, now);
         if slots == 0 {
-            return self.pass_on(id, now);
+            return self.forward_or_end(id, now);
         }
         if service.queue.is_empty() && self.start(id, now) {
-            return self.note_empty(id, now);
+            return self.mark_queue_empty(id, now);
         }
         self.enqueue(id, slots, now);
     }
 
-    fn note_empty(&mut self, id: request::Id, now: Instant) {
+    fn mark_queue_empty(&mut self, id: request::Id, now: Instant) {
         if let Some(service) = self.service_of(id) {
             service.last_empty = now;
         }
@@ -52,14 +52,14 @@
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let Some(service) = self.services.get_mut(&pending.request.service) else { return };
         let deadline = pending.request.deadline;
-        let latest = deadline.before(service.safe_latency());
+        let latest = deadline.before(service.deadline_latency());
         let due = latest.min(pending.submitted.after(self.policy.queue_burst));
         let ahead = service.queue.ahead_of(due);
-        let left = deadline.since(now);
-        if let Some(refusal) = service.refusal(&self.policy, ahead, slots, left, now) {
+        let remaining = deadline.since(now);
+        if let Some(refusal) = service.queue_refusal(&self.policy, ahead, slots, remaining, now) {
             service.demand.overloaded = true;
-            let retry_after = service.wait(service.queue.len(), slots);
-            return self.spill(id, refusal, retry_after, now);
+            let retry_after = service.expected_wait(service.queue.len(), slots);
+            return self.forward_overflow(id, refusal, retry_after, now);
         }
         pending.queued = Some(due);
         service.queue.push(Entry { due, id, deadline });
@@ -70,18 +70,24 @@
         let Some(pending) = self.pending.get_mut(&id) else { return false };
         let Some(service) = self.services.get_mut(&pending.request.service) else { return false };
         let idempotent = pending.is_idempotent();
-        let chosen = service.choose(&self.shares, &pending.tried, idempotent, now, &mut self.rng);
+        let chosen = service.choose_runner(
+            &self.shares,
+            &pending.tried_runners,
+            idempotent,
+            now,
+            &mut self.rng,
+        );
         let Some(index) = chosen else { return false };
         let runner = &mut service.runners[index];
-        if !self.shares.start(runner.slots, now) {
+        if !self.shares.acquire(runner.slots, now) {
             return false;
         }
         self.next_attempt += 1;
         let attempt = attempt::Id::from_raw(self.next_attempt);
-        runner.waiting.insert((now, attempt));
+        runner.unanswered.insert((now, attempt));
         service.demand.in_flight += 1;
         pending.add_attempt(attempt);
-        pending.tried.push(runner.name.clone());
+        pending.tried_runners.push(runner.name.clone());
         let target = Target::Runner { name: runner.name.clone(), slots: runner.slots };
         self.attempts.insert(attempt, pending.attempt(target, now));
         self.effects.push(Effect::Send {
@@ -92,17 +98,17 @@
             timeout: self.policy.run_limit,
         });
         if let Some(p95) = service.latency.p95().filter(|_| idempotent && !pending.hedged) {
-            let at = now.after(p95.max(self.policy.hedge_floor));
+            let at = now.after(p95.max(self.policy.min_hedge_delay));
             self.timers.push(Reverse((at, Timer::Hedge(id))));
         }
         true
     }
 
     /// Passes a request on to another domain because the own one has no usable runner.
-    fn pass_on(&mut self, id: request::Id, now: Instant) {
+    fn forward_or_end(&mut self, id: request::Id, now: Instant) {
         let warming = self.shares.usable_from().since(now);
         if !self.forward(id, now) {
-            self.give_up(id, Refusal::NoRunner, warming);
+            self.end_unanswered(id, Refusal::NoRunner, warming);
         }
     }
 
@@ -110,9 +116,15 @@
     ///
     /// Where every domain is overloaded, the first refusal of another one stops this for a while,
     /// so that it adds next to nothing to their load.
-    fn spill(&mut self, id: request::Id, refusal: Refusal, retry_after: Duration, now: Instant) {
+    fn forward_overflow(
+        &mut self,
+        id: request::Id,
+        refusal: Refusal,
+        retry_after: Duration,
+        now: Instant,
+    ) {
         if !self.forward(id, now) {
-            self.give_up(id, refusal, retry_after);
+            self.end_unanswered(id, refusal, retry_after);
         }
     }
 
@@ -142,13 +154,13 @@
     pub(super) fn hedge(&mut self, id: request::Id, now: Instant) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let Some(service) = self.services.get_mut(&pending.request.service) else { return };
-        let alone = pending.live.len() == 1 && pending.tries < self.policy.tries;
+        let may_hedge = pending.in_flight.len() == 1 && pending.attempts < self.policy.max_attempts;
         // While requests wait, a hedge would take the slot of one of them.
-        if !alone || pending.hedged || !service.queue.is_empty() || self.draining {
+        if !may_hedge || pending.hedged || !service.queue.is_empty() || self.draining {
             return;
         }
         let elsewhere = |runner: &Upstream| {
-            !pending.tried.contains(&runner.name) && runner.accepts(&self.shares, true, now)
+            !pending.tried_runners.contains(&runner.name) && runner.accepts(&self.shares, true, now)
         };
         if service.runners.iter().any(elsewhere) && service.hedges.spend() {
             pending.hedged = true;
@@ -164,9 +176,9 @@
                 service.last_empty = now;
                 break;
             };
-            if first.deadline.since(now) < service.safe_latency() {
+            if first.deadline.since(now) < service.deadline_latency() {
                 service.demand.overloaded = true;
-                self.give_up(first.id, Refusal::Deadline, MIN_RETRY_AFTER);
+                self.end_unanswered(first.id, Refusal::Deadline, MIN_RETRY_AFTER);
                 continue;
             }
             if !self.start(first.id, now) {
@@ -193,31 +205,34 @@
     ///
     /// "Not run" is said only when no attempt ever sent a byte; an earlier attempt that broke off
     /// makes it unknown, and an earlier whole answer that reports a fault is better than either.
-    pub(super) fn give_up(&mut self, id: request::Id, refusal: Refusal, wait: Duration) {
-        let retry_after = self.spread(wait);
+    pub(super) fn end_unanswered(&mut self, id: request::Id, refusal: Refusal, delay: Duration) {
+        let retry_after = self.with_jitter(delay);
         self.unqueue(id);
         let Some(pending) = self.pending.remove(&id) else { return };
-        let verdict = match pending.failed_answer {
-            Some(attempt) => Verdict::Whole(attempt),
-            None if pending.may_have_run || !pending.live.is_empty() => {
-                let doubt =
-                    if refusal == Refusal::Deadline { Doubt::Deadline } else { Doubt::Broken };
-                Verdict::Unknown { doubt, retry_after }
+        let outcome = match pending.failed_answer {
+            Some(attempt) => RequestOutcome::Complete(attempt),
+            None if pending.may_have_run || !pending.in_flight.is_empty() => {
+                let cause = if refusal == Refusal::Deadline {
+                    UnknownCause::Deadline
+                } else {
+                    UnknownCause::Broken
+                };
+                RequestOutcome::Unknown { cause, retry_after }
             }
-            None => Verdict::NotRun { refusal, retry_after },
+            None => RequestOutcome::NotRun { refusal, retry_after },
         };
-        self.effects.push(Effect::Answer { request: id, verdict });
+        self.effects.push(Effect::Answer { request: id, outcome });
     }
 
     /// Spreads the return of refused callers, who else would all come back at once.
-    pub(super) fn spread(&mut self, wait: Duration) -> Duration {
-        wait.max(MIN_RETRY_AFTER).mul_f64(self.rng.random_range(1.0..2.0))
+    pub(super) fn with_jitter(&mut self, delay: Duration) -> Duration {
+        delay.max(MIN_RETRY_AFTER).mul_f64(self.rng.random_range(1.0..2.0))
     }
 
-    pub(super) fn pass_deadline(&mut self, id: request::Id, now: Instant) {
-        let is_over = |pending: &&Pending| pending.request.deadline <= now;
-        if self.pending.get(&id).filter(is_over).is_some() {
-            self.give_up(id, Refusal::Deadline, MIN_RETRY_AFTER);
+    pub(super) fn expire(&mut self, id: request::Id, now: Instant) {
+        let is_expired = |pending: &&Pending| pending.request.deadline <= now;
+        if self.pending.get(&id).filter(is_expired).is_some() {
+            self.end_unanswered(id, Refusal::Deadline, MIN_RETRY_AFTER);
         }
     }
 }
--- a/src/runner/router/members.rs
+++ b/src/runner/router/members.rs
@@ -21,7 +21,7 @@
         // Each instance opens at most as many connections as it may hold slots in all, so that
         // the instances together stay within the runner's connections whatever their shares are.
         let count = self.shares.position().count.max(1);
-        let slots = self.shares.admit(&name, (*slots).min(connections / count));
+        let slots = self.shares.add_runner(&name, (*slots).min(connections / count));
         let service =
             self.services.entry(service.clone()).or_insert_with(|| Service::new(&self.policy));
         if service.runner(&name).is_none() {
@@ -49,13 +49,13 @@
         }
     }
 
-    pub(super) fn forget_gone(&mut self) {
+    pub(super) fn remove_unlisted(&mut self) {
         for service in self.services.values_mut() {
             for runner in service.runners.iter().filter(|runner| runner.state.is_none()) {
-                self.shares.retire(runner.slots);
+                self.shares.remove_runner(runner.slots);
             }
             let is_needed =
-                |runner: &Upstream| runner.state.is_some() || !runner.waiting.is_empty();
+                |runner: &Upstream| runner.state.is_some() || !runner.unanswered.is_empty();
             service.runners.retain(is_needed);
             service.remotes.retain(|remote| !remote.entries.is_empty() || remote.outstanding > 0);
         }
--- a/src/runner/router/mod.rs
+++ b/src/runner/router/mod.rs
@@ -1,10 +1,10 @@
 //! The decisions on quick requests, as a state machine without sockets or clock.
 
+mod dispatch;
 mod members;
 mod outcome;
 mod pending;
 mod review;
-mod way;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -18,20 +18,20 @@
 use crate::domain;
 use crate::membership::Member;
 use crate::runner::attempt::{self, Attempt, Outcome, Target};
-use crate::runner::request::{Request, Verdict};
+use crate::runner::request::{Request, RequestOutcome};
 use crate::runner::router::pending::Pending;
 use crate::runner::service::Service;
-use crate::runner::share::{Ask, Grant, Handle, Holder, Keeper};
+use crate::runner::share::{CoordinatorId, Handle, LocalSlots, ShareRequest, ShareResponse};
 use crate::runner::{Policy, request};
 
 /// Time between two looks at queues and at slow runners.
-const REVIEW: Duration = Duration::from_millis(100);
+const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
 /// The same while there is no request.
-const IDLE_REVIEW: Duration = Duration::from_secs(1);
+const IDLE_REVIEW_INTERVAL: Duration = Duration::from_secs(1);
 /// Shortest time after which a refused caller is told to come back.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// Time for which a domain that could not be reached or refused gets no requests.
-const REMOTE_PAUSE: Duration = Duration::from_secs(1);
+const REMOTE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Something to be done for the router.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -65,7 +65,7 @@
         /// The request.
         request: request::Id,
         /// How it ended.
-        verdict: Verdict,
+        outcome: RequestOutcome,
     },
 }
 
@@ -74,14 +74,14 @@
 enum Timer {
     Deadline(request::Id),
     Hedge(request::Id),
-    DoubtOver(attempt::Id),
+    RunLimit(attempt::Id),
 }
 
 /// Routing state of one entry instance.
 pub struct Router {
     policy: Policy,
     domain: domain::Name,
-    shares: Holder,
+    shares: LocalSlots,
     services: BTreeMap<String, Service>,
     pending: HashMap<request::Id, Pending>,
     attempts: HashMap<attempt::Id, Attempt>,
@@ -95,7 +95,7 @@
 
 impl Router {
     /// Creates the router of an instance of `domain`; `seed` decides its random choices.
-    pub fn new(policy: Policy, domain: domain::Name, shares: Holder, seed: u64) -> Self {
+    pub fn new(policy: Policy, domain: domain::Name, shares: LocalSlots, seed: u64) -> Self {
         Self {
             policy,
             domain,
@@ -123,7 +123,7 @@
             self.set_runner(member);
         }
         self.set_remotes(members);
-        self.forget_gone();
+        self.remove_unlisted();
         self.dispatch_all(now);
         self.take_effects()
     }
@@ -131,7 +131,7 @@
     /// Takes in a request and starts, queues, passes on or refuses it.
     pub fn submit(&mut self, request: Request, now: Instant) -> Vec<Effect> {
         let id = request.id;
-        self.next_review = self.next_review.min(now.after(REVIEW));
+        self.next_review = self.next_review.min(now.after(REVIEW_INTERVAL));
         self.timers.push(Reverse((request.deadline, Timer::Deadline(id))));
         self.pending.insert(id, Pending::new(request, now));
         if let Some(service) = self.service_of(id) {
@@ -140,23 +140,26 @@
             let load = service.load();
             service.demand.sample(load);
         }
-        self.place(id, now);
+        self.route(id, now);
         self.take_effects()
     }
 
     /// Takes in the end of an attempt.
     pub fn finish(&mut self, id: attempt::Id, outcome: Outcome, now: Instant) -> Vec<Effect> {
-        let Some(attempt) = self.attempts.get(&id).filter(|attempt| !attempt.in_doubt).cloned()
+        let Some(attempt) =
+            self.attempts.get(&id).filter(|attempt| !attempt.outcome_unknown).cloned()
         else {
             return Vec::new();
         };
         match &attempt.target {
             Target::Runner { name, slots } => {
-                self.settle_runner(id, &attempt, name, *slots, outcome, now)
+                self.record_runner_outcome(id, &attempt, name, *slots, outcome, now)
+            }
+            Target::Domain(domain) => {
+                self.record_remote_outcome(id, &attempt, domain, outcome, now)
             }
-            Target::Domain(domain) => self.settle_remote(id, &attempt, domain, outcome, now),
         }
-        self.settle_request(id, attempt.request, outcome, now);
+        self.apply_outcome(id, attempt.request, outcome, now);
         self.dispatch(&attempt.service, now);
         self.take_effects()
     }
@@ -169,14 +172,15 @@
             }
             self.timers.pop();
             match timer {
-                Timer::Deadline(id) => self.pass_deadline(id, now),
+                Timer::Deadline(id) => self.expire(id, now),
                 Timer::Hedge(id) => self.hedge(id, now),
-                Timer::DoubtOver(id) => self.end_doubt(id, now),
+                Timer::RunLimit(id) => self.release_after_run_limit(id, now),
             }
         }
         if self.next_review <= now {
             let is_idle = self.pending.is_empty();
-            self.next_review = now.after(if is_idle { IDLE_REVIEW } else { REVIEW });
+            self.next_review =
+                now.after(if is_idle { IDLE_REVIEW_INTERVAL } else { REVIEW_INTERVAL });
             self.review(now);
         }
         self.take_effects()
@@ -199,27 +203,31 @@
     }
 
     /// Builds the next call to the keeper of shares.
-    pub fn ask(&mut self, keeper: Keeper, now: Instant) -> Ask {
+    pub fn build_share_request(
+        &mut self,
+        coordinator: CoordinatorId,
+        now: Instant,
+    ) -> ShareRequest {
         let mut demand: HashMap<Handle, u32> = HashMap::new();
         for service in self.services.values_mut() {
             demand.extend(service.take_demand(&self.shares));
         }
         let draining = self.draining;
-        self.shares.ask(keeper, now, |runner| {
+        self.shares.build_request(coordinator, now, |runner| {
             if draining { 0 } else { demand.get(&runner).copied().unwrap_or(0) }
         })
     }
 
     /// Takes in the keeper's answer.
-    pub fn granted(&mut self, grant: &Grant, now: Instant) -> Vec<Effect> {
-        if self.shares.granted(grant, now) {
+    pub fn apply_response(&mut self, response: &ShareResponse, now: Instant) -> Vec<Effect> {
+        if self.shares.apply_response(response, now) {
             self.dispatch_all(now);
         }
         self.take_effects()
     }
 
     /// Slots that this instance may use.
-    pub fn shares(&self) -> &Holder {
+    pub fn shares(&self) -> &LocalSlots {
         &self.shares
     }
 
--- a/src/runner/router/outcome.rs
+++ b/src/runner/router/outcome.rs
@@ -7,12 +7,12 @@
 use crate::domain;
 use crate::runner::Name;
 use crate::runner::attempt::{self, Attempt, Outcome, Target};
-use crate::runner::request::{self, Refusal, Verdict};
-use crate::runner::router::{Effect, REMOTE_PAUSE, Router, Timer};
+use crate::runner::request::{self, Refusal, RequestOutcome};
+use crate::runner::router::{Effect, REMOTE_BACKOFF, Router, Timer};
 use crate::runner::share::Handle;
 
 impl Router {
-    pub(super) fn settle_runner(
+    pub(super) fn record_runner_outcome(
         &mut self,
         id: attempt::Id,
         attempt: &Attempt,
@@ -21,22 +21,23 @@
         outcome: Outcome,
         now: Instant,
     ) {
-        self.release(id, attempt.started, slots, outcome);
+        self.release_slot(id, attempt.started, slots, outcome);
         let Some(service) = self.services.get_mut(&attempt.service) else { return };
         let can_eject = service.can_eject(&self.policy, now);
         let latency = now.since(attempt.started);
-        let is_good = outcome == Outcome::Whole { failed: false };
+        let is_good = outcome == Outcome::Complete { failed: false };
         if is_good {
             service.latency.record(latency);
         }
         let Some(runner) = service.runner(name) else { return };
-        runner.waiting.remove(&(attempt.started, id));
+        runner.unanswered.remove(&(attempt.started, id));
         if is_good {
-            return runner.health.succeeded(latency, now);
+            return runner.health.record_success(latency, now);
         }
         // An answer to another request shows a runner that mixes up its callers: no second chance
         // before it has been out of use for a while.
-        let is_bad = runner.health.failed(&self.policy, now) || outcome == Outcome::Mismatched;
+        let is_bad =
+            runner.health.record_failure(&self.policy, now) || outcome == Outcome::Mismatched;
         if is_bad && can_eject && !runner.health.is_ejected(now) {
             let until = runner.health.eject(&self.policy, now);
             log::warn!(
@@ -48,7 +49,7 @@
 
     /// Frees the slot, unless the runner may still work on the request: then the slot stays taken
     /// until the run limit has passed, or two requests would share it.
-    pub(super) fn release(
+    pub(super) fn release_slot(
         &mut self,
         id: attempt::Id,
         started: Instant,
@@ -57,9 +58,9 @@
     ) {
         if matches!(outcome, Outcome::Broken | Outcome::Mismatched) {
             let over = started.after(self.policy.run_limit);
-            self.timers.push(Reverse((over, Timer::DoubtOver(id))));
+            self.timers.push(Reverse((over, Timer::RunLimit(id))));
             if let Some(attempt) = self.attempts.get_mut(&id) {
-                attempt.in_doubt = true;
+                attempt.outcome_unknown = true;
             }
             return;
         }
@@ -68,13 +69,13 @@
     }
 
     fn free(&mut self, service: &str, slots: Handle) {
-        self.shares.end(slots);
+        self.shares.release(slots);
         if let Some(service) = self.services.get_mut(service) {
             service.demand.in_flight = service.demand.in_flight.saturating_sub(1);
         }
     }
 
-    pub(super) fn end_doubt(&mut self, id: attempt::Id, now: Instant) {
+    pub(super) fn release_after_run_limit(&mut self, id: attempt::Id, now: Instant) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         if let Target::Runner { slots, .. } = &attempt.target {
             self.free(&attempt.service, *slots);
@@ -82,7 +83,7 @@
         self.dispatch(&attempt.service, now);
     }
 
-    pub(super) fn settle_remote(
+    pub(super) fn record_remote_outcome(
         &mut self,
         id: attempt::Id,
         attempt: &Attempt,
@@ -98,14 +99,14 @@
         };
         remote.outstanding = remote.outstanding.saturating_sub(1);
         let pause = match outcome {
-            Outcome::Whole { .. } => Duration::ZERO,
-            Outcome::Refused { retry_after } => retry_after.min(REMOTE_PAUSE),
-            Outcome::NotSent | Outcome::Broken | Outcome::Mismatched => REMOTE_PAUSE,
+            Outcome::Complete { .. } => Duration::ZERO,
+            Outcome::Refused { retry_after } => retry_after.min(REMOTE_BACKOFF),
+            Outcome::NotSent | Outcome::Broken | Outcome::Mismatched => REMOTE_BACKOFF,
         };
         remote.blocked_until = remote.blocked_until.max(now.after(pause));
     }
 
-    pub(super) fn settle_request(
+    pub(super) fn apply_outcome(
         &mut self,
         id: attempt::Id,
         request: request::Id,
@@ -114,17 +115,17 @@
     ) {
         // A late answer to a request that has had its verdict ends here and reaches no one.
         let Some(pending) = self.pending.get_mut(&request) else { return };
-        pending.live.retain(|live| *live != id);
+        pending.in_flight.retain(|other| *other != id);
         match outcome {
-            Outcome::Whole { failed: false } => return self.answer_whole(request, id),
-            Outcome::Whole { failed: true } => {
+            Outcome::Complete { failed: false } => return self.answer_whole(request, id),
+            Outcome::Complete { failed: true } => {
                 pending.may_have_run = true;
                 pending.failed_answer = Some(id);
             }
             Outcome::Broken | Outcome::Mismatched => pending.may_have_run = true,
             Outcome::NotSent | Outcome::Refused { .. } => {}
         }
-        if pending.live.is_empty() {
+        if pending.in_flight.is_empty() {
             let refusal = match outcome {
                 Outcome::Refused { .. } => Refusal::Overloaded,
                 _ => Refusal::Unreachable,
@@ -135,8 +136,8 @@
 
     pub(super) fn answer_whole(&mut self, request: request::Id, attempt: attempt::Id) {
         self.pending.remove(&request);
-        let verdict = Verdict::Whole(attempt);
-        self.effects.push(Effect::Answer { request, verdict });
+        let outcome = RequestOutcome::Complete(attempt);
+        self.effects.push(Effect::Answer { request, outcome });
     }
 
     /// Tries again where that can do no harm and the budget allows it, else ends the request at
@@ -144,12 +145,12 @@
     fn retry(&mut self, id: request::Id, refusal: Refusal, now: Instant) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let Some(service) = self.services.get_mut(&pending.request.service) else { return };
-        let harmless = pending.is_idempotent() || !pending.may_have_run;
-        let tries_left = pending.tries < self.policy.tries;
-        if harmless && tries_left && service.retries.spend() {
-            return self.place(id, now);
+        let safe_to_retry = pending.is_idempotent() || !pending.may_have_run;
+        let attempts_left = pending.attempts < self.policy.max_attempts;
+        if safe_to_retry && attempts_left && service.retries.spend() {
+            return self.route(id, now);
         }
-        let wait = service.usual_latency();
-        self.give_up(id, refusal, wait);
+        let delay = service.mean_latency();
+        self.end_unanswered(id, refusal, delay);
     }
 }
--- a/src/runner/router/pending.rs
+++ b/src/runner/router/pending.rs
@@ -12,9 +12,9 @@
 pub struct Pending {
     pub request: Request,
     pub submitted: Instant,
-    pub live: Vec<attempt::Id>,
-    pub tries: usize,
-    pub tried: Vec<Name>,
+    pub in_flight: Vec<attempt::Id>,
+    pub attempts: usize,
+    pub tried_runners: Vec<Name>,
     pub tried_domains: Vec<domain::Name>,
     pub hedged: bool,
     /// Its place in the queue, while it waits there.
@@ -28,9 +28,9 @@
         Self {
             request,
             submitted,
-            live: Vec::new(),
-            tries: 0,
-            tried: Vec::new(),
+            in_flight: Vec::new(),
+            attempts: 0,
+            tried_runners: Vec::new(),
             tried_domains: Vec::new(),
             hedged: false,
             queued: None,
@@ -44,8 +44,8 @@
     }
 
     pub fn add_attempt(&mut self, id: attempt::Id) {
-        self.live.push(id);
-        self.tries += 1;
+        self.in_flight.push(id);
+        self.attempts += 1;
     }
 
     pub fn attempt(&self, target: Target, now: Instant) -> Attempt {
@@ -54,7 +54,7 @@
             service: self.request.service.clone(),
             target,
             started: now,
-            in_doubt: false,
+            outcome_unknown: false,
         }
     }
 }
--- a/src/runner/router/review.rs
+++ b/src/runner/router/review.rs
@@ -9,7 +9,7 @@
         let names: Vec<String> = self.services.keys().cloned().collect();
         for name in &names {
             self.eject_slow(name, now);
-            self.refuse_hopeless(name, now);
+            self.refuse_late(name, now);
             self.dispatch(name, now);
         }
     }
@@ -31,32 +31,32 @@
     }
 
     /// Refuses what waits and can no longer be in time, so that its caller need not wait as well.
-    pub(super) fn refuse_hopeless(&mut self, name: &str, now: Instant) {
+    pub(super) fn refuse_late(&mut self, name: &str, now: Instant) {
         let Some(service) = self.services.get(name) else { return };
         let slots = service.slots(&self.shares, now);
         if slots == 0 {
-            return self.place_again(name, now);
+            return self.reroute_queued(name, now);
         }
-        let latency = service.safe_latency();
-        let mut hopeless = Vec::new();
+        let latency = service.deadline_latency();
+        let mut late = Vec::new();
         for (index, entry) in service.queue.iter().enumerate() {
-            let wait = service.wait(index - hopeless.len(), slots);
-            if wait + latency > entry.deadline.since(now) {
-                hopeless.push(entry.id);
+            let expected_wait = service.expected_wait(index - late.len(), slots);
+            if expected_wait + latency > entry.deadline.since(now) {
+                late.push(entry.id);
             }
         }
-        for id in hopeless {
-            self.give_up(id, Refusal::Deadline, MIN_RETRY_AFTER);
+        for id in late {
+            self.end_unanswered(id, Refusal::Deadline, MIN_RETRY_AFTER);
         }
     }
 
     /// Finds another way for what waits once the domain has no usable runner left.
-    pub(super) fn place_again(&mut self, name: &str, now: Instant) {
+    pub(super) fn reroute_queued(&mut self, name: &str, now: Instant) {
         let Some(service) = self.services.get(name) else { return };
         let waiting: Vec<request::Id> = service.queue.iter().map(|entry| entry.id).collect();
         for id in waiting {
             self.unqueue(id);
-            self.place(id, now);
+            self.route(id, now);
         }
     }
 }
--- a/src/runner/service.rs
+++ b/src/runner/service.rs
@@ -9,11 +9,11 @@
 use crate::clock::{Instant, millis};
 use crate::domain;
 use crate::runner::budget::Budget;
-use crate::runner::demand::{Demand, Slots};
+use crate::runner::demand::{Demand, RunnerSlots};
 use crate::runner::latency::Window;
 use crate::runner::queue::Queue;
 use crate::runner::request::Refusal;
-use crate::runner::share::{Handle, Holder};
+use crate::runner::share::{Handle, LocalSlots};
 use crate::runner::upstream::Upstream;
 use crate::runner::{Name, Policy};
 
@@ -59,8 +59,8 @@
             remotes: Vec::new(),
             queue: Queue::default(),
             latency: Window::default(),
-            retries: Budget::new(policy.retry_ratio, policy.burst),
-            hedges: Budget::new(policy.hedge_ratio, policy.burst),
+            retries: Budget::new(policy.retry_ratio, policy.budget_burst),
+            hedges: Budget::new(policy.hedge_ratio, policy.budget_burst),
             demand: Demand::default(),
             last_empty: Instant::default(),
         }
@@ -72,7 +72,7 @@
     }
 
     /// Slots that requests of this instance may hold at usable runners.
-    pub fn slots(&self, shares: &Holder, now: Instant) -> u32 {
+    pub fn slots(&self, shares: &LocalSlots, now: Instant) -> u32 {
         let usable = self.runners.iter().filter(|runner| runner.is_usable(now));
         usable.map(|runner| shares.allowance(runner.slots, now)).sum()
     }
@@ -80,19 +80,19 @@
     /// Chooses the cheaper of two random runners that can start a request now.
     ///
     /// Runners in `tried` come last: a retry goes elsewhere while there is an elsewhere.
-    pub fn choose(
+    pub fn choose_runner(
         &self,
-        shares: &Holder,
+        shares: &LocalSlots,
         tried: &[Name],
         idempotent: bool,
         now: Instant,
         rng: &mut SmallRng,
     ) -> Option<usize> {
         let accepts = |index: &usize| self.runners[*index].accepts(shares, idempotent, now);
-        let open: Vec<usize> = (0..self.runners.len()).filter(accepts).collect();
+        let available: Vec<usize> = (0..self.runners.len()).filter(accepts).collect();
         let is_fresh = |index: &usize| !tried.contains(&self.runners[*index].name);
-        let fresh: Vec<usize> = open.iter().copied().filter(is_fresh).collect();
-        let candidates = if fresh.is_empty() { open } else { fresh };
+        let fresh: Vec<usize> = available.iter().copied().filter(is_fresh).collect();
+        let candidates = if fresh.is_empty() { available } else { fresh };
         let cost = |index: usize| self.runners[index].cost(shares, self.latency.mean(), now);
         match candidates.len() {
             0 => None,
@@ -118,18 +118,18 @@
         if outstanding >= policy.forward_limit {
             return None;
         }
-        let open = self.remotes.iter().enumerate().filter(|(_, remote)| {
+        let available = self.remotes.iter().enumerate().filter(|(_, remote)| {
             remote.blocked_until <= now
                 && !remote.entries.is_empty()
                 && !tried.contains(&remote.domain)
         });
-        let (index, remote) = open.min_by_key(|(_, remote)| remote.outstanding)?;
+        let (index, remote) = available.min_by_key(|(_, remote)| remote.outstanding)?;
         let entry = remote.entries[rng.random_range(0..remote.entries.len())];
         Some((index, entry))
     }
 
     /// Expected wait behind `ahead` requests when no slot is free.
-    pub fn wait(&self, ahead: usize, slots: u32) -> Duration {
+    pub fn expected_wait(&self, ahead: usize, slots: u32) -> Duration {
         let turns = (ahead + 1) as f64 / f64::from(slots.max(1));
         Duration::from_secs_f64(turns * self.latency.mean() / 1000.0)
     }
@@ -138,43 +138,44 @@
     ///
     /// A burst may wait its turn. A queue that stands only delays every request in it and answers
     /// no more of them, and is kept short.
-    pub fn refusal(
+    pub fn queue_refusal(
         &self,
         policy: &Policy,
         ahead: usize,
         slots: u32,
-        left: Duration,
+        remaining: Duration,
         now: Instant,
     ) -> Option<Refusal> {
-        let is_standing = now.since(self.last_empty) > policy.burst_span;
+        let is_standing = now.since(self.last_empty) > policy.burst_window;
         let target = if is_standing { policy.queue_target } else { policy.queue_burst };
         // One that goes to the front holds back the others, so that the whole queue counts here.
-        let longest = self.wait(self.queue.len(), slots);
+        let longest = self.expected_wait(self.queue.len(), slots);
         if self.queue.len() >= policy.queue_length || longest > target {
             return Some(Refusal::Overloaded);
         }
-        (self.wait(ahead, slots) + self.safe_latency() > left).then_some(Refusal::Deadline)
+        (self.expected_wait(ahead, slots) + self.deadline_latency() > remaining)
+            .then_some(Refusal::Deadline)
     }
 
     /// Whether one more runner may be ejected without giving up too many.
     pub fn can_eject(&self, policy: &Policy, now: Instant) -> bool {
         let live = self.runners.iter().filter(|runner| runner.is_live()).count();
         let ejected = self.runners.iter().filter(|runner| runner.health.is_ejected(now)).count();
-        (ejected + 1) as f64 <= live as f64 * policy.ejected_part
+        (ejected + 1) as f64 <= live as f64 * policy.max_ejected_fraction
     }
 
     /// Runners whose latency is far above the median of their kind.
     pub fn slow_runners(&self, policy: &Policy, now: Instant) -> Vec<usize> {
         let usable = self.runners.iter().filter(|runner| runner.is_usable(now));
-        let mut settled: Vec<f64> =
-            usable.filter_map(|runner| runner.health.settled_latency()).collect();
-        if settled.len() < 3 {
+        let mut latencies: Vec<f64> =
+            usable.filter_map(|runner| runner.health.measured_latency()).collect();
+        if latencies.len() < 3 {
             return Vec::new();
         }
-        settled.sort_by(f64::total_cmp);
-        let bound = settled[settled.len() / 2] * policy.slow_ratio;
+        latencies.sort_by(f64::total_cmp);
+        let bound = latencies[latencies.len() / 2] * policy.slow_ratio;
         let is_slow = |runner: &Upstream| {
-            let latency = runner.health.settled_latency();
+            let latency = runner.health.measured_latency();
             runner.is_usable(now) && latency.is_some_and(|latency| latency > bound)
         };
         (0..self.runners.len()).filter(|index| is_slow(&self.runners[*index])).collect()
@@ -182,10 +183,11 @@
 
     /// Slots of each runner that this instance needs, for the exchange with the keeper; starts a
     /// new measurement.
-    pub fn take_demand(&mut self, shares: &Holder) -> Vec<(Handle, u32)> {
+    pub fn take_demand(&mut self, shares: &LocalSlots) -> Vec<(Handle, u32)> {
         let live: Vec<&Upstream> = self.runners.iter().filter(|runner| runner.is_live()).collect();
-        let slots: Vec<Slots> = live.iter().map(|runner| Slots::of(runner.slots, shares)).collect();
-        self.demand.take(slots)
+        let slots: Vec<RunnerSlots> =
+            live.iter().map(|runner| RunnerSlots::of(runner.slots, shares)).collect();
+        self.demand.distribute(slots)
     }
 
     /// Requests that hold or want a slot.
@@ -194,18 +196,18 @@
     }
 
     /// Latency within which most answers come: what a request needs to its deadline.
-    pub fn safe_latency(&self) -> Duration {
-        self.latency.p95().unwrap_or_else(|| self.usual_latency())
+    pub fn deadline_latency(&self) -> Duration {
+        self.latency.p95().unwrap_or_else(|| self.mean_latency())
     }
 
     /// Smoothed latency in whole milliseconds.
-    pub fn usual_latency(&self) -> Duration {
+    pub fn mean_latency(&self) -> Duration {
         Duration::from_millis(self.latency.mean().ceil() as u64)
     }
 
     /// Age of the oldest unanswered attempt, in milliseconds.
     pub fn oldest_attempt(&self, now: Instant) -> u64 {
-        let oldest = self.runners.iter().filter_map(|runner| runner.waiting.first());
+        let oldest = self.runners.iter().filter_map(|runner| runner.unanswered.first());
         oldest.map(|(started, _)| millis(now.since(*started))).max().unwrap_or(0)
     }
 }
--- a/src/runner/share/ledger.rs
+++ b/src/runner/share/ledger.rs
@@ -4,112 +4,135 @@
 
 use crate::clock::Instant;
 use crate::runner::Name;
-use crate::runner::share::{Ask, Grant, Keeper, Need, Party, Share, Stamp, Terms};
+use crate::runner::share::{
+    CoordinatorId, LeaseDurations, ParticipantId, ShareRequest, ShareResponse, SlotGrant,
+    SlotRequest, Timestamp,
+};
 
 /// Loans and grants of one keeper.
 ///
 /// At every future moment, grants that may still be in use never exceed loans still running.
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    keeper: Keeper,
-    terms: Terms,
-    seen: BTreeMap<Party, u64>,
+    coordinator: CoordinatorId,
+    durations: LeaseDurations,
+    seen: BTreeMap<ParticipantId, u64>,
     pools: BTreeMap<Name, Pool>,
 }
 
 /// An amount that holds until a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Hold {
+struct TimedAmount {
     amount: u32,
     until: Instant,
 }
 
 /// A wish, kept for as long as its party goes on calling.
 #[derive(Clone, Copy, Debug)]
-struct Want {
+struct WantedSlots {
     amount: u32,
     until: Instant,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Pool {
-    loans: BTreeMap<Party, Vec<Hold>>,
-    grants: BTreeMap<Party, Vec<Hold>>,
-    wants: BTreeMap<Party, Want>,
+    loans: BTreeMap<ParticipantId, Vec<TimedAmount>>,
+    grants: BTreeMap<ParticipantId, Vec<TimedAmount>>,
+    wants: BTreeMap<ParticipantId, WantedSlots>,
 }
 
 impl Ledger {
     /// Creates the empty ledger of a new keeper. It needs no knowledge of earlier ones: what was
     /// lent to them is lent to no one else until the loan is over.
-    pub fn new(keeper: Keeper, terms: Terms) -> Self {
-        Self { keeper, terms, seen: BTreeMap::new(), pools: BTreeMap::new() }
+    pub fn new(coordinator: CoordinatorId, durations: LeaseDurations) -> Self {
+        Self { coordinator, durations, seen: BTreeMap::new(), pools: BTreeMap::new() }
     }
 
     /// Whose ledger it is.
-    pub fn keeper(&self) -> Keeper {
-        self.keeper
+    pub fn coordinator(&self) -> CoordinatorId {
+        self.coordinator
     }
 
     /// Answers a call; `None` when a later call of the same party came first.
-    pub fn ask(&mut self, ask: &Ask, now: Instant) -> Option<Grant> {
-        let seen = self.seen.entry(ask.party).or_default();
-        if ask.sequence <= *seen {
+    pub fn handle(&mut self, request: &ShareRequest, now: Instant) -> Option<ShareResponse> {
+        let seen = self.seen.entry(request.participant).or_default();
+        if request.sequence <= *seen {
             return None;
         }
-        *seen = ask.sequence;
-        let stamp = Stamp { keeper: self.keeper, at: now };
-        let known = ask.stamp.filter(|echo| echo.keeper == self.keeper && echo.at <= now);
-        let lines = known.map_or_else(Vec::new, |echo| self.settle(ask, echo.at, now));
-        Some(Grant { sequence: ask.sequence, stamp, lines })
+        *seen = request.sequence;
+        let timestamp = Timestamp { coordinator: self.coordinator, at: now };
+        let known =
+            request.timestamp.filter(|echo| echo.coordinator == self.coordinator && echo.at <= now);
+        let runners = known.map_or_else(Vec::new, |echo| self.settle(request, echo.at, now));
+        Some(ShareResponse { sequence: request.sequence, timestamp, runners })
     }
 
-    fn settle(&mut self, ask: &Ask, stamp: Instant, now: Instant) -> Vec<Share> {
-        for need in &ask.lines {
-            self.pools.entry(need.runner.clone()).or_default();
+    fn settle(
+        &mut self,
+        request: &ShareRequest,
+        timestamp: Instant,
+        now: Instant,
+    ) -> Vec<SlotGrant> {
+        for slot_request in &request.runners {
+            self.pools.entry(slot_request.runner.clone()).or_default();
         }
-        let needs: BTreeMap<&Name, &Need> =
-            ask.lines.iter().map(|need| (&need.runner, need)).collect();
-        let mut shares = Vec::new();
+        let slot_requests: BTreeMap<&Name, &SlotRequest> = request
+            .runners
+            .iter()
+            .map(|slot_request| (&slot_request.runner, slot_request))
+            .collect();
+        let mut slot_grants = Vec::new();
         for (runner, pool) in &mut self.pools {
             pool.expire(now);
-            let none = Need { runner: runner.clone(), lend: 0, holding: 0, want: 0 };
-            let need = needs.get(runner).copied().unwrap_or(&none);
-            shares.extend(pool.settle(ask.party, need, stamp, &self.terms, now));
+            let none = SlotRequest { runner: runner.clone(), lend: 0, holding: 0, want: 0 };
+            let slot_request = slot_requests.get(runner).copied().unwrap_or(&none);
+            slot_grants.extend(pool.settle(
+                request.participant,
+                slot_request,
+                timestamp,
+                &self.durations,
+                now,
+            ));
         }
         self.pools.retain(|_, pool| !pool.is_empty());
-        shares
+        slot_grants
     }
 }
 
 impl Pool {
     fn settle(
         &mut self,
-        party: Party,
-        need: &Need,
-        stamp: Instant,
-        terms: &Terms,
+        participant: ParticipantId,
+        slot_request: &SlotRequest,
+        timestamp: Instant,
+        durations: &LeaseDurations,
         now: Instant,
-    ) -> Option<Share> {
-        self.give_back(party, need.holding);
-        let lent = self.lend(party, need.lend, stamp.after(terms.loan));
-        let until = now.after(terms.lease + terms.lease);
-        self.set_want(party, need.want, until);
-        let borrowed = self.grant(party, need.want, terms.grant_end(now));
-        let called = self.called(party);
-        let concerns = lent > 0 || borrowed > 0 || called > 0;
-        concerns.then(|| Share { runner: need.runner.clone(), lent, borrowed, called })
+    ) -> Option<SlotGrant> {
+        self.return_grants(participant, slot_request.holding);
+        let lent = self.lend(participant, slot_request.lend, timestamp.after(durations.loan));
+        let until = now.after(durations.lease + durations.lease);
+        self.set_want(participant, slot_request.want, until);
+        let borrowed = self.grant(participant, slot_request.want, durations.grant_end(now));
+        let wanted_by_others = self.wanted_by_others(participant);
+        let concerns = lent > 0 || borrowed > 0 || wanted_by_others > 0;
+        concerns.then(|| SlotGrant {
+            runner: slot_request.runner.clone(),
+            lent,
+            borrowed,
+            wanted_by_others,
+        })
     }
 
     /// The party holds no more than it says, because it voids every answer before this one.
-    fn give_back(&mut self, party: Party, holding: u32) {
-        if let Some(grants) = self.grants.get_mut(&party) {
+    fn return_grants(&mut self, participant: ParticipantId, holding: u32) {
+        if let Some(grants) = self.grants.get_mut(&participant) {
             cap(grants, holding);
         }
     }
 
     /// Takes a loan, and returns of an earlier larger one whatever no grant rests on.
-    fn lend(&mut self, party: Party, amount: u32, until: Instant) -> u32 {
-        let mut earlier = self.loans.remove(&party).unwrap_or_default();
+    fn lend(&mut self, participant: ParticipantId, amount: u32, until: Instant) -> u32 {
+        let mut earlier = self.loans.remove(&participant).unwrap_or_default();
         // What is being called back covers the grants that stand, and no later one.
         let grants = self.grants.values().flatten();
         let last = grants.map(|grant| grant.until).max().unwrap_or_default();
@@ -118,9 +141,9 @@
         for kept in amount..=largest.max(amount) {
             let mut loans = earlier.clone();
             cap(&mut loans, kept);
-            loans.push(Hold { amount, until });
+            loans.push(TimedAmount { amount, until });
             loans.retain(|loan| loan.amount > 0);
-            self.loans.insert(party, loans);
+            self.loans.insert(participant, loans);
             if self.is_covered() {
                 return kept;
             }
@@ -128,23 +151,23 @@
         largest.max(amount)
     }
 
-    fn set_want(&mut self, party: Party, amount: u32, until: Instant) {
+    fn set_want(&mut self, participant: ParticipantId, amount: u32, until: Instant) {
         if amount == 0 {
-            self.wants.remove(&party);
+            self.wants.remove(&participant);
         } else {
-            self.wants.insert(party, Want { amount, until });
+            self.wants.insert(participant, WantedSlots { amount, until });
         }
     }
 
     /// Grants as much of `want` as the loans cover until `until`, and no more than a fair part.
-    fn grant(&mut self, party: Party, want: u32, until: Instant) -> u32 {
-        let held = self.grants.remove(&party).unwrap_or_default();
-        let fair = self.fair_part(party, want, until);
+    fn grant(&mut self, participant: ParticipantId, want: u32, until: Instant) -> u32 {
+        let held = self.grants.remove(&participant).unwrap_or_default();
+        let fair = self.fair_part(participant, want, until);
         for amount in (0..=fair).rev() {
             let mut grants = held.clone();
-            grants.push(Hold { amount, until });
+            grants.push(TimedAmount { amount, until });
             grants.retain(|grant| grant.amount > 0);
-            self.grants.insert(party, grants);
+            self.grants.insert(participant, grants);
             if self.is_covered() {
                 return amount;
             }
@@ -153,15 +176,15 @@
     }
 
     /// Max-min fair division of what is lent until `until` among all that want.
-    fn fair_part(&self, party: Party, want: u32, until: Instant) -> u32 {
+    fn fair_part(&self, participant: ParticipantId, want: u32, until: Instant) -> u32 {
         let mut left = total_at(&self.loans, until);
-        let mut wants: Vec<(u32, Party)> =
-            self.wants.iter().map(|(party, want)| (want.amount, *party)).collect();
+        let mut wants: Vec<(u32, ParticipantId)> =
+            self.wants.iter().map(|(participant, want)| (want.amount, *participant)).collect();
         wants.sort_unstable();
         let mut waiting = u32::try_from(wants.len()).unwrap_or(u32::MAX);
         for (amount, other) in wants {
             let part = amount.min(left.div_ceil(waiting.max(1)));
-            if other == party {
+            if other == participant {
                 return part;
             }
             left -= part.min(left);
@@ -170,8 +193,8 @@
         want.min(left)
     }
 
-    fn called(&self, party: Party) -> u32 {
-        let others = self.wants.iter().filter(|(other, _)| **other != party);
+    fn wanted_by_others(&self, participant: ParticipantId) -> u32 {
+        let others = self.wants.iter().filter(|(other, _)| **other != participant);
         others.map(|(_, want)| want.amount).sum()
     }
 
@@ -184,9 +207,9 @@
     }
 
     fn expire(&mut self, now: Instant) {
-        for holds in [&mut self.loans, &mut self.grants] {
-            holds.values_mut().for_each(|holds| holds.retain(|hold| now < hold.until));
-            holds.retain(|_, holds| !holds.is_empty());
+        for participants in [&mut self.loans, &mut self.grants] {
+            participants.values_mut().for_each(|entries| entries.retain(|entry| now < entry.until));
+            participants.retain(|_, entries| !entries.is_empty());
         }
         self.wants.retain(|_, want| now < want.until);
     }
@@ -196,16 +219,16 @@
     }
 }
 
-fn cap(holds: &mut Vec<Hold>, amount: u32) {
-    holds.iter_mut().for_each(|hold| hold.amount = hold.amount.min(amount));
-    holds.retain(|hold| hold.amount > 0);
+fn cap(entries: &mut Vec<TimedAmount>, amount: u32) {
+    entries.iter_mut().for_each(|entry| entry.amount = entry.amount.min(amount));
+    entries.retain(|entry| entry.amount > 0);
 }
 
-/// Sum over all parties of the largest amount that still holds at `moment`.
-fn total_at(holds: &BTreeMap<Party, Vec<Hold>>, moment: Instant) -> u32 {
-    let largest = |holds: &Vec<Hold>| {
-        let running = holds.iter().filter(|hold| moment <= hold.until);
-        running.map(|hold| hold.amount).max().unwrap_or(0)
+/// Sum over all participants of the largest amount that still holds at `moment`.
+fn total_at(entries: &BTreeMap<ParticipantId, Vec<TimedAmount>>, moment: Instant) -> u32 {
+    let largest = |entries: &Vec<TimedAmount>| {
+        let running = entries.iter().filter(|entry| moment <= entry.until);
+        running.map(|entry| entry.amount).max().unwrap_or(0)
     };
-    holds.values().map(largest).sum()
+    entries.values().map(largest).sum()
 }
--- a/src/runner/share/mod.rs
+++ b/src/runner/share/mod.rs
@@ -15,11 +15,11 @@
 //! - a restarted process does not use its entitlement until everything that its predecessor may
 //!   have lent or sent is over.
 
-mod holder;
 mod ledger;
+mod local_slots;
 
-pub use holder::{Handle, Holder};
 pub use ledger::Ledger;
+pub use local_slots::{Handle, LocalSlots};
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
 
 impl Position {
     /// The only instance of its domain.
-    pub const ALONE: Self = Self { index: 0, count: 1 };
+    pub const SINGLE: Self = Self { index: 0, count: 1 };
 
     /// Slots of a runner that belong to this position. Over all positions they add up to `limit`.
     ///
@@ -55,14 +55,14 @@
         // The odd slots go to other positions for other runners, so that no position has less.
         let hash = xxhash_rust::xxh3::xxh3_64(runner.as_str().as_bytes());
         let turn = (u64::from(self.index) + hash % u64::from(count)) % u64::from(count);
-        let odd = u64::from(limit % count);
-        limit / count + u32::from(turn < odd)
+        let remainder = u64::from(limit % count);
+        limit / count + u32::from(turn < remainder)
     }
 }
 
 /// Spans that every instance of a domain has to agree on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct LeaseDurations {
     /// Longest time for which a runner works on one request.
     pub run_limit: Duration,
     /// How long a borrower may start requests on a grant.
@@ -73,14 +73,14 @@
     pub margin: Duration,
 }
 
-impl Terms {
+impl LeaseDurations {
     /// Terms for a run limit, with leases that outlive a few lost exchanges.
     ///
     /// ```
-    /// use oriolefork::runner::share::Terms;
+    /// use oriolefork::runner::share::LeaseDurations;
     /// use std::time::Duration;
-    /// let terms = Terms::for_run_limit(Duration::from_secs(5));
-    /// assert!(terms.loan > terms.lease + terms.run_limit + terms.margin);
+    /// let durations = LeaseDurations::for_run_limit(Duration::from_secs(5));
+    /// assert!(durations.loan > durations.lease + durations.run_limit + durations.margin);
     /// ```
     pub fn for_run_limit(run_limit: Duration) -> Self {
         let lease = Duration::from_secs(2);
@@ -95,7 +95,7 @@
     }
 }
 
-impl Default for Terms {
+impl Default for LeaseDurations {
     fn default() -> Self {
         Self::for_run_limit(Duration::from_secs(5))
     }
@@ -104,7 +104,7 @@
 /// Identity of one keeper: the owner's epoch and the run of its process.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{epoch}/{run:x}")]
-pub struct Keeper {
+pub struct CoordinatorId {
     /// Epoch of the failure domain's owner.
     pub epoch: Epoch,
     /// Run of the owner's process.
@@ -114,7 +114,7 @@
 /// Identity of one lender or borrower.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{index}/{run:x}")]
-pub struct Party {
+pub struct ParticipantId {
     /// Index of its position.
     pub index: u32,
     /// Run of its process.
@@ -123,29 +123,29 @@
 
 /// A reading of a keeper's clock, meaningful to that keeper alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stamp {
+pub struct Timestamp {
     /// Whose clock.
-    pub keeper: Keeper,
+    pub coordinator: CoordinatorId,
     /// The reading.
     pub at: Instant,
 }
 
 /// What an instance tells the keeper, once per exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ShareRequest {
     /// Who asks.
-    pub party: Party,
+    pub participant: ParticipantId,
     /// Rises with every call of this party; a smaller one is void.
     pub sequence: u64,
     /// The keeper's last stamp; without it nothing is lent.
-    pub stamp: Option<Stamp>,
+    pub timestamp: Option<Timestamp>,
     /// One line a runner; a runner left out has nothing lent, held or wanted.
-    pub lines: Vec<Need>,
+    pub runners: Vec<SlotRequest>,
 }
 
 /// An instance's position on one runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Need {
+pub struct SlotRequest {
     /// The runner.
     pub runner: Name,
     /// Own slots lent to the keeper from now on.
@@ -158,18 +158,18 @@
 
 /// A keeper's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Grant {
+pub struct ShareResponse {
     /// Sequence of the call answered.
     pub sequence: u64,
     /// The keeper's clock, to be echoed in the next call.
-    pub stamp: Stamp,
+    pub timestamp: Timestamp,
     /// One line a runner that concerns the party.
-    pub lines: Vec<Share>,
+    pub runners: Vec<SlotGrant>,
 }
 
 /// What a keeper grants on one runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct SlotGrant {
     /// The runner.
     pub runner: Name,
     /// Slots of the party that the keeper still counts as lent.
@@ -177,5 +177,5 @@
     /// Slots that the party may borrow for one lease, counted from its call.
     pub borrowed: u32,
     /// Slots that others want in all.
-    pub called: u32,
+    pub wanted_by_others: u32,
 }
--- a/src/runner/link.rs
+++ b/src/runner/transport.rs
@@ -61,7 +61,7 @@
 }
 
 /// Way to reach runners.
-pub trait Link {
+pub trait RunnerTransport {
     /// Sends one call to the runner at `peer` and waits up to `timeout` for its whole answer.
     ///
     /// # Errors
--- a/src/runner/upstream.rs
+++ b/src/runner/upstream.rs
@@ -5,8 +5,8 @@
 
 use crate::clock::{Instant, millis};
 use crate::membership::State;
-use crate::runner::health::{Health, Standing};
-use crate::runner::share::{Handle, Holder};
+use crate::runner::health::{Health, HealthState};
+use crate::runner::share::{Handle, LocalSlots};
 use crate::runner::{Name, attempt};
 
 /// A runner of the own failure domain.
@@ -23,7 +23,7 @@
     /// What its answers say of it.
     pub health: Health,
     /// Attempts that wait for an answer, oldest first.
-    pub waiting: BTreeSet<(Instant, attempt::Id)>,
+    pub unanswered: BTreeSet<(Instant, attempt::Id)>,
 }
 
 impl Upstream {
@@ -35,7 +35,7 @@
             address,
             state: Some(State::Live),
             health: Health::default(),
-            waiting: BTreeSet::new(),
+            unanswered: BTreeSet::new(),
         }
     }
 
@@ -50,14 +50,14 @@
     }
 
     /// Whether a request can start here at `now`.
-    pub fn accepts(&self, shares: &Holder, idempotent: bool, now: Instant) -> bool {
+    pub fn accepts(&self, shares: &LocalSlots, idempotent: bool, now: Instant) -> bool {
         if !self.is_live() || shares.free(self.slots, now) == 0 {
             return false;
         }
-        match self.health.standing(now) {
-            Standing::Good => true,
-            Standing::Probation => idempotent && shares.in_use(self.slots) == 0,
-            Standing::Ejected(_) => false,
+        match self.health.state(now) {
+            HealthState::Healthy => true,
+            HealthState::Probation => idempotent && shares.in_use(self.slots) == 0,
+            HealthState::Ejected(_) => false,
         }
     }
 
@@ -65,10 +65,10 @@
     ///
     /// A runner that has stopped answering shows no bad latency. Its oldest unanswered attempt
     /// does, which is why the age of that one counts as soon as it is the larger.
-    pub fn cost(&self, shares: &Holder, usual: f64, now: Instant) -> f64 {
+    pub fn cost(&self, shares: &LocalSlots, usual: f64, now: Instant) -> f64 {
         let known = self.health.latency();
         let latency = if known > 0.0 { known } else { usual };
-        let oldest = self.waiting.first().map_or(0, |(started, _)| millis(now.since(*started)));
+        let oldest = self.unanswered.first().map_or(0, |(started, _)| millis(now.since(*started)));
         let slots = f64::from(shares.allowance(self.slots, now).max(1));
         let load = f64::from(shares.in_use(self.slots) + 1) / slots;
         load * latency.max(oldest as f64).max(1.0)
--- a/src/runner/wire.rs
+++ b/src/runner/wire.rs
@@ -6,16 +6,16 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use super::link::{Answer, Call};
 use super::proxy::Reply;
-use super::request::{Doubt, Refusal};
+use super::request::{Refusal, UnknownCause};
+use super::transport::{Answer, Call};
 use super::{Name, share};
 use crate::clock::{Instant, millis};
 use crate::domain::Epoch;
 use crate::job::Effect;
 
 /// Most runners that one message may speak of.
-const MAX_LINES: usize = 4096;
+const MAX_RUNNERS: usize = 4096;
 /// Most slots that one line may speak of.
 const MAX_SLOTS: u32 = 65_536;
 /// Longest retry time that is believed.
@@ -25,16 +25,16 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
     /// It speaks of too many runners.
-    #[display("more than {MAX_LINES} runners")]
-    Lines,
+    #[display("more than {MAX_RUNNERS} runners")]
+    TooManyRunners,
     /// It speaks of more slots than a runner can have.
     #[display("more than {MAX_SLOTS} slots")]
-    Slots,
+    TooManySlots,
 }
 
 /// A keeper and a reading of its clock.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct Timestamp {
     epoch: Epoch,
     run: u64,
     at_ms: u64,
@@ -42,34 +42,38 @@
 
 /// A call to the keeper of shares.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ShareRequest {
     index: u32,
     run: u64,
     sequence: u64,
-    stamp: Option<Stamp>,
-    lines: Vec<Line>,
+    #[serde(rename = "stamp")]
+    timestamp: Option<Timestamp>,
+    #[serde(rename = "lines")]
+    runners: Vec<RunnerSlots>,
 }
 
 /// The keeper's answer; empty when a later call came first.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Grant {
+pub struct ShareResponse {
     sequence: u64,
-    stamp: Stamp,
-    lines: Vec<Line>,
+    #[serde(rename = "stamp")]
+    timestamp: Timestamp,
+    #[serde(rename = "lines")]
+    runners: Vec<RunnerSlots>,
 }
 
 /// One runner with three numbers of slots.
 ///
 /// In a call: lent, held, wanted. In an answer: lent, borrowed, called for.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Line {
+pub struct RunnerSlots {
     runner: Name,
     slots: [u32; 3],
 }
 
 /// A request passed on to another failure domain.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Run {
+pub struct RunRequest {
     /// Service addressed.
     pub service: String,
     /// Whether a second run does harm.
@@ -84,9 +88,10 @@
 
 /// The end of a request that was passed on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Ran {
+pub enum RunResponse {
     /// The runner's whole answer.
-    Whole {
+    #[serde(rename = "Whole")]
+    Complete {
         /// Status in the sense of HTTP.
         status: u16,
         /// Media type of the body.
@@ -104,104 +109,99 @@
     /// A runner may have worked on it.
     Unknown {
         /// Why.
-        doubt: Doubt,
+        #[serde(rename = "doubt")]
+        cause: UnknownCause,
         /// Milliseconds after which a further try makes sense.
         retry_after_ms: u64,
     },
 }
 
-impl From<share::Stamp> for Stamp {
-    fn from(stamp: share::Stamp) -> Self {
-        let share::Stamp { keeper: share::Keeper { epoch, run }, at } = stamp;
+impl From<share::Timestamp> for Timestamp {
+    fn from(timestamp: share::Timestamp) -> Self {
+        let share::Timestamp { coordinator: share::CoordinatorId { epoch, run }, at } = timestamp;
         Self { epoch, run, at_ms: at.as_millis() }
     }
 }
 
-impl From<Stamp> for share::Stamp {
-    fn from(stamp: Stamp) -> Self {
-        let Stamp { epoch, run, at_ms } = stamp;
-        Self { keeper: share::Keeper { epoch, run }, at: Instant::from_millis(at_ms) }
+impl From<Timestamp> for share::Timestamp {
+    fn from(timestamp: Timestamp) -> Self {
+        let Timestamp { epoch, run, at_ms } = timestamp;
+        Self { coordinator: share::CoordinatorId { epoch, run }, at: Instant::from_millis(at_ms) }
     }
 }
 
-impl From<&share::Ask> for Ask {
-    fn from(ask: &share::Ask) -> Self {
-        let line = |need: &share::Need| Line {
-            runner: need.runner.clone(),
-            slots: [need.lend, need.holding, need.want],
+impl From<&share::ShareRequest> for ShareRequest {
+    fn from(request: &share::ShareRequest) -> Self {
+        let line = |slot_request: &share::SlotRequest| RunnerSlots {
+            runner: slot_request.runner.clone(),
+            slots: [slot_request.lend, slot_request.holding, slot_request.want],
         };
         Self {
-            index: ask.party.index,
-            run: ask.party.run,
-            sequence: ask.sequence,
-            stamp: ask.stamp.map(Stamp::from),
-            lines: ask.lines.iter().map(line).collect(),
+            index: request.participant.index,
+            run: request.participant.run,
+            sequence: request.sequence,
+            timestamp: request.timestamp.map(Timestamp::from),
+            runners: request.runners.iter().map(line).collect(),
         }
     }
 }
 
-impl TryFrom<Ask> for share::Ask {
+impl TryFrom<ShareRequest> for share::ShareRequest {
     type Error = Error;
 
-    fn try_from(ask: Ask) -> Result<Self, Error> {
-        check(&ask.lines)?;
-        let need = |Line { runner, slots: [lend, holding, want] }| share::Need {
-            runner,
-            lend,
-            holding,
-            want,
+    fn try_from(request: ShareRequest) -> Result<Self, Error> {
+        check(&request.runners)?;
+        let slot_request = |RunnerSlots { runner, slots: [lend, holding, want] }| {
+            share::SlotRequest { runner, lend, holding, want }
         };
         Ok(Self {
-            party: share::Party { index: ask.index, run: ask.run },
-            sequence: ask.sequence,
-            stamp: ask.stamp.map(share::Stamp::from),
-            lines: ask.lines.into_iter().map(need).collect(),
+            participant: share::ParticipantId { index: request.index, run: request.run },
+            sequence: request.sequence,
+            timestamp: request.timestamp.map(share::Timestamp::from),
+            runners: request.runners.into_iter().map(slot_request).collect(),
         })
     }
 }
 
-impl From<&share::Grant> for Grant {
-    fn from(grant: &share::Grant) -> Self {
-        let line = |share: &share::Share| Line {
+impl From<&share::ShareResponse> for ShareResponse {
+    fn from(response: &share::ShareResponse) -> Self {
+        let line = |share: &share::SlotGrant| RunnerSlots {
             runner: share.runner.clone(),
-            slots: [share.lent, share.borrowed, share.called],
+            slots: [share.lent, share.borrowed, share.wanted_by_others],
         };
         Self {
-            sequence: grant.sequence,
-            stamp: grant.stamp.into(),
-            lines: grant.lines.iter().map(line).collect(),
+            sequence: response.sequence,
+            timestamp: response.timestamp.into(),
+            runners: response.runners.iter().map(line).collect(),
         }
     }
 }
 
-impl TryFrom<Grant> for share::Grant {
+impl TryFrom<ShareResponse> for share::ShareResponse {
     type Error = Error;
 
-    fn try_from(grant: Grant) -> Result<Self, Error> {
-        check(&grant.lines)?;
-        let share = |Line { runner, slots: [lent, borrowed, called] }| share::Share {
-            runner,
-            lent,
-            borrowed,
-            called,
+    fn try_from(response: ShareResponse) -> Result<Self, Error> {
+        check(&response.runners)?;
+        let share = |RunnerSlots { runner, slots: [lent, borrowed, wanted_by_others] }| {
+            share::SlotGrant { runner, lent, borrowed, wanted_by_others }
         };
         Ok(Self {
-            sequence: grant.sequence,
-            stamp: grant.stamp.into(),
-            lines: grant.lines.into_iter().map(share).collect(),
+            sequence: response.sequence,
+            timestamp: response.timestamp.into(),
+            runners: response.runners.into_iter().map(share).collect(),
         })
     }
 }
 
-fn check(lines: &[Line]) -> Result<(), Error> {
-    if lines.len() > MAX_LINES {
-        return Err(Error::Lines);
+fn check(runners: &[RunnerSlots]) -> Result<(), Error> {
+    if runners.len() > MAX_RUNNERS {
+        return Err(Error::TooManyRunners);
     }
-    let is_large = |line: &Line| line.slots.iter().any(|slots| *slots > MAX_SLOTS);
-    if lines.iter().any(is_large) { Err(Error::Slots) } else { Ok(()) }
+    let is_large = |line: &RunnerSlots| line.slots.iter().any(|slots| *slots > MAX_SLOTS);
+    if runners.iter().any(is_large) { Err(Error::TooManySlots) } else { Ok(()) }
 }
 
-impl Run {
+impl RunRequest {
     /// The form of `call` on the wire.
     pub fn new(call: &Call, effect: Effect) -> Self {
         Self {
@@ -214,33 +214,33 @@
     }
 }
 
-impl From<Reply> for Ran {
+impl From<Reply> for RunResponse {
     fn from(reply: Reply) -> Self {
         match reply {
-            Reply::Whole(Answer { status, content_type, body }) => {
-                Self::Whole { status, content_type, body: body.to_vec() }
+            Reply::Complete(Answer { status, content_type, body }) => {
+                Self::Complete { status, content_type, body: body.to_vec() }
             }
             Reply::NotRun { refusal, retry_after } => {
                 Self::NotRun { refusal, retry_after_ms: millis(retry_after) }
             }
-            Reply::Unknown { doubt, retry_after, .. } => {
-                Self::Unknown { doubt, retry_after_ms: millis(retry_after) }
+            Reply::Unknown { cause, retry_after, .. } => {
+                Self::Unknown { cause, retry_after_ms: millis(retry_after) }
             }
         }
     }
 }
 
-impl From<Ran> for super::peer::Ended {
-    fn from(ran: Ran) -> Self {
+impl From<RunResponse> for super::peer::ForwardOutcome {
+    fn from(ran: RunResponse) -> Self {
         let retry_after = |ms: u64| Duration::from_millis(ms.min(MAX_RETRY_MS));
         match ran {
-            Ran::Whole { status, content_type, body } => {
-                Self::Whole(Answer { status, content_type, body: Bytes::from(body) })
+            RunResponse::Complete { status, content_type, body } => {
+                Self::Complete(Answer { status, content_type, body: Bytes::from(body) })
             }
-            Ran::NotRun { retry_after_ms, .. } => {
+            RunResponse::NotRun { retry_after_ms, .. } => {
                 Self::NotRun { retry_after: retry_after(retry_after_ms) }
             }
-            Ran::Unknown { .. } => Self::Unknown,
+            RunResponse::Unknown { .. } => Self::Unknown,
         }
     }
 }
--- a/src/telemetry/measured.rs
+++ b/src/telemetry/measured.rs
@@ -12,7 +12,7 @@
 
 use super::{Counter, Histogram, names};
 use crate::membership::{self, Member, Source};
-use crate::runner::link as runner;
+use crate::runner::transport as runner;
 use crate::store::{self, Offset, Outcome, Page};
 use crate::worker::{self, Exchange, Fault, Report};
 
@@ -69,9 +69,9 @@
 }
 
 /// The runners, measured.
-pub struct Runners(pub Rc<dyn runner::Link>);
+pub struct Runners(pub Rc<dyn runner::RunnerTransport>);
 
-impl runner::Link for Runners {
+impl runner::RunnerTransport for Runners {
     fn call<'a>(
         &'a self,
         peer: SocketAddr,
--- a/tests/logic/runner/load.rs
+++ b/tests/logic/runner/load.rs
@@ -6,10 +6,10 @@
 use oriolefork::membership::Role;
 use oriolefork::runner::attempt::Outcome;
 use oriolefork::runner::request::Refusal;
-use oriolefork::runner::{Effect, Policy, Verdict};
+use oriolefork::runner::{Effect, Policy, RequestOutcome};
 use test_case::test_case;
 
-use super::setup::{SERVICE, Setup, WHOLE, entry, runner};
+use super::setup::{COMPLETE, SERVICE, Setup, entry, runner};
 
 #[test_case(Rerun::Idempotent, 2 ; "idempotent_is_hedged")]
 #[test_case(Rerun::AtMostOnce, 1 ; "at_most_once_is_not")]
@@ -23,27 +23,27 @@
     assert_eq!(first.len() + hedges.len(), attempts);
     if let Some((hedge, port)) = hedges.first().copied() {
         assert_ne!(port, first[0].1);
-        setup.finish(hedge, WHOLE);
-        setup.finish(first[0].0, WHOLE);
-        assert_eq!(setup.verdict(id), Some(Verdict::Whole(hedge)));
+        setup.finish(hedge, COMPLETE);
+        setup.finish(first[0].0, COMPLETE);
+        assert_eq!(setup.outcome(id), Some(RequestOutcome::Complete(hedge)));
     }
 }
 
 // A burst fills the queue. A caller whose deadline cannot be met waits for nothing, and only then
 // learns that it has to come back.
 #[test]
-fn submit_hopeless_is_refused_at_once() {
+fn submit_late_is_refused_at_once() {
     let mut setup = Setup::new(1, 1);
     setup.warm(50);
     setup.submit(Rerun::AtMostOnce, 10_000);
     let queued = setup.submit(Rerun::AtMostOnce, 10_000);
-    let hopeless = setup.submit(Rerun::AtMostOnce, 60);
-    let refused = match setup.verdict(hopeless) {
-        Some(Verdict::NotRun { refusal: Refusal::Deadline, retry_after }) => retry_after,
+    let late = setup.submit(Rerun::AtMostOnce, 60);
+    let refused = match setup.outcome(late) {
+        Some(RequestOutcome::NotRun { refusal: Refusal::Deadline, retry_after }) => retry_after,
         other => panic!("{other:?}"),
     };
     assert!(refused > Duration::ZERO);
-    assert_eq!(setup.verdict(queued), None);
+    assert_eq!(setup.outcome(queued), None);
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let mut setup = Setup::new(1, 2);
     setup.warm(50);
     let ids: Vec<_> = (0..1000).map(|_| setup.submit(Rerun::AtMostOnce, 60_000)).collect();
-    let refused = ids.iter().filter(|id| setup.verdict(**id).is_some()).count();
+    let refused = ids.iter().filter(|id| setup.outcome(**id).is_some()).count();
     // 10 turns of 50 ms at 2 slots wait, and two run.
     assert!((984..=990).contains(&refused), "{refused}");
 }
@@ -66,14 +66,14 @@
         setup.submit(Rerun::AtMostOnce, 60_000);
     }
     assert!(setup.effects.iter().all(|effect| matches!(effect, Effect::Send { .. })));
-    let span = Policy::default().burst_span.as_millis() as u64;
+    let span = Policy::default().burst_window.as_millis() as u64;
     setup.pass(span + 100);
     let refused = setup.submit(Rerun::AtMostOnce, 60_000);
     let overloaded = matches!(
-        setup.verdict(refused),
-        Some(Verdict::NotRun { refusal: Refusal::Overloaded, .. })
+        setup.outcome(refused),
+        Some(RequestOutcome::NotRun { refusal: Refusal::Overloaded, .. })
     );
-    assert!(overloaded, "{:?}", setup.verdict(refused));
+    assert!(overloaded, "{:?}", setup.outcome(refused));
 }
 
 #[test]
@@ -83,11 +83,11 @@
     let (running, _) = setup.sent()[0];
     let late = setup.submit(Rerun::AtMostOnce, 900);
     let soon = setup.submit(Rerun::AtMostOnce, 200);
-    setup.finish(running, WHOLE);
+    setup.finish(running, COMPLETE);
     let (attempt, _) = setup.sent()[0];
-    setup.finish(attempt, WHOLE);
-    assert_eq!(setup.verdict(soon), Some(Verdict::Whole(attempt)));
-    assert_eq!(setup.verdict(late), None);
+    setup.finish(attempt, COMPLETE);
+    assert_eq!(setup.outcome(soon), Some(RequestOutcome::Complete(attempt)));
+    assert_eq!(setup.outcome(late), None);
 }
 
 // Callers with short deadlines keep coming. One with a long deadline was taken before them and
@@ -97,18 +97,18 @@
     let mut setup = Setup::new(1, 1);
     setup.warm(10);
     setup.submit(Rerun::AtMostOnce, 10_000);
-    let patient = setup.submit(Rerun::AtMostOnce, 10_000);
+    let long_deadline = setup.submit(Rerun::AtMostOnce, 10_000);
     let (mut running, _) = setup.sent()[0];
     let mut waited = 0;
-    while setup.verdict(patient).is_none() {
+    while setup.outcome(long_deadline).is_none() {
         setup.submit(Rerun::AtMostOnce, 100);
         setup.pass(10);
         waited += 10;
         assert!(waited < 500, "starved");
-        setup.finish(running, WHOLE);
+        setup.finish(running, COMPLETE);
         running = setup.sent()[0].0;
     }
-    assert!(matches!(setup.verdict(patient), Some(Verdict::Whole(_))));
+    assert!(matches!(setup.outcome(long_deadline), Some(RequestOutcome::Complete(_))));
 }
 
 /// A domain with all its slots taken and a free one beside it.
@@ -131,8 +131,8 @@
     let spilled = setup.submit(Rerun::AtMostOnce, 10_000);
     let (attempt, port) = setup.sent()[0];
     assert_eq!(port, 2001);
-    setup.finish(attempt, WHOLE);
-    assert_eq!(setup.verdict(spilled), Some(Verdict::Whole(attempt)));
+    setup.finish(attempt, COMPLETE);
+    assert_eq!(setup.outcome(spilled), Some(RequestOutcome::Complete(attempt)));
 }
 
 // Every domain is overloaded. Requests passed around would only add to the load, and their callers
@@ -146,7 +146,7 @@
     let next = setup.submit(Rerun::AtMostOnce, 10_000);
     assert!(setup.sent().is_empty());
     for id in [refused, next] {
-        assert!(matches!(setup.verdict(id), Some(Verdict::NotRun { .. })));
+        assert!(matches!(setup.outcome(id), Some(RequestOutcome::NotRun { .. })));
     }
 }
 
@@ -163,12 +163,12 @@
                 break;
             }
             attempts += sent.len();
-            sent.iter().for_each(|(id, _)| setup.finish(*id, Outcome::Whole { failed: true }));
+            sent.iter().for_each(|(id, _)| setup.finish(*id, Outcome::Complete { failed: true }));
         }
         setup.pass(10);
     }
-    let Policy { retry_ratio, burst, .. } = Policy::default();
-    let allowed = 1000.0 * (1.0 + retry_ratio) + burst;
+    let Policy { retry_ratio, budget_burst, .. } = Policy::default();
+    let allowed = 1000.0 * (1.0 + retry_ratio) + budget_burst;
     assert!((1000..=allowed as usize).contains(&attempts), "{attempts}");
 }
 
--- a/tests/logic/runner/outcome.rs
+++ b/tests/logic/runner/outcome.rs
@@ -3,11 +3,11 @@
 use oriolefork::job::Effect as Rerun;
 use oriolefork::membership::State;
 use oriolefork::runner::attempt::Outcome;
-use oriolefork::runner::request::{Doubt, Refusal};
-use oriolefork::runner::{Effect, Policy, Verdict};
+use oriolefork::runner::request::{Refusal, UnknownCause};
+use oriolefork::runner::{Effect, Policy, RequestOutcome};
 use test_case::test_case;
 
-use super::setup::{Setup, WHOLE, entry, runner};
+use super::setup::{COMPLETE, Setup, entry, runner};
 
 // A caller's deadline passes while a runner still works. Its answer comes later, when another
 // caller waits, and must not reach that one or free a verdict twice.
@@ -18,11 +18,13 @@
     let late = setup.sent()[0].0;
     setup.pass(150);
     let second = setup.submit(Rerun::AtMostOnce, 1000);
-    setup.finish(late, WHOLE);
-    let told =
-        matches!(setup.verdict(first), Some(Verdict::Unknown { doubt: Doubt::Deadline, .. }));
-    assert!(told, "{:?}", setup.verdict(first));
-    assert_eq!(setup.verdict(second), None);
+    setup.finish(late, COMPLETE);
+    let told = matches!(
+        setup.outcome(first),
+        Some(RequestOutcome::Unknown { cause: UnknownCause::Deadline, .. })
+    );
+    assert!(told, "{:?}", setup.outcome(first));
+    assert_eq!(setup.outcome(second), None);
 }
 
 // A renewal runs twice: the connection broke after the request had been sent, and the request was
@@ -33,7 +35,10 @@
     let id = setup.submit(Rerun::AtMostOnce, 10_000);
     let (attempt, _) = setup.sent()[0];
     setup.finish(attempt, Outcome::Broken);
-    let told = matches!(setup.verdict(id), Some(Verdict::Unknown { doubt: Doubt::Broken, .. }));
+    let told = matches!(
+        setup.outcome(id),
+        Some(RequestOutcome::Unknown { cause: UnknownCause::Broken, .. })
+    );
     assert!(told);
     setup.pass(20_000);
     assert!(setup.sent().is_empty());
@@ -47,8 +52,8 @@
     setup.finish(attempt, Outcome::NotSent);
     let (attempt, second) = setup.sent()[0];
     assert_ne!(first, second);
-    setup.finish(attempt, WHOLE);
-    assert_eq!(setup.verdict(id), Some(Verdict::Whole(attempt)));
+    setup.finish(attempt, COMPLETE);
+    assert_eq!(setup.outcome(id), Some(RequestOutcome::Complete(attempt)));
 }
 
 // A caller reads "not run" and sends its work again by another way, but the first try had reached
@@ -62,7 +67,7 @@
     while let Some((attempt, _)) = setup.sent().first().copied() {
         setup.finish(attempt, Outcome::NotSent);
     }
-    assert!(matches!(setup.verdict(id), Some(Verdict::Unknown { .. })));
+    assert!(matches!(setup.outcome(id), Some(RequestOutcome::Unknown { .. })));
 }
 
 #[test]
@@ -73,8 +78,7 @@
         setup.finish(attempt, Outcome::NotSent);
     }
     let refusal = Refusal::Unreachable;
-    let told =
-        matches!(setup.verdict(id), Some(Verdict::NotRun { refusal: r, .. }) if r == refusal);
+    let told = matches!(setup.outcome(id), Some(RequestOutcome::NotRun { refusal: r, .. }) if r == refusal);
     assert!(told);
 }
 
@@ -83,7 +87,7 @@
 #[test_case(Outcome::Broken, 1 ; "broken_keeps_slot")]
 #[test_case(Outcome::Mismatched, 1 ; "mismatched_keeps_slot")]
 #[test_case(Outcome::NotSent, 0 ; "unsent_frees_slot")]
-#[test_case(WHOLE, 0 ; "whole_frees_slot")]
+#[test_case(COMPLETE, 0 ; "whole_frees_slot")]
 fn finish_slot(outcome: Outcome, held: u32) {
     let mut setup = Setup::new(1, 8);
     setup.submit(Rerun::AtMostOnce, 1000);
@@ -120,9 +124,9 @@
     let ports: Vec<u16> = setup.sent().iter().map(|(_, port)| *port).collect();
     assert!(!ports.is_empty() && ports.iter().all(|port| *port == 1002), "{ports:?}");
     let (cut, _) = running.into_iter().find(|(_, port)| *port == 1001).expect("both were used");
-    setup.finish(cut, WHOLE);
-    let whole = |effect: &Effect| matches!(effect, Effect::Answer { verdict: Verdict::Whole(id), .. } if *id == cut);
-    assert!(setup.effects.iter().any(whole));
+    setup.finish(cut, COMPLETE);
+    let complete = |effect: &Effect| matches!(effect, Effect::Answer { outcome: RequestOutcome::Complete(id), .. } if *id == cut);
+    assert!(setup.effects.iter().any(complete));
 }
 
 // One runner mixes up its callers. Every answer of it that were believed would show a firm's data
@@ -131,16 +135,16 @@
 fn finish_mismatched_ejects_at_once() {
     let mut setup = Setup::new(4, 8);
     let id = setup.submit(Rerun::Idempotent, 1000);
-    let (attempt, liar) = setup.sent()[0];
+    let (attempt, faulty) = setup.sent()[0];
     setup.finish(attempt, Outcome::Mismatched);
-    let (retry, honest) = setup.sent()[0];
-    assert_ne!(honest, liar);
-    setup.finish(retry, WHOLE);
-    assert_eq!(setup.verdict(id), Some(Verdict::Whole(retry)));
+    let (retry, healthy) = setup.sent()[0];
+    assert_ne!(healthy, faulty);
+    setup.finish(retry, COMPLETE);
+    assert_eq!(setup.outcome(id), Some(RequestOutcome::Complete(retry)));
     for _ in 0..20 {
         setup.submit(Rerun::Idempotent, 1000);
     }
-    assert!(setup.sent().iter().all(|(_, port)| *port != liar));
+    assert!(setup.sent().iter().all(|(_, port)| *port != faulty));
 }
 
 // Every runner of the domain is down. Work that could run in the next domain is refused.
@@ -151,8 +155,8 @@
     let id = setup.submit(Rerun::AtMostOnce, 1000);
     let (attempt, port) = setup.sent()[0];
     assert_eq!(port, 2001);
-    setup.finish(attempt, WHOLE);
-    assert_eq!(setup.verdict(id), Some(Verdict::Whole(attempt)));
+    setup.finish(attempt, COMPLETE);
+    assert_eq!(setup.outcome(id), Some(RequestOutcome::Complete(attempt)));
 }
 
 #[test]
@@ -162,7 +166,9 @@
     let id = setup.submit_as(Rerun::Idempotent, 1000, true);
     assert!(setup.sent().is_empty());
     let refusal = Refusal::NoRunner;
-    assert!(matches!(setup.verdict(id), Some(Verdict::NotRun { refusal: r, .. }) if r == refusal));
+    assert!(
+        matches!(setup.outcome(id), Some(RequestOutcome::NotRun { refusal: r, .. }) if r == refusal)
+    );
 }
 
 // An instance is replaced for maintenance. What it took before must be answered, what comes after
@@ -177,12 +183,12 @@
     let refused = setup.submit(Rerun::AtMostOnce, 1000);
     let refusal = Refusal::ShuttingDown;
     assert!(
-        matches!(setup.verdict(refused), Some(Verdict::NotRun { refusal: r, .. }) if r == refusal)
+        matches!(setup.outcome(refused), Some(RequestOutcome::NotRun { refusal: r, .. }) if r == refusal)
     );
-    setup.finish(attempt, WHOLE);
-    assert_eq!(setup.verdict(running), Some(Verdict::Whole(attempt)));
+    setup.finish(attempt, COMPLETE);
+    assert_eq!(setup.outcome(running), Some(RequestOutcome::Complete(attempt)));
     let (attempt, _) = setup.sent()[0];
-    setup.finish(attempt, WHOLE);
-    assert_eq!(setup.verdict(queued), Some(Verdict::Whole(attempt)));
+    setup.finish(attempt, COMPLETE);
+    assert_eq!(setup.outcome(queued), Some(RequestOutcome::Complete(attempt)));
     assert_eq!(setup.router.open_requests(), 0);
 }
--- a/tests/logic/runner/setup.rs
+++ b/tests/logic/runner/setup.rs
@@ -7,10 +7,10 @@
 use oriolefork::job::Effect as Rerun;
 use oriolefork::membership::{Member, Role, State};
 use oriolefork::runner::attempt::{Id, Outcome};
-use oriolefork::runner::share::{Holder, Position, Terms};
-use oriolefork::runner::{Effect, Name, Policy, Request, Router, Verdict, request};
+use oriolefork::runner::share::{LeaseDurations, LocalSlots, Position};
+use oriolefork::runner::{Effect, Name, Policy, Request, RequestOutcome, Router, request};
 
-pub const WHOLE: Outcome = Outcome::Whole { failed: false };
+pub const COMPLETE: Outcome = Outcome::Complete { failed: false };
 pub const SERVICE: &str = "portal";
 
 pub fn addr(port: u16) -> SocketAddr {
@@ -48,9 +48,9 @@
     }
 
     pub fn with(policy: Policy, members: Vec<Member>) -> Self {
-        let terms = Terms::for_run_limit(policy.run_limit);
-        let holder = Holder::new(Position::ALONE, 1, terms, Instant::default());
-        let router = Router::new(policy, domain::Name::from("kurow"), holder, 7);
+        let durations = LeaseDurations::for_run_limit(policy.run_limit);
+        let local_slots = LocalSlots::new(Position::SINGLE, 1, durations, Instant::default());
+        let router = Router::new(policy, domain::Name::from("kurow"), local_slots, 7);
         let mut setup = Self { router, members, now: 0, requests: 0, effects: Vec::new() };
         setup.list();
         setup
@@ -108,18 +108,18 @@
         attempts
     }
 
-    pub fn verdicts(&self, id: request::Id) -> Vec<Verdict> {
+    pub fn outcomes(&self, id: request::Id) -> Vec<RequestOutcome> {
         let of = |effect: &Effect| match effect {
-            Effect::Answer { request, verdict } if *request == id => Some(*verdict),
+            Effect::Answer { request, outcome } if *request == id => Some(*outcome),
             _ => None,
         };
         self.effects.iter().filter_map(of).collect()
     }
 
-    pub fn verdict(&self, id: request::Id) -> Option<Verdict> {
-        let verdicts = self.verdicts(id);
-        assert!(verdicts.len() <= 1, "two verdicts: {verdicts:?}");
-        verdicts.first().copied()
+    pub fn outcome(&self, id: request::Id) -> Option<RequestOutcome> {
+        let outcomes = self.outcomes(id);
+        assert!(outcomes.len() <= 1, "two verdicts: {outcomes:?}");
+        outcomes.first().copied()
     }
 
     /// Runs enough requests that latencies are known.
@@ -128,7 +128,7 @@
             self.submit(Rerun::Idempotent, 1000);
             let sent = self.sent();
             self.now += latency;
-            sent.iter().for_each(|(attempt, _)| self.finish(*attempt, WHOLE));
+            sent.iter().for_each(|(attempt, _)| self.finish(*attempt, COMPLETE));
         }
         self.effects.clear();
     }
--- a/tests/logic/runner/share.rs
+++ b/tests/logic/runner/share.rs
@@ -5,7 +5,10 @@
 use oriolefork::clock::Instant;
 use oriolefork::domain::Epoch;
 use oriolefork::runner::Name;
-use oriolefork::runner::share::{Ask, Grant, Handle, Holder, Keeper, Ledger, Position, Terms};
+use oriolefork::runner::share::{
+    CoordinatorId, Handle, LeaseDurations, Ledger, LocalSlots, Position, ShareRequest,
+    ShareResponse,
+};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -20,17 +23,17 @@
     Name::from("runner-1")
 }
 
-fn terms() -> Terms {
-    Terms::for_run_limit(Duration::from_millis(RUN_MILLIS))
+fn durations() -> LeaseDurations {
+    LeaseDurations::for_run_limit(Duration::from_millis(RUN_MILLIS))
 }
 
-fn keeper(term: u64) -> Keeper {
-    Keeper { epoch: Epoch { term, sub: 0 }, run: term }
+fn coordinator(term: u64) -> CoordinatorId {
+    CoordinatorId { epoch: Epoch { term, sub: 0 }, run: term }
 }
 
 /// One process: a holder, perhaps a ledger, and a clock of its own.
 struct Process {
-    holder: Holder,
+    local_slots: LocalSlots,
     slots: Handle,
     ledger: Option<Ledger>,
     run: u64,
@@ -44,10 +47,10 @@
         let rate = [1.0, 0.99, 1.01][(run % 3) as usize];
         let position = Position { index: index as u32, count: COUNT as u32 };
         let start = local(offset, rate, now);
-        let usable_from = if fresh { start } else { start.after(terms().loan) };
-        let mut holder = Holder::new(position, run, terms(), usable_from);
-        let slots = holder.admit(&runner(), LIMIT);
-        Self { holder, slots, ledger: None, run, offset, rate }
+        let usable_from = if fresh { start } else { start.after(durations().loan) };
+        let mut local_slots = LocalSlots::new(position, run, durations(), usable_from);
+        let slots = local_slots.add_runner(&runner(), LIMIT);
+        Self { local_slots, slots, ledger: None, run, offset, rate }
     }
 
     fn now(&self, now: u64) -> Instant {
@@ -61,8 +64,8 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    Ask { to: usize, from: usize, ask: Ask },
-    Grant { to: usize, run: u64, grant: Grant },
+    ShareRequest { to: usize, from: usize, request: ShareRequest },
+    ShareResponse { to: usize, run: u64, response: ShareResponse },
 }
 
 /// A request at the runner, whose process may be gone.
@@ -76,7 +79,7 @@
 enum Step {
     Advance(u64),
     Exchange { from: usize, demand: u32 },
-    Ask { from: usize, demand: u32 },
+    ShareRequest { from: usize, demand: u32 },
     Deliver(usize),
     Repeat(usize),
     Lose(usize),
@@ -95,7 +98,7 @@
         10 => (1u64..400).prop_map(Step::Advance),
         1 => (400u64..4000).prop_map(Step::Advance),
         30 => (process.clone(), demand()).prop_map(|(from, demand)| Step::Exchange { from, demand }),
-        4 => (process.clone(), demand()).prop_map(|(from, demand)| Step::Ask { from, demand }),
+        4 => (process.clone(), demand()).prop_map(|(from, demand)| Step::ShareRequest { from, demand }),
         10 => (0usize..8).prop_map(Step::Deliver),
         1 => (0usize..8).prop_map(Step::Repeat),
         1 => (0usize..8).prop_map(Step::Lose),
@@ -119,9 +122,9 @@
     messages: Vec<Message>,
     running: Vec<Running>,
     runs: u64,
-    terms: u64,
+    term: u64,
     /// Whom each process believes to be the keeper.
-    believed: Vec<Option<(usize, Keeper)>>,
+    believed: Vec<Option<(usize, CoordinatorId)>>,
     borrowed_once: bool,
     /// Who does not reach its keeper for a while.
     muted: Option<usize>,
@@ -136,7 +139,7 @@
             messages: Vec::new(),
             running: Vec::new(),
             runs: COUNT as u64,
-            terms: 0,
+            term: 0,
             believed: vec![None; COUNT],
             borrowed_once: false,
             muted: None,
@@ -146,7 +149,7 @@
     fn apply(&mut self, step: &Step) {
         match *step {
             Step::Advance(millis) => self.advance(millis),
-            Step::Ask { from, demand } => self.ask(from, demand),
+            Step::ShareRequest { from, demand } => self.send_request(from, demand),
             Step::Exchange { from, demand } => self.exchange(from, demand),
             Step::Deliver(index) => self.deliver(index, true),
             Step::Repeat(index) => self.deliver(index, false),
@@ -173,23 +176,23 @@
     fn release(&mut self, running: &Running) {
         let process = &mut self.processes[running.process];
         if process.run == running.run {
-            process.holder.end(process.slots);
+            process.local_slots.release(process.slots);
         }
     }
 
-    fn ask(&mut self, from: usize, demand: u32) {
-        let Some((to, keeper)) = self.believed[from] else { return };
+    fn send_request(&mut self, from: usize, demand: u32) {
+        let Some((to, coordinator)) = self.believed[from] else { return };
         let process = &mut self.processes[from];
         let now = process.now(self.now);
-        let ask = process.holder.ask(keeper, now, |_| demand);
-        self.messages.push(Message::Ask { to, from, ask });
+        let request = process.local_slots.build_request(coordinator, now, |_| demand);
+        self.messages.push(Message::ShareRequest { to, from, request });
     }
 
     /// A call and its answer, both in time.
     fn exchange(&mut self, from: usize, demand: u32) {
         let waiting = self.messages.len();
         if self.muted != Some(from) {
-            self.ask(from, demand);
+            self.send_request(from, demand);
         }
         self.deliver(waiting, true);
         self.deliver(waiting, true);
@@ -205,20 +208,23 @@
             self.messages.remove(index);
         }
         match message {
-            Message::Ask { to, from, ask } => {
-                let run = ask.party.run;
+            Message::ShareRequest { to, from, request } => {
+                let run = request.participant.run;
                 let process = &mut self.processes[to];
                 let now = process.now(self.now);
-                let grant = process.ledger.as_mut().and_then(|ledger| ledger.ask(&ask, now));
-                let reply = grant.map(|grant| Message::Grant { to: from, run, grant });
+                let response =
+                    process.ledger.as_mut().and_then(|ledger| ledger.handle(&request, now));
+                let reply =
+                    response.map(|response| Message::ShareResponse { to: from, run, response });
                 self.messages.extend(reply);
             }
-            Message::Grant { to, run, grant } => {
+            Message::ShareResponse { to, run, response } => {
                 let process = &mut self.processes[to];
                 if process.run == run {
                     let now = process.now(self.now);
-                    let applied = process.holder.granted(&grant, now);
-                    self.borrowed_once |= applied && grant.lines.iter().any(|l| l.borrowed > 0);
+                    let applied = process.local_slots.apply_response(&response, now);
+                    self.borrowed_once |=
+                        applied && response.runners.iter().any(|l| l.borrowed > 0);
                 }
             }
         }
@@ -227,7 +233,7 @@
     fn start(&mut self, index: usize, millis: u64) {
         let process = &mut self.processes[index];
         let now = process.now(self.now);
-        if process.holder.start(process.slots, now) {
+        if process.local_slots.acquire(process.slots, now) {
             let ends = self.now + millis;
             self.running.push(Running { process: index, run: process.run, ends });
         }
@@ -247,12 +253,12 @@
 
     /// Others may go on believing in an earlier keeper, or none may hear of this one.
     fn claim(&mut self, index: usize) {
-        self.terms += 1;
-        let keeper = keeper(self.terms);
-        self.processes[index].ledger = Some(Ledger::new(keeper, terms()));
+        self.term += 1;
+        let coordinator = coordinator(self.term);
+        self.processes[index].ledger = Some(Ledger::new(coordinator, durations()));
         for believer in 0..COUNT {
-            if !(self.terms as usize + believer).is_multiple_of(3) || believer == index {
-                self.believed[believer] = Some((index, keeper));
+            if !(self.term as usize + believer).is_multiple_of(3) || believer == index {
+                self.believed[believer] = Some((index, coordinator));
             }
         }
     }
@@ -260,8 +266,8 @@
     /// Slots in use at the runner plus those on which a request could start this moment.
     fn claimed(&self) -> u32 {
         let may_use = self.processes.iter().map(|process| {
-            let allowed = process.holder.allowance(process.slots, process.now(self.now));
-            allowed.max(process.holder.in_use(process.slots))
+            let allowed = process.local_slots.allowance(process.slots, process.now(self.now));
+            allowed.max(process.local_slots.in_use(process.slots))
         });
         let is_orphan = |running: &&Running| self.processes[running.process].run != running.run;
         let orphans = self.running.iter().filter(is_orphan).count() as u32;
@@ -293,7 +299,7 @@
 
 /// Plays a history up to its first excess.
 fn play(steps: &[Step]) -> World {
-    let mut world = world_with_keeper();
+    let mut world = world_with_coordinator();
     for step in steps {
         world.apply(step);
         if world.claimed() > LIMIT {
@@ -331,11 +337,11 @@
 
 fn allowances(world: &World) -> Vec<u32> {
     let allowance =
-        |process: &Process| process.holder.allowance(process.slots, process.now(world.now));
+        |process: &Process| process.local_slots.allowance(process.slots, process.now(world.now));
     world.processes.iter().map(allowance).collect()
 }
 
-fn world_with_keeper() -> World {
+fn world_with_coordinator() -> World {
     let mut world = World::new();
     world.apply(&Step::Claim(0));
     world.believed = vec![world.believed[0]; COUNT];
@@ -344,7 +350,7 @@
 
 #[test]
 fn ask_idle_slots_move_to_the_busy() {
-    let mut world = world_with_keeper();
+    let mut world = world_with_coordinator();
     for _ in 0..4 {
         exchange(&mut world, [0, 0, 9]);
     }
@@ -354,7 +360,7 @@
 
 #[test]
 fn ask_slots_return_to_their_owner() {
-    let mut world = world_with_keeper();
+    let mut world = world_with_coordinator();
     for _ in 0..4 {
         exchange(&mut world, [0, 0, 9]);
     }
@@ -368,13 +374,13 @@
 // The keeper dies while an instance uses slots that another one lent. Without the keeper nothing
 // may stay lost: the lender has its own slots back once the loan is over.
 #[test]
-fn ask_lost_keeper_returns_all() {
-    let mut world = world_with_keeper();
+fn ask_lost_coordinator_returns_all() {
+    let mut world = world_with_coordinator();
     for _ in 0..4 {
         exchange(&mut world, [0, 0, 9]);
     }
     world.apply(&Step::Resign(0));
-    let span = terms().loan.as_millis() as u64 + 200;
+    let span = durations().loan.as_millis() as u64 + 200;
     world.apply(&Step::Advance(span));
     let owned = |index| Position { index, count: 3 }.entitlement(&runner(), LIMIT);
     assert_eq!(allowances(&world), (0..3).map(owned).collect::<Vec<_>>());
@@ -384,14 +390,14 @@
 // and the lender took its slots back although another instance had borrowed them meanwhile.
 #[test]
 fn ask_lost_answer_keeps_loan() {
-    let mut world = world_with_keeper();
+    let mut world = world_with_coordinator();
     exchange(&mut world, [9, 0, 9]);
     exchange(&mut world, [9, 0, 9]);
     let owned = allowances(&world)[1];
-    world.apply(&Step::Ask { from: 1, demand: 0 });
+    world.apply(&Step::ShareRequest { from: 1, demand: 0 });
     world.apply(&Step::Deliver(0));
     world.apply(&Step::Lose(0));
-    world.apply(&Step::Advance(terms().lease.as_millis() as u64 + 100));
+    world.apply(&Step::Advance(durations().lease.as_millis() as u64 + 100));
     world.apply(&Step::Exchange { from: 2, demand: 9 });
     assert!(owned > 0);
     assert_eq!(allowances(&world)[1], 0);
--- a/tests/process/runner.rs
+++ b/tests/process/runner.rs
@@ -13,7 +13,7 @@
 use oriolefork::membership::{self, Source, State, wire};
 use oriolefork::runner::handler::Access;
 use oriolefork::runner::proxy::{Options, Proxy, Role};
-use oriolefork::runner::share::{Keeper, Position};
+use oriolefork::runner::share::{CoordinatorId, Position};
 use oriolefork::runner::{self, Policy};
 use oriolefork::shutdown::Shutdown;
 use oriolefork::standin::proxy::Mode;
@@ -28,7 +28,7 @@
 
 const DOMAIN: &str = "oamaru-hall";
 const GRACE: Duration = Duration::from_secs(20);
-const KEEPER: Keeper = Keeper { epoch: Epoch::FIRST, run: 1 };
+const COORDINATOR: CoordinatorId = CoordinatorId { epoch: Epoch::FIRST, run: 1 };
 /// Slots of a runner that belong to one of three instances, at most.
 const OWNED: u32 = 3;
 
@@ -97,16 +97,19 @@
         domain: domain::Name::from(place.domain.as_str()),
         position,
         run: run << 32,
-        rest: Some(Duration::ZERO),
-        link: Rc::new(runner::http::Client::new(Rc::clone(&client))),
+        warm_up: Some(Duration::ZERO),
+        transport: Rc::new(runner::http::Client::new(Rc::clone(&client))),
         peers: Rc::new(runner::peer::Client::new(Rc::clone(&peers))),
         clock,
         guard: Some(guard),
         access: Access::open(),
     });
     monoio::spawn(driver.run());
-    let role =
-        if place.peer == owner { Role::Owner(KEEPER) } else { Role::Follower(KEEPER, owner) };
+    let role = if place.peer == owner {
+        Role::Owner(COORDINATOR)
+    } else {
+        Role::Follower(COORDINATOR, owner)
+    };
     proxy.set_role(role);
     let stop = Shutdown::new();
     let server = peer::Server::bind(place.peer, peer::Limits::default()).expect("a peer address");
