--- a/benches/membership_replay.rs
+++ b/benches/membership_replay.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use oriolefork::clock::Instant;
-use oriolefork::membership::view::{Guard, Key, View};
+use oriolefork::membership::view::{Key, View, ViewPolicy};
 use oriolefork::membership::{Member, Role, State};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -95,15 +95,15 @@
     }
 
     fn list(&mut self, now: Instant, members: &[Member]) {
-        self.0.list(now, members);
+        self.0.apply_list(now, members);
     }
 
     fn called(&mut self, now: Instant, member: &Member, answered: bool) {
         let key = Key::from(member);
         if answered {
-            self.0.answered(now, &key);
+            self.0.record_answer(now, &key);
         } else {
-            self.0.failed(now, &key);
+            self.0.record_failure(now, &key);
         }
     }
 
@@ -283,7 +283,7 @@
     let judges: [Box<dyn Judge>; 3] = [
         Box::new(Trusting::default()),
         Box::new(Ignoring::default()),
-        Box::new(Guarded(View::new(Guard::default()))),
+        Box::new(Guarded(View::new(ViewPolicy::default()))),
     ];
     for mut judge in judges {
         let cost = replay(&mut *judge);
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -8,9 +8,9 @@
 use crate::entry::controller::{Borders, Controller};
 use crate::entry::readiness::Readiness;
 use crate::entry::witness::Witness;
-use crate::membership::probe::Connect;
-use crate::membership::seed::Seeded;
-use crate::membership::view::Guard;
+use crate::membership::probe::TcpProbe;
+use crate::membership::seed::SeededSource;
+use crate::membership::view::ViewPolicy;
 use crate::membership::{Member, Role, Source, State};
 use crate::owner::Timings;
 use crate::owner::machine::Machine;
@@ -101,9 +101,9 @@
         let measured: Rc<dyn Source> = Rc::new(measured::List(Rc::new(source)));
         let seeds = settings.peers.iter().map(seed).collect();
         membership::follow::start(membership::follow::Setup {
-            source: Rc::new(Seeded::new(measured, seeds)),
-            probe: Rc::new(Connect { timeout: settings.peer_calls.timeout }),
-            guard: Guard::default(),
+            source: Rc::new(SeededSource::new(measured, seeds)),
+            probe: Rc::new(TcpProbe { timeout: settings.peer_calls.timeout }),
+            policy: ViewPolicy::default(),
             interval: list.poll,
             clock: self.clock.clone(),
             stop: self.stop.clone(),
--- a/src/entry/witness.rs
+++ b/src/entry/witness.rs
@@ -69,13 +69,13 @@
         let mut reported = self.answered.borrow_mut();
         if !answered {
             reported.remove(&key);
-            self.members.tried(key, false);
+            self.members.report_call(key, false);
             return;
         }
         let is_recent = reported.get(&key).is_some_and(|at| now.since(*at) < REST);
         if !is_recent {
             reported.insert(key.clone(), now);
-            self.members.tried(key, true);
+            self.members.report_call(key, true);
         }
     }
 }
--- a/src/membership/follow.rs
+++ b/src/membership/follow.rs
@@ -9,7 +9,7 @@
 use local_sync::oneshot;
 
 use super::probe::Probe;
-use super::view::{Class, Guard, Key, View, Word};
+use super::view::{Class, Key, PeerReport, View, ViewPolicy};
 use super::{Error, Member, Source};
 use crate::clock::{Clock, Instant};
 use crate::shutdown::{Shutdown, until};
@@ -17,7 +17,7 @@
 /// Rest between two fetches of the list.
 pub const INTERVAL: Duration = Duration::from_secs(1);
 /// Most instances that are tried at once.
-const PROBES: usize = 64;
+const MAX_PROBES: usize = 64;
 
 /// Changes of the view, the whole view each time.
 pub type Changes = unbounded::Rx<Rc<Roster>>;
@@ -38,7 +38,7 @@
     /// Own connections.
     pub probe: Rc<dyn Probe>,
     /// When the list is believed.
-    pub guard: Guard,
+    pub policy: ViewPolicy,
     /// Rest between two fetches, commonly [`INTERVAL`].
     pub interval: Duration,
     /// Time.
@@ -47,10 +47,10 @@
     pub stop: Shutdown,
 }
 
-enum Ask {
+enum Command {
     Listed(Result<Vec<Member>, Error>, oneshot::Sender<()>),
-    Tried(Key, bool),
-    Heard(Key, Word),
+    CallEnded(Key, bool),
+    PeerReport(Key, PeerReport),
     Subscribe(unbounded::Tx<Rc<Roster>>),
     Roster(oneshot::Sender<(Rc<Roster>, Option<Duration>)>),
 }
@@ -58,33 +58,33 @@
 /// Reaches the task that holds the view.
 #[derive(Clone)]
 pub struct Handle {
-    asks: unbounded::Tx<Ask>,
+    commands: unbounded::Tx<Command>,
 }
 
 impl Handle {
     /// Reports whether an own call to an instance was answered.
-    pub fn tried(&self, key: Key, answered: bool) {
+    pub fn report_call(&self, key: Key, answered: bool) {
         // A task that has stopped needs no evidence.
-        let _ = self.asks.send(Ask::Tried(key, answered));
+        let _ = self.commands.send(Command::CallEnded(key, answered));
     }
 
     /// Reports what a peer says of an instance.
-    pub fn heard(&self, key: Key, word: Word) {
-        let _ = self.asks.send(Ask::Heard(key, word));
+    pub fn report_peer(&self, key: Key, report: PeerReport) {
+        let _ = self.commands.send(Command::PeerReport(key, report));
     }
 
     /// The present roster, then a new one whenever it changes.
     pub fn subscribe(&self) -> Changes {
         let (sender, receiver) = unbounded::channel();
         // The receiver ends at once when the task has stopped.
-        let _ = self.asks.send(Ask::Subscribe(sender));
+        let _ = self.commands.send(Command::Subscribe(sender));
         receiver
     }
 
     /// The present roster and the age of the list behind it; `None` once the task has stopped.
     pub async fn roster(&self) -> Option<(Rc<Roster>, Option<Duration>)> {
         let (sender, receiver) = oneshot::channel();
-        self.asks.send(Ask::Roster(sender)).ok()?;
+        self.commands.send(Command::Roster(sender)).ok()?;
         receiver.await.ok()
     }
 }
@@ -92,31 +92,32 @@
 /// Starts the tasks on the present runtime.
 pub fn start(setup: Setup) -> Handle {
     let (sender, inbox) = unbounded::channel();
-    let fetching = fetch(setup.source, Rc::clone(&setup.clock), setup.interval, sender.clone());
+    let fetching =
+        fetch_loop(setup.source, Rc::clone(&setup.clock), setup.interval, sender.clone());
     monoio::spawn(until(setup.stop.clone(), fetching));
-    let keeper = Keeper {
-        view: View::new(setup.guard),
+    let task = ViewTask {
+        view: View::new(setup.policy),
         probe: setup.probe,
         clock: setup.clock,
-        asks: sender.clone(),
+        commands: sender.clone(),
         roster: Rc::default(),
         subscribers: Vec::new(),
     };
-    monoio::spawn(until(setup.stop, keeper.run(inbox)));
-    Handle { asks: sender }
+    monoio::spawn(until(setup.stop, task.run(inbox)));
+    Handle { commands: sender }
 }
 
 /// Fetches the list again and again. A failed fetch says nothing of the instances on it.
-async fn fetch(
+async fn fetch_loop(
     source: Rc<dyn Source>,
     clock: Rc<dyn Clock>,
     interval: Duration,
-    asks: unbounded::Tx<Ask>,
+    commands: unbounded::Tx<Command>,
 ) {
     loop {
         let listed = source.list().await;
         let (sender, receiver) = oneshot::channel();
-        if asks.send(Ask::Listed(listed, sender)).is_err() || receiver.await.is_err() {
+        if commands.send(Command::Listed(listed, sender)).is_err() || receiver.await.is_err() {
             return;
         }
         // Spread by up to a quarter, so that instances started together do not ask together.
@@ -124,48 +125,48 @@
     }
 }
 
-struct Keeper {
+struct ViewTask {
     view: View,
     probe: Rc<dyn Probe>,
     clock: Rc<dyn Clock>,
-    asks: unbounded::Tx<Ask>,
+    commands: unbounded::Tx<Command>,
     roster: Rc<Roster>,
     subscribers: Vec<unbounded::Tx<Rc<Roster>>>,
 }
 
-impl Keeper {
-    async fn run(mut self, mut inbox: unbounded::Rx<Ask>) {
-        while let Some(ask) = inbox.recv().await {
+impl ViewTask {
+    async fn run(mut self, mut inbox: unbounded::Rx<Command>) {
+        while let Some(command) = inbox.recv().await {
             let now = self.clock.now();
-            self.answer(now, ask);
+            self.handle(now, command);
             self.publish(now);
         }
     }
 
     /// Answers one request. Whoever no longer waits for the answer does not get it.
-    fn answer(&mut self, now: Instant, ask: Ask) {
-        match ask {
-            Ask::Listed(listed, sender) => {
-                self.take(now, listed);
+    fn handle(&mut self, now: Instant, command: Command) {
+        match command {
+            Command::Listed(listed, sender) => {
+                self.apply_list(now, listed);
                 self.probe(now);
                 let _ = sender.send(());
             }
-            Ask::Tried(key, true) => self.view.answered(now, &key),
-            Ask::Tried(key, false) => self.view.failed(now, &key),
-            Ask::Heard(key, word) => self.view.hear(now, &key, word),
-            Ask::Subscribe(sender) => {
+            Command::CallEnded(key, true) => self.view.record_answer(now, &key),
+            Command::CallEnded(key, false) => self.view.record_failure(now, &key),
+            Command::PeerReport(key, report) => self.view.apply_peer_report(now, &key, report),
+            Command::Subscribe(sender) => {
                 let _ = sender.send(Rc::clone(&self.roster));
                 self.subscribers.push(sender);
             }
-            Ask::Roster(sender) => {
+            Command::Roster(sender) => {
                 let _ = sender.send((Rc::clone(&self.roster), self.view.age(now)));
             }
         }
     }
 
-    fn take(&mut self, now: Instant, listed: Result<Vec<Member>, Error>) {
+    fn apply_list(&mut self, now: Instant, listed: Result<Vec<Member>, Error>) {
         match listed {
-            Ok(members) => self.view.list(now, &members),
+            Ok(members) => self.view.apply_list(now, &members),
             Err(error) => {
                 log::warn!("event=membership.list_failed {error}");
                 self.view.tick(now);
@@ -174,11 +175,11 @@
     }
 
     fn probe(&self, now: Instant) {
-        for (key, address) in self.view.probes(now).into_iter().take(PROBES) {
-            let (probe, asks) = (Rc::clone(&self.probe), self.asks.clone());
+        for (key, address) in self.view.probes(now).into_iter().take(MAX_PROBES) {
+            let (probe, commands) = (Rc::clone(&self.probe), self.commands.clone());
             monoio::spawn(async move {
                 let answered = reaches(&*probe, address).await;
-                let _ = asks.send(Ask::Tried(key, answered));
+                let _ = commands.send(Command::CallEnded(key, answered));
             });
         }
     }
--- a/src/membership/http.rs
+++ b/src/membership/http.rs
@@ -22,11 +22,11 @@
     peer: SocketAddr,
     http: Rc<http::Client>,
     timeout: Duration,
-    kept: RefCell<Option<Kept>>,
+    cached: RefCell<Option<CachedList>>,
 }
 
 /// The last list with its version.
-struct Kept {
+struct CachedList {
     version: HeaderValue,
     members: Vec<Member>,
 }
@@ -34,21 +34,21 @@
 impl Client {
     /// Reaches the list at `peer`, giving each call `timeout`.
     pub fn new(peer: SocketAddr, http: Rc<http::Client>, timeout: Duration) -> Self {
-        Self { peer, http, timeout, kept: RefCell::default() }
+        Self { peer, http, timeout, cached: RefCell::default() }
     }
 
     async fn list(&self) -> Result<Vec<Member>, Error> {
         let fail = |cause| Error { peer: self.peer, cause };
         let mut request = ::http::Request::builder().uri("/v1/instances");
-        if let Some(kept) = &*self.kept.borrow() {
-            request = request.header(IF_NONE_MATCH, &kept.version);
+        if let Some(cached) = &*self.cached.borrow() {
+            request = request.header(IF_NONE_MATCH, &cached.version);
         }
         let request = request.body(Bytes::new()).map_err(|error| fail(error.to_string()))?;
         let sent = self.http.send(self.peer, request, self.timeout).await;
         let response = sent.map_err(|error| fail(error.to_string()))?;
-        match (response.status(), &*self.kept.borrow()) {
+        match (response.status(), &*self.cached.borrow()) {
             (StatusCode::OK, _) => {}
-            (StatusCode::NOT_MODIFIED, Some(kept)) => return Ok(kept.members.clone()),
+            (StatusCode::NOT_MODIFIED, Some(cached)) => return Ok(cached.members.clone()),
             (status, _) => return Err(fail(status.to_string())),
         }
         let members: Vec<wire::Member> =
@@ -56,7 +56,8 @@
         let members = members.into_iter().map(Member::try_from).collect::<Result<Vec<_>, _>>();
         let members = members.map_err(|error| fail(error.to_string()))?;
         let version = response.headers().get(ETAG).cloned();
-        *self.kept.borrow_mut() = version.map(|version| Kept { version, members: members.clone() });
+        *self.cached.borrow_mut() =
+            version.map(|version| CachedList { version, members: members.clone() });
         Ok(members)
     }
 }
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -15,12 +15,12 @@
 
 /// Opens a TCP connection and closes it.
 #[derive(Clone, Copy, Debug)]
-pub struct Connect {
+pub struct TcpProbe {
     /// How long that may take.
     pub timeout: Duration,
 }
 
-impl Probe for Connect {
+impl Probe for TcpProbe {
     fn reaches(&self, address: SocketAddr) -> LocalBoxFuture<'_, bool> {
         let connecting = monoio::time::timeout(self.timeout, TcpStream::connect(address));
         async move { matches!(connecting.await, Ok(Ok(_))) }.boxed_local()
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -53,40 +53,40 @@
 
 /// When the list is believed.
 #[derive(Clone, Debug)]
-pub struct Guard {
-    /// Share of a class, in percent, that may vanish within `window` and be believed.
-    pub percent: usize,
-    /// Number that may vanish within `window` and be believed, however small the class is.
-    pub floor: usize,
+pub struct ViewPolicy {
+    /// Share of a class, in percent, that may vanish within `removal_window` and be believed.
+    pub removable_percent: usize,
+    /// Number that may vanish within `removal_window` and be believed, however small the class is.
+    pub removable_minimum: usize,
     /// Span over which vanished instances add up.
-    pub window: Duration,
+    pub removal_window: Duration,
     /// How long a vanished instance is kept as leaving before it is removed.
-    pub grace: Duration,
+    pub removal_grace: Duration,
     /// Failed calls in a row after which an instance counts as down.
-    pub failures: u32,
+    pub failure_threshold: u32,
     /// Age up to which an answer is proof that an instance lives.
-    pub fresh: Duration,
+    pub freshness: Duration,
     /// How long a vanished instance of a suspect class is kept that nobody could reach.
-    pub silence: Duration,
+    pub suspect_timeout: Duration,
 }
 
-impl Default for Guard {
+impl Default for ViewPolicy {
     fn default() -> Self {
         Self {
-            percent: 20,
-            floor: 2,
-            window: Duration::from_secs(300),
-            grace: Duration::from_secs(10),
-            failures: 3,
-            fresh: Duration::from_secs(1),
-            silence: Duration::from_secs(60),
+            removable_percent: 20,
+            removable_minimum: 2,
+            removal_window: Duration::from_secs(300),
+            removal_grace: Duration::from_secs(10),
+            failure_threshold: 3,
+            freshness: Duration::from_secs(1),
+            suspect_timeout: Duration::from_secs(60),
         }
     }
 }
 
 /// What an instance is good for.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Standing {
+pub enum Availability {
     /// In use.
     #[display("live")]
     Live,
@@ -95,7 +95,7 @@
     Leaving,
     /// Vanished from the list together with many others; in use until proved dead.
     #[display("doubted")]
-    Doubted,
+    Suspected,
     /// Does not answer; takes no new work.
     #[display("down")]
     Down,
@@ -103,7 +103,7 @@
 
 /// What a peer says of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum PeerReport {
     /// It answered that long ago.
     Answered(Duration),
     /// It is leaving.
@@ -116,63 +116,70 @@
 struct Entry {
     member: Member,
     /// Since when the list has lacked it; `None` while it is listed.
-    absent: Option<Instant>,
+    missing_since: Option<Instant>,
     /// Until when a peer's word that it leaves holds against a list that lags.
     leaving_until: Option<Instant>,
     failures: u32,
-    answered: Option<Instant>,
+    last_answer: Option<Instant>,
     /// When it was last tried, with or without an answer.
-    tried: Option<Instant>,
+    last_probe: Option<Instant>,
 }
 
 impl Entry {
     fn new(member: Member) -> Self {
-        Self { member, absent: None, leaving_until: None, failures: 0, answered: None, tried: None }
+        Self {
+            member,
+            missing_since: None,
+            leaving_until: None,
+            failures: 0,
+            last_answer: None,
+            last_probe: None,
+        }
     }
 }
 
 /// The instances known, with what is thought of each.
 #[derive(Debug)]
 pub struct View {
-    guard: Guard,
+    policy: ViewPolicy,
     entries: BTreeMap<Key, Entry>,
     /// When instances of a class were removed on the list's word alone.
-    removed: BTreeMap<Class, VecDeque<Instant>>,
-    listed: Option<Instant>,
+    removals: BTreeMap<Class, VecDeque<Instant>>,
+    last_list: Option<Instant>,
 }
 
 impl View {
     /// A view that knows no instance.
-    pub fn new(guard: Guard) -> Self {
-        Self { guard, entries: BTreeMap::new(), removed: BTreeMap::new(), listed: None }
+    pub fn new(policy: ViewPolicy) -> Self {
+        Self { policy, entries: BTreeMap::new(), removals: BTreeMap::new(), last_list: None }
     }
 
     /// Takes a list that was fetched.
-    pub fn list(&mut self, now: Instant, members: &[Member]) {
-        self.listed = Some(now);
+    pub fn apply_list(&mut self, now: Instant, members: &[Member]) {
+        self.last_list = Some(now);
         for entry in self.entries.values_mut() {
-            entry.absent.get_or_insert(now);
+            entry.missing_since.get_or_insert(now);
         }
         for member in members {
-            self.note(member);
+            self.upsert_listed(member);
         }
         self.tick(now);
     }
 
     /// Takes an own call that was answered.
-    pub fn answered(&mut self, now: Instant, key: &Key) {
+    pub fn record_answer(&mut self, now: Instant, key: &Key) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.failures = 0;
-            entry.answered = Some(now);
-            entry.tried = Some(now);
+            entry.last_answer = Some(now);
+            entry.last_probe = Some(now);
         }
     }
 
     /// Takes an own call that was not answered.
-    pub fn failed(&mut self, now: Instant, key: &Key) {
+    pub fn record_failure(&mut self, now: Instant, key: &Key) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.failures = entry.failures.saturating_add(1);
-            entry.tried = Some(now);
+            entry.last_probe = Some(now);
         }
     }
 
@@ -180,24 +187,26 @@
     ///
     /// A peer may be cut off where this instance is not, so that its word that an instance is down
     /// only asks for an own try. Its word that one leaves is final: nobody takes that back.
-    pub fn hear(&mut self, now: Instant, key: &Key, word: Word) {
+    pub fn apply_peer_report(&mut self, now: Instant, key: &Key, report: PeerReport) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        match word {
-            Word::Answered(age) => {
-                let fresh = age < self.guard.fresh && entry.failures == 0;
-                entry.answered = if fresh { Some(now) } else { entry.answered };
+        match report {
+            PeerReport::Answered(age) => {
+                let is_recent = age < self.policy.freshness && entry.failures == 0;
+                entry.last_answer = if is_recent { Some(now) } else { entry.last_answer };
+            }
+            PeerReport::Leaving => {
+                entry.leaving_until = Some(now.after(self.policy.suspect_timeout))
             }
-            Word::Leaving => entry.leaving_until = Some(now.after(self.guard.silence)),
-            Word::Down => entry.tried = None,
+            PeerReport::Down => entry.last_probe = None,
         }
     }
 
     /// Forgets instances that are surely gone.
     pub fn tick(&mut self, now: Instant) {
-        for removed in self.removed.values_mut() {
-            removed.retain(|at| now.since(*at) < self.guard.window);
+        for times in self.removals.values_mut() {
+            times.retain(|at| now.since(*at) < self.policy.removal_window);
         }
-        self.removed.retain(|_, removed| !removed.is_empty());
+        self.removals.retain(|_, times| !times.is_empty());
         let suspects = self.suspects();
         let gone: Vec<Key> = self
             .entries
@@ -211,24 +220,24 @@
     }
 
     /// Every instance with its standing.
-    pub fn standings(&self, now: Instant) -> Vec<(&Member, Standing)> {
+    pub fn availabilities(&self, now: Instant) -> Vec<(&Member, Availability)> {
         let suspects = self.suspects();
-        let standing = |(key, entry): (&Key, &Entry)| {
-            self.standing(now, entry, suspects.contains_key(&key.class))
+        let entry_availability = |(key, entry): (&Key, &Entry)| {
+            self.availability(now, entry, suspects.contains_key(&key.class))
         };
-        self.entries.iter().map(|pair| (&pair.1.member, standing(pair))).collect()
+        self.entries.iter().map(|pair| (&pair.1.member, entry_availability(pair))).collect()
     }
 
     /// The instances as the rest of the system should see them: live ones take new work, leaving
     /// ones do not.
     pub fn members(&self, now: Instant) -> Vec<Member> {
-        let state = |standing| match standing {
-            Standing::Live | Standing::Doubted => State::Live,
-            Standing::Leaving | Standing::Down => State::Leaving,
+        let state = |availability| match availability {
+            Availability::Live | Availability::Suspected => State::Live,
+            Availability::Leaving | Availability::Down => State::Leaving,
         };
-        let standings = self.standings(now).into_iter();
-        standings
-            .map(|(member, standing)| Member { state: state(standing), ..member.clone() })
+        let availabilities = self.availabilities(now).into_iter();
+        availabilities
+            .map(|(member, availability)| Member { state: state(availability), ..member.clone() })
             .collect()
     }
 
@@ -236,9 +245,9 @@
     pub fn probes(&self, now: Instant) -> Vec<(Key, SocketAddr)> {
         let suspects = self.suspects();
         let wanted = |(key, entry): &(&Key, &Entry)| {
-            let doubted = entry.absent.is_some() && suspects.contains_key(&key.class);
-            let stale = entry.tried.is_none_or(|tried| now.since(tried) >= self.guard.fresh);
-            (doubted || entry.failures > 0) && stale
+            let suspected = entry.missing_since.is_some() && suspects.contains_key(&key.class);
+            let stale = entry.last_probe.is_none_or(|at| now.since(at) >= self.policy.freshness);
+            (suspected || entry.failures > 0) && stale
         };
         let entries = self.entries.iter().filter(wanted);
         entries.map(|(key, entry)| (key.clone(), entry.member.address)).collect()
@@ -253,71 +262,74 @@
         for (key, entry) in &self.entries {
             let (size, vanished) = known.entry(&key.class).or_default();
             *size += 1;
-            *vanished += usize::from(entry.absent.is_some() && self.is_surprise(entry));
+            *vanished += usize::from(entry.missing_since.is_some() && self.is_unexpected(entry));
         }
         known
             .into_iter()
             .filter(|(_, (_, vanished))| *vanished > 0)
             .filter_map(|(class, (size, vanished))| {
-                let removed = self.removed.get(class).map_or(0, VecDeque::len);
-                let allowed = self.guard.floor.max((size + removed) * self.guard.percent / 100);
-                (vanished + removed > allowed).then(|| (class.clone(), vanished))
+                let recent = self.removals.get(class).map_or(0, VecDeque::len);
+                let allowed = self
+                    .policy
+                    .removable_minimum
+                    .max((size + recent) * self.policy.removable_percent / 100);
+                (vanished + recent > allowed).then(|| (class.clone(), vanished))
             })
             .collect()
     }
 
     /// How long ago the list was last fetched; `None` before it ever was.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.listed.map(|listed| now.since(listed))
+        self.last_list.map(|at| now.since(at))
     }
 
-    fn note(&mut self, member: &Member) {
+    fn upsert_listed(&mut self, member: &Member) {
         let entry =
             self.entries.entry(Key::from(member)).or_insert_with(|| Entry::new(member.clone()));
         // Another address is another process: what was known of the earlier one is void.
         if entry.member.address != member.address {
             *entry = Entry::new(member.clone());
         }
-        entry.absent = None;
+        entry.missing_since = None;
         entry.member = member.clone();
     }
 
-    fn standing(&self, now: Instant, entry: &Entry, suspect: bool) -> Standing {
-        let told = entry.leaving_until.is_some_and(|until| now < until);
+    fn availability(&self, now: Instant, entry: &Entry, suspect: bool) -> Availability {
+        let is_announced = entry.leaving_until.is_some_and(|until| now < until);
         if self.is_down(entry) {
-            return Standing::Down;
+            return Availability::Down;
         }
-        match (entry.absent, entry.member.state) {
-            _ if told => Standing::Leaving,
-            (_, State::Leaving) => Standing::Leaving,
-            (None, State::Live) => Standing::Live,
-            (Some(_), State::Live) if suspect => Standing::Doubted,
-            (Some(_), State::Live) => Standing::Leaving,
+        match (entry.missing_since, entry.member.state) {
+            _ if is_announced => Availability::Leaving,
+            (_, State::Leaving) => Availability::Leaving,
+            (None, State::Live) => Availability::Live,
+            (Some(_), State::Live) if suspect => Availability::Suspected,
+            (Some(_), State::Live) => Availability::Leaving,
         }
     }
 
     fn is_down(&self, entry: &Entry) -> bool {
-        entry.failures >= self.guard.failures
+        entry.failures >= self.policy.failure_threshold
     }
 
     /// Whether nothing but its absence from the list says that the instance goes.
-    fn is_surprise(&self, entry: &Entry) -> bool {
+    fn is_unexpected(&self, entry: &Entry) -> bool {
         entry.member.state == State::Live && !self.is_down(entry)
     }
 
     fn is_gone(&self, now: Instant, entry: &Entry, suspect: bool) -> bool {
-        let Some(absent) = entry.absent else { return false };
-        let silent = now.since(entry.answered.unwrap_or(absent).max(absent));
+        let Some(missing) = entry.missing_since else { return false };
+        let silent = now.since(entry.last_answer.unwrap_or(missing).max(missing));
         match (self.is_down(entry), suspect) {
-            (true, _) | (false, false) => now.since(absent) >= self.guard.grace,
-            (false, true) => silent >= self.guard.silence,
+            (true, _) | (false, false) => now.since(missing) >= self.policy.removal_grace,
+            (false, true) => silent >= self.policy.suspect_timeout,
         }
     }
 
     fn remove(&mut self, now: Instant, key: &Key) {
         let Some(entry) = self.entries.remove(key) else { return };
-        if self.is_surprise(&entry) {
-            self.removed.entry(key.class.clone()).or_default().push_back(now);
+        if self.is_unexpected(&entry) {
+            self.removals.entry(key.class.clone()).or_default().push_back(now);
         }
     }
 }
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -32,7 +32,7 @@
     Unnamed(#[error(not(source))] SocketAddr),
     /// A runner that could never serve a request.
     #[display("runner `{_0}` has no slots or no connections")]
-    Useless(#[error(not(source))] String),
+    NoCapacity(#[error(not(source))] String),
 }
 
 impl From<&super::Member> for Member {
@@ -58,7 +58,7 @@
             member.role,
             Role::Runner { slots: 0, .. } | Role::Runner { connections: 0, .. }
         ) {
-            return Err(Error::Useless(member.name));
+            return Err(Error::NoCapacity(member.name));
         }
         let Member { name, role, domain, address, state } = member;
         Ok(Self { name, role, domain, address, state })
--- a/tests/process/controller.rs
+++ b/tests/process/controller.rs
@@ -17,8 +17,8 @@
 use oriolefork::entry::readiness::Readiness;
 use oriolefork::entry::witness::Witness;
 use oriolefork::membership::follow::{Setup, start};
-use oriolefork::membership::probe::Connect;
-use oriolefork::membership::view::Guard;
+use oriolefork::membership::probe::TcpProbe;
+use oriolefork::membership::view::ViewPolicy;
 use oriolefork::membership::{self, Member, Source};
 use oriolefork::owner::Timings;
 use oriolefork::owner::machine::Machine;
@@ -85,8 +85,8 @@
 fn witness(me: &Instance, clock: &Rc<dyn Clock>) -> Rc<Witness> {
     let members = start(Setup {
         source: Rc::new(Nobody),
-        probe: Rc::new(Connect { timeout: LIMIT }),
-        guard: Guard::default(),
+        probe: Rc::new(TcpProbe { timeout: LIMIT }),
+        policy: ViewPolicy::default(),
         interval: LIMIT,
         clock: clock.clone(),
         stop: Shutdown::new(),
--- a/tests/process/membership.rs
+++ b/tests/process/membership.rs
@@ -9,8 +9,8 @@
 use monoio::{LegacyDriver, RuntimeBuilder};
 use oriolefork::membership::follow::{Handle, Roster, Setup, start};
 use oriolefork::membership::http::Client;
-use oriolefork::membership::probe::Connect;
-use oriolefork::membership::view::Guard;
+use oriolefork::membership::probe::TcpProbe;
+use oriolefork::membership::view::ViewPolicy;
 use oriolefork::membership::{Member, Role, Source, State, wire};
 use oriolefork::shutdown::Shutdown;
 use oriolefork::{clock, http};
@@ -51,8 +51,8 @@
     let client = Rc::new(http::Client::new(http::Limits::default()));
     start(Setup {
         source: Rc::new(Client::new(list, client, Duration::from_secs(1))),
-        probe: Rc::new(Connect { timeout: Duration::from_secs(1) }),
-        guard: Guard { fresh: POLL, ..Guard::default() },
+        probe: Rc::new(TcpProbe { timeout: Duration::from_secs(1) }),
+        policy: ViewPolicy { freshness: POLL, ..ViewPolicy::default() },
         interval: POLL,
         clock: Rc::new(clock::System::start()),
         stop: Shutdown::new(),
