--- a/benches/cell/replay.rs
+++ b/benches/cell/replay.rs
@@ -171,7 +171,7 @@
             replay.revive(number, 0);
         }
         let roster = replay.roster();
-        replay.schedule(0, Event::Told(Message::Roster(roster)));
+        replay.schedule(0, Event::Told(Message::WorkersChanged(roster)));
         replay.schedule(0, Event::Present);
         for kind in 0..site.kinds.len() {
             replay.schedule(1_000, Event::Arrival(kind));
@@ -266,12 +266,12 @@
                 self.workers.remove(&worker);
                 self.parked.remove(&worker);
                 let roster = Roster { present: Vec::new(), gone: vec![worker], whole: false };
-                self.schedule(3_000, Event::Told(Message::Roster(roster)));
+                self.schedule(3_000, Event::Told(Message::WorkersChanged(roster)));
             }
             Event::Return(number) => {
                 self.revive(number, 1);
                 let roster = self.roster();
-                self.schedule(10, Event::Told(Message::Roster(roster)));
+                self.schedule(10, Event::Told(Message::WorkersChanged(roster)));
             }
         }
     }
--- a/src/cell/machine/advice.rs
+++ b/src/cell/machine/advice.rs
@@ -1,14 +1,16 @@
-//! Questions to the policy service, spread over the instances, since it answers each of them one
-//! question at a time.
+//! Queries to the policy service, which decides which workers may run a step.
+//!
+//! The service answers each instance one query at a time, so the owner sends queries through all
+//! instances.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::field::{Field, Fields};
+use super::pending::PendingStep;
 use super::proxy_shares::ProxyShares;
-use super::reservation::Budget;
-use super::waiting::Waiting;
+use super::reservation::GangBudget;
+use super::view::{WorkerView, WorkerViews};
 use super::{Effect, Machine};
 use crate::cell::job::StepKey;
 use crate::cell::link::Allowed;
@@ -18,119 +20,125 @@
 use crate::cell::timings::{ADVICE_REST, ADVICE_SLACK, ADVICE_WORKERS};
 use crate::clock::Instant;
 
-/// Workers asked about at least, where so many have room: a question costs far more than a name.
-const FEW_WORKERS: usize = 10;
+/// Fewest workers in a query, if that many have free capacity: the fixed cost of a query is far
+/// higher than the cost per worker.
+const MIN_QUERY_WORKERS: usize = 10;
 
-/// Times the tasks to place that the workers asked about should have room for, eligible ones alone.
-const MARGIN: f64 = 1.5;
+/// Number of tasks that the queried workers should have capacity for, as a multiple of the tasks to
+/// place. Counts only workers that are expected to be eligible.
+const WORKER_FACTOR: f64 = 1.5;
 
-/// The same for gangs, where each worker counts with a task at least: others are placed on many of them
-/// while the question is under way.
-const GANG_MARGIN: f64 = 3.0;
+/// The same factor for gangs, where each worker counts for at least one task. It is higher because
+/// other tasks are placed on many of the workers before the answer arrives.
+const GANG_FACTOR: f64 = 3.0;
 
-/// Times the workers expected to suffice that a question about a gang names: most of its time is not for
-/// the names, and a second one would take that time again.
-const AMPLE: f64 = 2.0;
+/// Factor by which a query about a gang exceeds the workers expected to suffice. Most of the time
+/// of a query does not depend on the number of workers, and a second query would take that time
+/// again.
+const GANG_QUERY_FACTOR: f64 = 2.0;
 
-/// Share of eligible workers that is assumed before the first answer; the lowest that was seen.
-const UNKNOWN_SHARE: f64 = 0.25;
+/// Share of workers assumed to be eligible before the first answer; the lowest share observed.
+const INITIAL_ELIGIBLE_SHARE: f64 = 0.25;
 
-/// Share below which no more names are thought to help: a question names a hundred at most.
-const LEAST_SHARE: f64 = 0.05;
+/// Lower bound of the assumed share: a query names at most 100 workers, so a smaller share cannot
+/// be made up for by naming more.
+const MIN_ELIGIBLE_SHARE: f64 = 0.05;
 
-/// Part of other steps' tasks, and number of tasks, from which a question is worth its time.
-const WORTH_ASKING: f64 = 0.25;
-const WORTH_ASKING_TASKS: f64 = 8.0;
+/// Fraction of a step's tasks, and number of tasks, from which a query about a step that is not a
+/// gang is worth its time.
+const MIN_USEFUL_FRACTION: f64 = 0.25;
+const MIN_USEFUL_TASKS: f64 = 8.0;
 
-/// A question about one step.
+/// A query to the policy service about one step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PolicyQuery {
     /// Its number.
     pub number: u64,
-    /// The instance that asks it.
+    /// Instance that sends it.
     pub proxy: SocketAddr,
     /// The step.
     pub step: StepKey,
-    /// Workers asked about.
+    /// Workers that the query is about.
     pub workers: Vec<WorkerId>,
-    /// How long tickets hold, unless the answer says otherwise.
+    /// How long tickets are valid unless the answer states another time.
     pub ticket_lifetime: Duration,
-    /// When it was asked.
+    /// When it was sent.
     pub sent: Instant,
-    /// Time after which no answer is to be expected.
+    /// Time after which the query counts as failed.
     pub timeout: Duration,
 }
 
-/// Workers that a question may name.
+/// Workers that a query may name.
 #[derive(Default)]
 struct Candidates<'a> {
-    workers: Vec<(&'a Field, f64)>,
-    /// Tasks that they have room for together.
+    workers: Vec<(&'a WorkerView, f64)>,
+    /// Tasks that they have capacity for in total.
     slots: f64,
 }
 
 impl<'a> Candidates<'a> {
-    fn add(&mut self, field: &'a Field, slots: f64) {
-        self.workers.push((field, slots));
+    fn add(&mut self, view: &'a WorkerView, slots: f64) {
+        self.workers.push((view, slots));
         self.slots += slots;
     }
 
-    /// The fewest of them with room for `wanted` tasks, those with the most room first.
+    /// Chooses the fewest workers with capacity for `wanted` tasks, those with the most free CPU
+    /// first.
     fn choose(mut self, wanted: f64) -> Vec<WorkerId> {
-        self.workers.sort_by_key(|(field, _)| Reverse(field.room.cpu_millis));
-        let mut chosen = Choice::new(wanted);
-        for (field, here) in self.workers {
+        self.workers.sort_by_key(|(view, _)| Reverse(view.free.cpu_millis));
+        let mut chosen = QueryTargets::new(wanted);
+        for (view, here) in self.workers {
             if chosen.is_enough() {
                 break;
             }
-            chosen.add(field, here);
+            chosen.add(view, here);
         }
         chosen.workers
     }
 }
 
-/// Workers that a question names, as few as suffice for the tasks that it is about.
-struct Choice {
+/// Workers chosen for a query, as few as suffice for the wanted tasks.
+struct QueryTargets {
     workers: Vec<WorkerId>,
-    /// Tasks that they have room for together.
+    /// Tasks that they have capacity for in total.
     slots: f64,
     wanted: f64,
 }
 
-impl Choice {
+impl QueryTargets {
     const fn new(wanted: f64) -> Self {
         Self { workers: Vec::new(), slots: 0.0, wanted }
     }
 
     fn is_enough(&self) -> bool {
-        let suffices = self.slots >= self.wanted && self.workers.len() >= FEW_WORKERS;
+        let suffices = self.slots >= self.wanted && self.workers.len() >= MIN_QUERY_WORKERS;
         suffices || self.workers.len() >= ADVICE_WORKERS
     }
 
-    fn add(&mut self, field: &Field, slots: f64) {
+    fn add(&mut self, view: &WorkerView, slots: f64) {
         self.slots += slots;
-        self.workers.push(field.id.clone());
+        self.workers.push(view.id.clone());
     }
 }
 
 impl Machine {
-    /// Asks the policy service what is still needed to place the step.
+    /// Sends the query that the step still needs before it can be placed, if there is one.
     pub(super) fn query_policy(
         &mut self,
-        step: &Waiting,
+        step: &PendingStep,
         advice: &Advice,
-        fields: &mut Fields,
+        views: &mut WorkerViews,
         shares: &mut ProxyShares,
-        budget: &mut Budget,
+        budget: &mut GangBudget,
     ) {
         let now = self.now;
-        let gang = step.model().gang;
+        let gang = step.spec().gang;
         let tickets = self.tickets.entry(step.key).or_default();
         if tickets.is_asking() && !gang || !tickets.is_due(now) {
             return;
         }
         shares.note_turn(&step.queue);
-        if gang && budget.is_spent(step) && !self.is_under_way(step) {
+        if gang && budget.is_exhausted(step) && !self.has_query_or_tickets(step) {
             return;
         }
         let Some(proxy) = self.idle_proxy() else { return };
@@ -138,141 +146,158 @@
         if !admitted && !shares.may_defer() {
             return;
         }
-        fields.sort();
-        let query = self.query_workers(step, advice, fields);
-        if gang && !query.is_empty() && !self.is_under_way(step) && !budget.take(step) {
+        views.sort();
+        let workers = self.query_workers(step, advice, views);
+        if gang && !workers.is_empty() && !self.has_query_or_tickets(step) && !budget.try_take(step)
+        {
             return;
         }
-        if !query.is_empty() && admitted {
+        if !workers.is_empty() && admitted {
             shares.take(&step.queue);
-            self.ask(proxy, step.key, query, advice);
-        } else if !query.is_empty() {
-            shares.defer_query(step.key, query, *advice);
+            self.send_query(proxy, step.key, workers, advice);
+        } else if !workers.is_empty() {
+            shares.defer_query(step.key, workers, *advice);
         } else if let Some(tickets) = self.tickets.get_mut(&step.key) {
             tickets.rest(now.after(ADVICE_REST));
         }
     }
 
-    /// Workers to ask about: those with room whose answer may let the step begin.
+    /// Returns the workers to query: those with capacity whose eligibility may let the step start.
     ///
-    /// Guards against a policy service that is kept busy in vain: on a grown site that is full, steps
-    /// without room renewed their tickets all the time, 29 of 30 instances were always asking, and
-    /// new jobs waited for their first answer beside room that came free.
-    fn query_workers(&self, step: &Waiting, advice: &Advice, fields: &Fields) -> Vec<WorkerId> {
+    /// Guards against needless load on the policy service. On a large site without free capacity,
+    /// steps that could not be placed renewed their tickets all the time; 29 of 30 instances always
+    /// had a query in flight, and new jobs waited for their first answer although capacity became
+    /// free.
+    fn query_workers(
+        &self,
+        step: &PendingStep,
+        advice: &Advice,
+        views: &WorkerViews,
+    ) -> Vec<WorkerId> {
         let Some(tickets) = self.tickets.get(&step.key) else { return Vec::new() };
-        if step.model().gang {
-            return self.gang_query_workers(step, fields, tickets);
+        if step.spec().gang {
+            return self.gang_query_workers(step, views, tickets);
         }
         let wanted = step.pending.len() as f64;
         let (asked, eligible) = tickets.tally();
         let expected = advice.time_ms(eligible);
         let soon = self.now.after(Duration::from_millis(expected.max(0.0) as u64));
         let mut room = 0.0;
-        let mut lapsing = Candidates::default();
+        let mut expiring = Candidates::default();
         for (worker, until) in tickets.eligible() {
-            let Some(at) = fields.find(worker) else { continue };
-            let slots = self.reachable_slots(at, step, fields);
+            let Some(at) = views.find(worker) else { continue };
+            let slots = self.slots_with_preemption(at, step, views);
             room += slots;
             if until <= soon && slots > 0.0 {
-                lapsing.add(fields.get(at), slots);
+                expiring.add(views.get(at), slots);
             }
         }
-        if room - lapsing.slots >= wanted {
+        if room - expiring.slots >= wanted {
             return Vec::new();
         }
         if room < wanted && asked < self.workers.len() {
-            let further = self.further(step, fields, (wanted - room) * MARGIN);
-            if !further.is_empty() {
-                return further;
+            let unqueried = self.unqueried_workers(step, views, (wanted - room) * WORKER_FACTOR);
+            if !unqueried.is_empty() {
+                return unqueried;
             }
         }
-        if room >= (wanted * WORTH_ASKING).min(WORTH_ASKING_TASKS) {
-            return lapsing.choose(wanted * MARGIN);
+        if room >= (wanted * MIN_USEFUL_FRACTION).min(MIN_USEFUL_TASKS) {
+            return expiring.choose(wanted * WORKER_FACTOR);
         }
         Vec::new()
     }
 
-    /// Workers to ask about for a gang: further ones until those known are good for several times
-    /// its tasks, also beside a question under way, so that all tickets hold at the same time; then
-    /// those known, once no ticket holds any more.
+    /// Returns the workers to query for a gang: unqueried ones until the known ones have capacity
+    /// for several times its tasks, even while another query is in flight, so that all tickets are
+    /// valid at the same time. After that, it returns the known workers once no ticket is valid any
+    /// more.
     ///
-    /// Guards against a wide gang that is asked about bit by bit: a question takes as long as a
-    /// ticket holds, so that it never had tickets for all its tasks at once.
+    /// Guards against querying a wide gang in small parts: a query takes as long as a ticket is
+    /// valid, so that the gang never had tickets for all its tasks at once.
     fn gang_query_workers(
         &self,
-        step: &Waiting,
-        fields: &Fields,
+        step: &PendingStep,
+        views: &WorkerViews,
         tickets: &Tickets,
     ) -> Vec<WorkerId> {
-        // Those behind it have their turn first. Guards against a gang that never fits and has its
-        // tickets renewed as long as it waits, while narrow ones find nobody to ask for them.
+        // Steps that rank behind it are queried first. Otherwise a gang that never fits has its
+        // tickets renewed for as long as it waits, while narrow gangs find no idle instance.
         if !tickets.is_asking() && tickets.expired_within(ADVICE_REST, self.now) {
             return Vec::new();
         }
-        let wanted = step.pending.len() as f64 * GANG_MARGIN;
-        let prospects = |at: usize| self.reachable_slots(at, step, fields).max(1.0);
+        let wanted = step.pending.len() as f64 * GANG_FACTOR;
+        let prospects = |at: usize| self.slots_with_preemption(at, step, views).max(1.0);
         let mut known = Candidates::default();
-        for at in tickets.eligible().filter_map(|(worker, _)| fields.find(worker)) {
-            known.add(fields.get(at), prospects(at));
+        for at in tickets.eligible().filter_map(|(worker, _)| views.find(worker)) {
+            known.add(views.get(at), prospects(at));
         }
-        let awaited = tickets.awaited().filter_map(|worker| fields.find(worker));
-        let expected = known.slots + awaited.map(prospects).sum::<f64>() * self.share(step);
+        let awaited = tickets.awaited().filter_map(|worker| views.find(worker));
+        let expected =
+            known.slots + awaited.map(prospects).sum::<f64>() * self.eligible_share(step);
         if expected < wanted {
-            let further = self.further(step, fields, (wanted - expected) * AMPLE);
-            if !further.is_empty() {
-                return further;
+            let unqueried =
+                self.unqueried_workers(step, views, (wanted - expected) * GANG_QUERY_FACTOR);
+            if !unqueried.is_empty() {
+                return unqueried;
             }
         }
-        if self.is_under_way(step) {
+        if self.has_query_or_tickets(step) {
             return Vec::new();
         }
         known.choose(wanted)
     }
 
-    /// Share of the workers that may be expected to be eligible for a step.
-    fn share(&self, step: &Waiting) -> f64 {
-        let share = self.eligible_shares.get(&step.queue.name).copied().unwrap_or(UNKNOWN_SHARE);
-        share.max(LEAST_SHARE)
+    /// Returns the share of workers that are expected to be eligible for the step.
+    fn eligible_share(&self, step: &PendingStep) -> f64 {
+        let share =
+            self.eligible_shares.get(&step.queue.name).copied().unwrap_or(INITIAL_ELIGIBLE_SHARE);
+        share.max(MIN_ELIGIBLE_SHARE)
     }
 
-    /// Workers that nobody has asked about for the step, those with the most room first, until
-    /// enough of them may be expected to have room and to be eligible.
-    fn further(&self, step: &Waiting, fields: &Fields, wanted: f64) -> Vec<WorkerId> {
+    /// Returns workers that have not been queried for the step, those with the most free CPU first,
+    /// until enough of them are expected to be eligible and to have capacity.
+    fn unqueried_workers(
+        &self,
+        step: &PendingStep,
+        views: &WorkerViews,
+        wanted: f64,
+    ) -> Vec<WorkerId> {
         let Some(tickets) = self.tickets.get(&step.key) else { return Vec::new() };
-        let model = step.model();
+        let spec = step.spec();
         let service = &step.queue.service;
-        let wanted = if model.same_rack || model.data_rack.is_some() {
+        let wanted = if spec.same_rack || spec.data_rack.is_some() {
             f64::INFINITY
         } else {
-            wanted / self.share(step)
+            wanted / self.eligible_share(step)
         };
-        let mut chosen = Choice::new(wanted);
-        for at in fields.by_room() {
+        let mut chosen = QueryTargets::new(wanted);
+        for at in views.by_free_cpu() {
             if chosen.is_enough() {
                 break;
             }
-            let field = fields.get(at);
-            if !tickets.is_unasked(&field.id) {
+            let view = views.get(at);
+            if !tickets.is_unasked(&view.id) {
                 continue;
             }
-            let slots = self.reachable_slots(at, step, fields);
-            // Room for a gang's tasks comes free on all its workers while they are kept for it.
-            if model.gang && field.suits(service, model) {
-                chosen.add(field, slots.max(1.0));
+            let slots = self.slots_with_preemption(at, step, views);
+            // Capacity for a gang's tasks becomes free on all its workers while they are reserved
+            // for it.
+            if spec.gang && view.matches(service, spec) {
+                chosen.add(view, slots.max(1.0));
             } else if slots > 0.0 {
-                chosen.add(field, slots);
+                chosen.add(view, slots);
             }
         }
         chosen.workers
     }
 
-    /// An instance that can ask now.
+    /// Returns an instance that can send a query now.
     pub(super) fn idle_proxy(&self) -> Option<SocketAddr> {
         self.proxies.iter().find(|(_, proxy)| proxy.is_idle(self.now)).map(|(peer, _)| *peer)
     }
 
-    /// Has `asker` ask about `workers`.
-    pub(super) fn ask(
+    /// Sends a query about `workers` through the instance `proxy`.
+    pub(super) fn send_query(
         &mut self,
         proxy: SocketAddr,
         step: StepKey,
@@ -324,14 +349,14 @@
         if let Some(tickets) = self.tickets.get_mut(&query.step) {
             tickets.answer(&query.workers, allowed, query.ticket_lifetime, self.now);
             let tally = tickets.tally();
-            self.learn_share(&query.step, tally);
+            self.update_eligible_share(&query.step, tally);
         }
-        self.dirty = true;
+        self.needs_placement = true;
     }
 
-    /// Learns which share of the workers may run a queue's steps, so that the next question names
-    /// about as many as are needed.
-    fn learn_share(&mut self, step: &StepKey, (asked, eligible): (usize, usize)) {
+    /// Updates the mean share of workers that may run a queue's steps, from which the size of the
+    /// next query is computed.
+    fn update_eligible_share(&mut self, step: &StepKey, (asked, eligible): (usize, usize)) {
         /// Weight of one answer in the mean.
         const WEIGHT: f64 = 0.1;
         let Some(entry) = self.state.jobs.get(&step.job) else { return };
--- a/src/cell/machine/backlog.rs
+++ b/src/cell/machine/backlog.rs
@@ -1,98 +1,117 @@
-//! What waits and what it waits for, told in the log once a second.
+//! Logs once a second what waits for placement and why.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 
 use super::Machine;
-use super::field::Fields;
-use super::lack::{Lack, Readiness};
-use super::rank::Hope;
-use super::waiting::Waiting;
+use super::blocker::{Blocker, GangReadiness};
+use super::pending::PendingStep;
+use super::rank::Timeliness;
+use super::view::WorkerViews;
 use crate::clock::Instant;
 
-/// Rest between two lines.
-const REST: Duration = Duration::from_secs(1);
+/// Interval between two log lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Gangs that get a line of their own, the widest first: a wide one needs most at once.
-const DETAILED: usize = 4;
+/// Number of gangs with a log line of their own. The widest are logged, since they need the most
+/// capacity at once.
+const MAX_DETAILED_GANGS: usize = 4;
 
-/// What the next line needs beside the present state.
+/// State that the next log line needs.
 #[derive(Debug)]
-pub(super) struct Backlog {
+pub(super) struct BacklogLog {
     next: Instant,
-    /// Rounds of placement since the last line.
+    /// Placement rounds since the last line.
     rounds: u32,
 }
 
-impl Backlog {
+impl BacklogLog {
     pub(super) const fn new(now: Instant) -> Self {
         Self { next: now, rounds: 0 }
     }
 }
 
 impl Machine {
-    /// Tells the log how many steps wait, how many of them nobody has asked the policy service
-    /// about, how many instances could ask and how much room is left: steps that wait beside free
-    /// workers are told apart from those that find none.
-    pub(super) fn tell_backlog(&mut self, waiting: &[Waiting], fields: &Fields, whole: bool) {
+    /// Logs how many steps wait, how many of them the policy service has not been queried about,
+    /// how many instances could send queries, and how much CPU is free. This shows whether steps
+    /// wait although workers are free.
+    pub(super) fn log_backlog(
+        &mut self,
+        waiting: &[PendingStep],
+        views: &WorkerViews,
+        full_scan: bool,
+    ) {
         self.backlog.rounds += 1;
-        if !whole || self.now < self.backlog.next {
+        if !full_scan || self.now < self.backlog.next {
             return;
         }
-        self.backlog.next = self.now.after(REST);
+        self.backlog.next = self.now.after(LOG_INTERVAL);
         let rounds = std::mem::take(&mut self.backlog.rounds);
-        let hopes = [Hope::OnTime, Hope::Late, Hope::Worthless];
-        let [on_time, late, worthless] =
-            hopes.map(|hope| waiting.iter().filter(|step| step.rank.hope == hope).count());
-        let gangs = waiting.iter().filter(|step| step.model().gang).count();
+        let classes = [Timeliness::OnTime, Timeliness::Late, Timeliness::Worthless];
+        let [on_time, late, worthless] = classes.map(|timeliness| {
+            waiting.iter().filter(|step| step.rank.timeliness == timeliness).count()
+        });
+        let gangs = waiting.iter().filter(|step| step.spec().gang).count();
         let unasked = waiting.iter().filter(|step| self.is_unqueried(step)).count();
         let fresh = self.proxies.values().filter(|proxy| proxy.is_fresh(self.now)).count();
         let idle = self.proxies.values().filter(|proxy| proxy.is_idle(self.now)).count();
-        let (free, cores) = (fields.free_cpu_millis() / 1_000, fields.cpu_millis() / 1_000);
+        let (free, cores) = (views.free_cpu_millis() / 1_000, views.cpu_millis() / 1_000);
         log::info!(
             "event=steps.waiting on_time={on_time} late={late} worthless={worthless} gangs={gangs} \
              unasked={unasked} askers={fresh} idle_askers={idle} free_cores={free} cores={cores} \
              workers={} rounds={rounds}",
-            fields.count()
+            views.count()
         );
-        self.tell_gangs(waiting, fields, Hope::OnTime);
-        self.tell_gangs(waiting, fields, Hope::Late);
+        self.log_gangs(waiting, views, Timeliness::OnTime);
+        self.log_gangs(waiting, views, Timeliness::Late);
     }
 
-    /// Tells what the gangs of that hope lack and how wide they are, and of the widest how far each
-    /// is: one that waits for room is told apart from one whose tickets expired beside it.
-    fn tell_gangs(&self, waiting: &[Waiting], fields: &Fields, hope: Hope) {
-        let gangs = waiting.iter().filter(|step| step.model().gang && step.rank.hope == hope);
-        let mut gangs: Vec<(&Waiting, Readiness)> =
-            gangs.map(|step| (step, self.readiness(step, fields))).collect();
+    /// Logs how many gangs of one timeliness class wait for what and how wide they are, with
+    /// details of the widest. This tells gangs that wait for capacity from those whose tickets
+    /// expired while capacity was free.
+    fn log_gangs(&self, waiting: &[PendingStep], views: &WorkerViews, timeliness: Timeliness) {
+        let gangs =
+            waiting.iter().filter(|step| step.spec().gang && step.rank.timeliness == timeliness);
+        let mut gangs: Vec<(&PendingStep, GangReadiness)> =
+            gangs.map(|step| (step, self.readiness(step, views))).collect();
         if gangs.is_empty() {
             return;
         }
-        let lacks = [Lack::Answer, Lack::Workers, Lack::Room, Lack::Tickets, Lack::Nothing];
-        let counts = lacks.map(|lack| {
-            let tasks = gangs.iter().filter(|(_, gang)| gang.lacks == lack);
+        let blockers = [
+            Blocker::PolicyAnswer,
+            Blocker::EligibleWorkers,
+            Blocker::FreeCapacity,
+            Blocker::Tickets,
+            Blocker::Nothing,
+        ];
+        let counts = blockers.map(|blocker| {
+            let tasks = gangs.iter().filter(|(_, gang)| gang.blocker == blocker);
             let tasks: Vec<usize> = tasks.map(|(_, gang)| gang.tasks).collect();
             let mean = tasks.iter().sum::<usize>() / tasks.len().max(1);
-            format!("lacks_{lack}={} tasks_{lack}={mean}", tasks.len())
+            format!("lacks_{blocker}={} tasks_{blocker}={mean}", tasks.len())
         });
-        log::info!("event=gangs.waiting hope={hope:?} gangs={} {}", gangs.len(), counts.join(" "));
+        log::info!(
+            "event=gangs.waiting hope={timeliness:?} gangs={} {}",
+            gangs.len(),
+            counts.join(" ")
+        );
         gangs.sort_by_key(|(_, gang)| Reverse(gang.tasks));
-        for (step, gang) in gangs.iter().take(DETAILED) {
+        for (step, gang) in gangs.iter().take(MAX_DETAILED_GANGS) {
             log::info!(
-                "event=gang.waiting step={} hope={hope:?} tasks={} eligible={} fits={} \
+                "event=gang.waiting step={} hope={timeliness:?} tasks={} eligible={} fits={} \
                  fits_ticketed={} lacks={}",
                 step.key,
                 gang.tasks,
                 gang.eligible,
                 gang.fits,
                 gang.ticketed,
-                gang.lacks
+                gang.blocker
             );
         }
     }
 
-    /// Whether the step needs the policy service's word and nobody has asked for it.
-    pub(super) fn is_unqueried(&self, step: &Waiting) -> bool {
+    /// Whether the step needs a decision of the policy service and no query about it has been sent.
+    pub(super) fn is_unqueried(&self, step: &PendingStep) -> bool {
         let tickets = self.tickets.get(&step.key);
         step.queue.advice.is_some()
             && tickets.is_none_or(|tickets| tickets.tally().0 == 0 && !tickets.is_asking())
--- a/src/cell/machine/calls.rs
+++ b/src/cell/machine/calls.rs
@@ -1,6 +1,6 @@
-//! Callers' calls.
+//! Calls of callers: submit, cancel, show and count jobs.
 
-use super::commit::Deferred;
+use super::journal_queue::Deferred;
 use super::{Answer, Call, CallId, Effect, Machine};
 use crate::cell::job::{Id, Job, Phase};
 use crate::cell::record::Record;
@@ -27,36 +27,37 @@
         self.effects.push(Effect::Reply { id, answer });
     }
 
-    /// A job that is known already is accepted again: the caller has lost the first answer.
+    /// Accepts a job. A job that is already known is accepted again, because its caller may not
+    /// have received the first answer.
     ///
-    /// While the store is slow, new jobs wait outside the journal, and are refused once it is stuck.
-    /// Guards against an outage that turns every caller's job into one that may or may not run:
-    /// what has been queued for the journal is written when the store is back, so that its caller
-    /// cannot be told that it was not taken.
+    /// While the store is slow, new jobs wait outside the journal; once the store is stuck, they
+    /// are refused. Guards against an outage that leaves every caller's job in an unknown state: a
+    /// job that is queued for the journal is still written when the store returns, so its caller
+    /// cannot be told that it was refused.
     fn submit(&mut self, id: CallId, job: Job) {
         if self.state.jobs.contains_key(&job.id) {
             return self.defer(Deferred::Reply(id, Answer::Accepted));
         }
-        if self.commit.is_stuck(self.now) {
+        if self.journal.is_stuck(self.now) {
             return self.reply(id, Answer::Unavailable);
         }
-        if self.commit.is_slow(self.now) {
-            self.admission.push((id, job));
+        if self.journal.is_slow(self.now) {
+            self.delayed_jobs.push((id, job));
             return;
         }
         self.admit(id, job);
     }
 
-    /// Takes in or refuses the jobs that waited for the journal.
-    pub(super) fn review_admission(&mut self) {
-        if self.admission.is_empty() {
+    /// Accepts or refuses the jobs that were delayed by a slow store.
+    pub(super) fn admit_delayed_jobs(&mut self) {
+        if self.delayed_jobs.is_empty() {
             return;
         }
-        let stuck = self.commit.is_stuck(self.now);
-        if !stuck && self.commit.is_slow(self.now) {
+        let stuck = self.journal.is_stuck(self.now);
+        if !stuck && self.journal.is_slow(self.now) {
             return;
         }
-        for (id, job) in std::mem::take(&mut self.admission) {
+        for (id, job) in std::mem::take(&mut self.delayed_jobs) {
             if stuck {
                 self.reply(id, Answer::Unavailable);
             } else {
@@ -75,9 +76,9 @@
                 job.steps.iter().map(|step| step.count).sum::<u32>()
             );
             names::CELL_JOBS.increment(&[("outcome", "accepted")]);
-            self.hopeful.add(job.id);
+            self.round_jobs.add(job.id);
             self.record(Record::Accepted { at: self.unix, job });
-            self.dirty = true;
+            self.needs_placement = true;
         }
         self.defer(Deferred::Reply(id, Answer::Accepted));
     }
@@ -87,13 +88,13 @@
             let answer = self.unknown();
             return self.reply(id, answer);
         };
-        if !phase.is_final() && self.commit.is_stuck(self.now) {
+        if !phase.is_final() && self.journal.is_stuck(self.now) {
             return self.reply(id, Answer::Unavailable);
         }
         if !phase.is_final() {
             log::info!("event=job.cancelled job={job}");
             self.record(Record::Cancelled { job });
-            self.settle(job);
+            self.finish_job(job);
             self.stop_job(job);
         }
         self.defer(Deferred::Reply(id, Answer::Cancelled));
@@ -101,7 +102,7 @@
 
     fn show(&self, job: Id) -> Answer {
         match self.phase_of(job) {
-            Some(phase) if phase.is_final() && self.unsettled.contains(&job) => {
+            Some(phase) if phase.is_final() && self.unstored_ends.contains(&job) => {
                 Answer::Phase(Phase::Running)
             }
             Some(phase) => Answer::Phase(phase),
@@ -109,12 +110,12 @@
         }
     }
 
-    /// Says that a job is unknown only while this instance surely still owns the cell.
+    /// Answers that a job is unknown only while this instance is certain to own the cell.
     ///
-    /// Guards against an owner that was cut from the store and replaced: it knows nothing of what
-    /// its successor accepted, and a caller would take its job for lost.
+    /// Guards against an owner that lost its connection to the store and was replaced: it has no
+    /// record of the jobs that its successor accepted, and the caller would take its job for lost.
     fn unknown(&self) -> Answer {
-        if self.now.since(self.commit.last_write_sent()) < VOUCH {
+        if self.now.since(self.journal.last_write_sent()) < VOUCH {
             Answer::Unknown
         } else {
             Answer::Unavailable
--- /dev/null
+++ b/src/cell/machine/commands.rs
@@ -0,0 +1,267 @@
+//! Start and stop commands to workers, and the answers to them.
+
+use std::time::Duration;
+
+use super::{Effect, Machine, Stage};
+use crate::cell::job::{End, Run};
+use crate::cell::link::{Fault, Start};
+use crate::cell::timings::{ORDER_RETRY, START_TRIES};
+
+impl Machine {
+    /// Sends the commands that are due.
+    pub(super) fn send_commands(&mut self) {
+        self.schedule_changed_runs();
+        for run in self.commands.due(self.now, usize::MAX) {
+            let Some(stage) = self.runs.get(&run).map(|active| active.stage) else { continue };
+            match stage {
+                Stage::Starting { in_flight: false } if self.is_capacity_known(run) => {
+                    self.send_start(run)
+                }
+                Stage::Stopping { in_flight: false, acknowledged: None } => self.send_stop(run),
+                _ => {}
+            }
+        }
+    }
+
+    fn schedule_changed_runs(&mut self) {
+        for run in self.runs.take_changed() {
+            let active = self.runs.get(&run).filter(|active| active.stage.needs_command());
+            self.commands.set(&run, active.map(|active| active.next_command));
+        }
+    }
+
+    /// Whether the capacity of the attempt's worker is known; until then, its command waits.
+    fn is_capacity_known(&self, run: Run) -> bool {
+        let active = self.runs.get(&run);
+        let worker = active.and_then(|active| self.workers.get(&active.worker));
+        let known_for = self.timings.room_known_for;
+        worker.is_none_or(|worker| worker.is_room_known(known_for, self.now))
+    }
+
+    fn send_start(&mut self, run: Run) {
+        let Some(start) = self.start_command(run) else {
+            // The ticket has expired, or the worker is gone or overcommitted; no command was sent.
+            return self.abandon_start(run);
+        };
+        let Some(active) = self.runs.get_mut(&run) else { return };
+        active.stage = Stage::Starting { in_flight: true };
+        active.starts_sent += 1;
+        active.start_lease_end_ms = active.start_lease_end_ms.max(start.until_ms);
+        let worker = active.worker.clone();
+        let Some(peer) = self.workers.get(&worker).map(super::Worker::address) else { return };
+        self.effects.push(Effect::Start { worker, peer, start });
+    }
+
+    fn start_command(&mut self, run: Run) -> Option<Start> {
+        let (epoch, now, may_extend_leases) = (self.epoch, self.now, self.may_extend_leases());
+        let active = self.runs.get(&run)?;
+        let worker = self.workers.get_mut(&active.worker)?;
+        if worker.is_overcommitted() {
+            return None;
+        }
+        let key = run.task.step;
+        let entry = self.state.jobs.get(&key.job)?;
+        let spec = entry.job.steps.get(key.step as usize)?;
+        let queue = self.config.queue(&entry.job.queue)?;
+        let ticket = match queue.advice {
+            Some(_) => Some(self.tickets.get(&key)?.valid(&worker.id, now)?.to_owned()),
+            None => None,
+        };
+        let step = self.state.step(&key)?;
+        let saved = if spec.gang {
+            step.saved.clone()
+        } else {
+            step.tasks.get(run.task.index as usize)?.saved.clone()
+        };
+        let until_ms = if may_extend_leases { worker.lease.grant(now)? } else { return None };
+        Some(Start { epoch, run, payload: entry.job.clone(), until_ms, saved, ticket })
+    }
+
+    /// Ends an attempt that cannot have started, or stops it if a start command may still arrive.
+    fn abandon_start(&mut self, run: Run) {
+        let Some(active) = self.runs.get(&run) else { return };
+        if active.may_have_arrived {
+            self.stop_run(run);
+        } else {
+            self.end_run(run, End::Void, String::new());
+        }
+    }
+
+    fn send_stop(&mut self, run: Run) {
+        let Some(active) = self.runs.get_mut(&run) else { return };
+        let Some(worker) = self.workers.get(&active.worker) else { return };
+        active.stage = Stage::Stopping { in_flight: true, acknowledged: None };
+        let peer = worker.address();
+        self.effects.push(Effect::Stop { worker: active.worker.clone(), peer, run });
+    }
+
+    pub(super) fn start_answered(&mut self, worker: &str, run: Run, outcome: Result<u64, Fault>) {
+        let now = self.now;
+        self.note_response(worker, &outcome);
+        if let Ok(clock_ms) = outcome {
+            self.read_clock(worker, clock_ms);
+        }
+        let Some(active) = self.runs.get_mut(&run) else { return };
+        if active.stage != (Stage::Starting { in_flight: true }) {
+            return self.late_start_answer(run, &outcome);
+        }
+        active.stage = Stage::Starting { in_flight: false };
+        match outcome {
+            Ok(_) => {
+                active.stage = Stage::Running(now);
+                active.start_confirmed = true;
+                active.since = now;
+                active.progress = (0, now);
+                let stop_requested = active.stop_requested;
+                self.state.note_started(run.task.step.job);
+                if stop_requested {
+                    self.stop_run(run);
+                }
+            }
+            Err(fault) => self.start_failed(worker, run, &fault),
+        }
+    }
+
+    /// Handles the answer to a start command that arrives after a stop or a poll has changed the
+    /// attempt's stage.
+    fn late_start_answer(&mut self, run: Run, outcome: &Result<u64, Fault>) {
+        let unknown = matches!(outcome, Err(Fault::Unknown(_)));
+        if let Some(active) = self.runs.get_mut(&run) {
+            active.may_have_arrived |= unknown;
+        }
+    }
+
+    fn start_failed(&mut self, worker: &str, run: Run, fault: &Fault) {
+        let now = self.now;
+        log::info!(
+            "event=task.start_failed task={run} worker={worker} cause={:?}",
+            fault.to_string()
+        );
+        let Some(active) = self.runs.get_mut(&run) else { return };
+        match fault {
+            Fault::Fenced => self.step_down(worker),
+            Fault::OtherLife => self.remove_dead_worker(worker, "another_life"),
+            // The attempt has already ended on the worker; the next poll either lists that end or
+            // nothing.
+            Fault::Over => active.stage = Stage::Running(now),
+            Fault::Late => active.next_command = now.after(ORDER_RETRY),
+            Fault::NotSent(_) | Fault::Unknown(_) => {
+                active.may_have_arrived |= matches!(fault, Fault::Unknown(_));
+                active.next_command = now.after(ORDER_RETRY);
+                // Workers carry out a repeated command once, so that a repetition shows whether the
+                // first command arrived.
+                if active.starts_sent >= START_TRIES {
+                    self.note_unresponsive(worker);
+                    self.abandon_start(run);
+                }
+            }
+            Fault::Ticket => {
+                if let Some(tickets) = self.tickets.get_mut(&run.task.step) {
+                    tickets.expire(worker);
+                }
+                self.abandon_start(run);
+            }
+            Fault::NoRoom | Fault::Unhealthy | Fault::Refused(_) => {
+                if let Some(worker) = self.workers.get_mut(worker) {
+                    worker.distrust(now);
+                }
+                self.abandon_start(run);
+            }
+        }
+    }
+
+    /// Stops an attempt as soon as its worker can be reached.
+    pub(super) fn stop_run(&mut self, run: Run) {
+        let now = self.now;
+        let Some(active) = self.runs.get_mut(&run) else { return };
+        active.stop_requested = true;
+        match active.stage {
+            Stage::Recording | Stage::Stopping { .. } => {}
+            Stage::Starting { in_flight: false } if !active.may_have_arrived => {
+                self.end_run(run, End::Void, String::new());
+            }
+            Stage::Starting { .. } | Stage::Running(_) | Stage::Recovered => {
+                active.stage = Stage::Stopping { in_flight: false, acknowledged: None };
+                active.next_command = now;
+            }
+        }
+    }
+
+    pub(super) fn stop_answered(&mut self, worker: &str, run: Run, outcome: Result<u64, Fault>) {
+        let now = self.now;
+        self.note_response(worker, &outcome);
+        if let Ok(clock_ms) = outcome {
+            self.read_clock(worker, clock_ms);
+        }
+        match outcome {
+            Err(Fault::Fenced) => return self.step_down(worker),
+            Err(Fault::OtherLife) => return self.remove_dead_worker(worker, "another_life"),
+            _ => {}
+        }
+        let Some(active) = self.runs.get_mut(&run) else { return };
+        if !matches!(active.stage, Stage::Stopping { .. }) {
+            return;
+        }
+        let acknowledged = match outcome {
+            Ok(_) | Err(Fault::Over) => Some(now),
+            Err(fault) => {
+                log::info!(
+                    "event=task.stop_failed task={run} worker={worker} cause={:?}",
+                    fault.to_string()
+                );
+                active.next_command = now.after(ORDER_RETRY * 4);
+                None
+            }
+        };
+        active.stage = Stage::Stopping { in_flight: false, acknowledged };
+        let Some(worker) = self.workers.get_mut(worker) else { return };
+        if acknowledged.is_some() {
+            // A report proves the end only if its poll is sent in a later millisecond.
+            worker.next_look = worker.next_look.min(now.after(Duration::from_millis(1)));
+        } else {
+            worker.silence.note_stop(now);
+        }
+    }
+
+    /// Notes that the worker responds to commands.
+    fn note_response(&mut self, id: &str, outcome: &Result<u64, Fault>) {
+        if matches!(outcome, Err(Fault::NotSent(_) | Fault::Unknown(_))) {
+            return;
+        }
+        if let Some(worker) = self.workers.get_mut(id) {
+            worker.silence.end();
+        }
+    }
+
+    /// Updates the worker's clock from its answer to a command.
+    fn read_clock(&mut self, worker: &str, clock_ms: u64) {
+        let now = self.now;
+        if let Some(worker) = self.workers.get_mut(worker) {
+            worker.lease.read(clock_ms, now);
+        }
+    }
+
+    /// Backs off from a worker that left all start commands of an attempt unanswered.
+    fn note_unresponsive(&mut self, id: &str) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(id) else { return };
+        if worker.silence.note_start(now) {
+            let times = worker.silence.times();
+            log::warn!(
+                "event=worker.unanswering worker={id} times={times} missed={}",
+                worker.missed
+            );
+        }
+    }
+}
+
+impl Stage {
+    /// Whether a command is to be sent.
+    const fn needs_command(self) -> bool {
+        matches!(
+            self,
+            Self::Starting { in_flight: false }
+                | Self::Stopping { in_flight: false, acknowledged: None }
+        )
+    }
+}
--- a/src/cell/machine/crash.rs
+++ b/src/cell/machine/crash.rs
@@ -1,69 +1,70 @@
-//! Workers that crash, and the tasks that may have crashed them.
+//! Worker crashes, and the tasks that may have caused them.
 //!
-//! A task may crash each worker that starts it, and all that runs there is lost with the worker. Once
-//! one has crashed as the task began, its next try begins on a worker on which no other job's task is
-//! beginning, and none follows until it has settled: the next crash then tells the task that is to blame from
-//! those that merely began beside it.
+//! A task may crash each worker that starts it, and everything that runs on the worker is lost.
+//! After a crash at its start, a task is next started on a worker on which no task of another job
+//! is starting, and none follows until it has been running for a while. The next crash then
+//! identifies the task that causes it.
 
 use std::time::Duration;
 
-use super::{ActiveAttempt, Machine, Stage};
+use super::{ActiveRun, Machine, Stage};
 use crate::cell::job::{End, Id, Run};
 use crate::cell::worker::Worker;
 use crate::clock::Instant;
 
-/// Time from its start in which a task that crashes its worker does so.
+/// Time after its start within which a task that crashes its worker does so.
 const STARTUP: Duration = Duration::from_millis(500);
 
-/// Jobs whose tasks begin on a worker at present.
+/// Jobs whose tasks are starting on a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Starting {
-    /// The job, where it is one alone.
+pub(super) struct StartingTasks {
+    /// The job, or one of them if there are several.
     job: Option<Id>,
-    several: bool,
-    /// Whether any of the tasks is suspected.
+    multiple_jobs: bool,
+    /// Whether any of the tasks is suspected of crashing its workers.
     suspect: bool,
 }
 
-impl Starting {
+impl StartingTasks {
     pub(super) fn add(&mut self, job: Id, suspect: bool) {
-        self.several |= self.job.is_some_and(|other| other != job);
+        self.multiple_jobs |= self.job.is_some_and(|other| other != job);
         self.job = Some(job);
         self.suspect |= suspect;
     }
 
-    /// Whether tasks of `job` may begin beside these. Those of one job may: it is given up as a whole.
+    /// Whether a task of `job` may start beside these. Tasks of the same job always may, because
+    /// the job fails as a whole.
     pub(super) fn admits(&self, job: Id, suspect: bool) -> bool {
-        let alone = !self.several && self.job.is_none_or(|other| other == job);
+        let alone = !self.multiple_jobs && self.job.is_none_or(|other| other == job);
         alone || !(suspect || self.suspect)
     }
 }
 
 impl Machine {
-    /// What begins on a worker at present.
-    pub(super) fn starting(&self, worker: &Worker) -> Starting {
-        let mut starting = Starting::default();
+    /// Returns the tasks that are starting on a worker.
+    pub(super) fn starting(&self, worker: &Worker) -> StartingTasks {
+        let mut starting = StartingTasks::default();
         for run in &worker.runs {
-            if self.runs.get(run).is_some_and(|live| live.is_starting(self.now)) {
+            if self.runs.get(run).is_some_and(|active| active.is_starting(self.now)) {
                 starting.add(run.task.step.job, self.is_suspect(run));
             }
         }
         starting
     }
 
-    /// Whether the task may be what crashes its workers.
+    /// Whether the task is suspected of crashing its workers.
     pub(super) fn is_suspect(&self, run: &Run) -> bool {
         self.state.task(&run.task).is_some_and(|task| task.suspicion.is_strong())
     }
 
-    /// How a try ends whose worker's life is over.
-    pub(super) fn end_with(&self, worker: &Worker, live: &ActiveAttempt) -> End {
-        if live.is_unsent() {
+    /// Returns how an attempt ends whose worker process is gone.
+    pub(super) fn end_on_dead_worker(&self, worker: &Worker, active: &ActiveRun) -> End {
+        if active.was_never_sent() {
             End::Void
         } else if worker.listed.draining {
             End::Lost
         } else {
-            match (live.has_begun(), live.came_just_before(worker.silent_since)) {
+            match (active.was_started(), active.was_starting_at(worker.silent_since)) {
                 (Some(true), true) => End::CrashedAtStart,
                 (Some(false), false) => End::Lost,
                 _ => End::Crashed,
@@ -71,13 +72,13 @@
         }
     }
 
-    /// Whether a task is given up for the workers that have crashed under it.
-    pub(super) fn is_given_up(&self, run: &Run) -> bool {
+    /// Whether a task has crashed so many workers that its job fails.
+    pub(super) fn has_crashed_too_often(&self, run: &Run) -> bool {
         self.state.task(&run.task).is_some_and(|task| task.suspicion.is_proven())
     }
 }
 
-impl ActiveAttempt {
+impl ActiveRun {
     fn is_starting(&self, now: Instant) -> bool {
         match self.stage {
             Stage::Recording | Stage::Starting { .. } => true,
@@ -86,19 +87,19 @@
         }
     }
 
-    /// Whether no order to start it has left this owner or an earlier one.
-    fn is_unsent(&self) -> bool {
+    /// Whether neither this owner nor an earlier one has sent a start command for it.
+    fn was_never_sent(&self) -> bool {
         matches!(self.stage, Stage::Recording | Stage::Starting { .. }) && self.starts_sent == 0
     }
 
-    /// Whether its worker has said that it began; `None` where that may have been said to an earlier
-    /// owner.
-    fn has_begun(&self) -> Option<bool> {
+    /// Whether its worker has reported that it started; `None` if that may have been reported to an
+    /// earlier owner.
+    fn was_started(&self) -> Option<bool> {
         (self.stage != Stage::Recovered).then_some(self.start_confirmed)
     }
 
-    /// Whether its worker fell silent as it began, or was to begin.
-    fn came_just_before(&self, silent_since: Option<Instant>) -> bool {
+    /// Whether its worker became silent while the attempt was starting or about to start.
+    fn was_starting_at(&self, silent_since: Option<Instant>) -> bool {
         silent_since.is_some_and(|silent| self.since.after(STARTUP) >= silent)
     }
 }
--- a/src/cell/machine/end.rs
+++ b/src/cell/machine/end.rs
@@ -1,4 +1,4 @@
-//! Ends of tries, and what follows from them for their jobs.
+//! Ends of attempts, and their consequences for jobs.
 
 use super::Machine;
 use crate::cell::job::{End, Id, Phase, Run};
@@ -6,67 +6,67 @@
 use crate::telemetry::names;
 
 impl Machine {
-    /// Records the end of a try and gives its room back.
+    /// Records the end of an attempt and releases its resources.
     pub(super) fn end_run(&mut self, run: Run, end: End, saved: String) {
-        let Some(live) = self.runs.remove(&run) else { return };
+        let Some(active) = self.runs.remove(&run) else { return };
         self.suspects.remove(&run);
-        if let Some(worker) = self.workers.get_mut(&live.worker) {
-            worker.release(&run, &live.demand);
+        if let Some(worker) = self.workers.get_mut(&active.worker) {
+            worker.release(&run, &active.demand);
         }
-        self.dirty = true;
-        self.hopeful.add(run.task.step.job);
-        let took_ms = self.now.since(live.since).as_millis();
+        self.needs_placement = true;
+        self.round_jobs.add(run.task.step.job);
+        let took_ms = self.now.since(active.since).as_millis();
         log::info!(
             "event=task.ended task={run} worker={} end={end} took_ms={took_ms}",
-            live.worker
+            active.worker
         );
         names::CELL_TRIES.increment(&[("end", end.name())]);
         let job = run.task.step.job;
         let was_final = self.phase_of(job).is_none_or(Phase::is_final);
-        self.judge(&run, &live, end);
-        self.record(Record::Ended { run, worker: live.worker, end, saved });
+        self.update_stats(&run, &active, end);
+        self.record(Record::Ended { run, worker: active.worker, end, saved });
         if was_final {
             return;
         }
         if self.phase_of(job).is_some_and(Phase::is_final) {
-            self.settle(job);
+            self.finish_job(job);
         } else {
-            self.after_end(run, end);
+            self.react_to_end(run, end);
         }
     }
 
-    /// Draws the conclusions from an end that does not close its job.
-    fn after_end(&mut self, run: Run, end: End) {
+    /// Handles an end that does not end the job.
+    fn react_to_end(&mut self, run: Run, end: End) {
         let key = run.task.step;
         let Some(entry) = self.state.jobs.get(&key.job) else { return };
-        let Some(model) = entry.job.steps.get(key.step as usize) else { return };
-        if end == End::Done && !model.lasting {
+        let Some(spec) = entry.job.steps.get(key.step as usize) else { return };
+        if end == End::Done && !spec.lasting {
             return;
         }
-        if model.gang {
-            self.break_gang(&run);
+        if spec.gang {
+            self.stop_gang(&run);
         }
         let reason = match end {
-            End::Failed if !self.may_try_again(&run) => "attempts",
-            End::Crashed | End::CrashedAtStart if self.is_given_up(&run) => "crashes",
+            End::Failed if !self.may_retry(&run) => "attempts",
+            End::Crashed | End::CrashedAtStart if self.has_crashed_too_often(&run) => "crashes",
             _ => return,
         };
         log::warn!("event=job.failed job={} task={run} reason={reason}", key.job);
         self.record(Record::Failed { job: key.job });
-        self.settle(key.job);
+        self.finish_job(key.job);
         self.stop_job(key.job);
     }
 
-    fn may_try_again(&self, run: &Run) -> bool {
+    fn may_retry(&self, run: &Run) -> bool {
         let key = run.task.step;
         let Some(entry) = self.state.jobs.get(&key.job) else { return false };
-        let Some(model) = entry.job.steps.get(key.step as usize) else { return false };
-        if model.lasting {
+        let Some(spec) = entry.job.steps.get(key.step as usize) else { return false };
+        if spec.lasting {
             return true;
         }
-        let attempts = self.table.queue(&entry.job.queue).map_or(u32::MAX, |queue| queue.attempts);
+        let attempts = self.config.queue(&entry.job.queue).map_or(u32::MAX, |queue| queue.attempts);
         let Some(step) = self.state.step(&key) else { return false };
-        let failures = if model.gang {
+        let failures = if spec.gang {
             u32::try_from(step.failed_tries.len()).unwrap_or(u32::MAX)
         } else {
             step.tasks[run.task.index as usize].failures
@@ -74,17 +74,18 @@
         failures < attempts.max(1)
     }
 
-    /// Stops all tries of a job.
+    /// Stops all attempts of a job.
     pub(super) fn stop_job(&mut self, job: Id) {
         let runs: Vec<Run> = self.runs_of_job(job).copied().collect();
         for run in runs {
             self.stop_run(run);
         }
-        self.dirty = true;
+        self.needs_placement = true;
     }
 
-    /// The members of a gang only work together: when one is gone, the others only take up room.
-    fn break_gang(&mut self, gone: &Run) {
+    /// Stops the members of a gang that has lost one: they cannot work without it and would only
+    /// hold resources.
+    fn stop_gang(&mut self, gone: &Run) {
         let runs = self.runs_of_step(gone.task.step).map(|(run, _)| *run);
         let members: Vec<Run> = runs.filter(|run| run.number == gone.number).collect();
         for member in members {
--- a/src/cell/machine/loss.rs
+++ b/src/cell/machine/loss.rs
@@ -1,9 +1,9 @@
-//! Workers that are gone or out of reach for too long, and what is lost with them.
+//! Workers that are gone or unreachable for too long, and the attempts lost with them.
 
 use std::time::Duration;
 
-use super::roster::lives_of;
-use super::{ActiveAttempt, Machine, Stage};
+use super::roster::incarnations_of;
+use super::{ActiveRun, Machine, Stage};
 use crate::cell::job::{End, Run};
 use crate::cell::life::Life;
 use crate::cell::record::WorkerId;
@@ -11,23 +11,24 @@
 use crate::cell::worker::Worker;
 
 impl Machine {
-    /// Takes a life of a worker for gone, and all that ran on it for lost.
-    pub(super) fn bury(&mut self, id: &str, reason: &str) {
+    /// Removes a worker incarnation that is gone and ends all attempts on it.
+    pub(super) fn remove_dead_worker(&mut self, id: &str, reason: &str) {
         let Some(worker) = self.workers.remove(id) else { return };
-        self.tell_gone(&worker, reason);
-        self.dead.insert(id.into());
+        self.log_worker_gone(&worker, reason);
+        self.dead_workers.insert(id.into());
         self.forget_tickets(id);
         for run in &worker.runs {
-            let Some(live) = self.runs.get(run) else { continue };
-            let end = self.end_with(&worker, live);
+            let Some(active) = self.runs.get(run) else { continue };
+            let end = self.end_on_dead_worker(&worker, active);
             self.end_run(*run, end, String::new());
         }
     }
 
-    /// Tells how long a worker had been silent, and how long its youngest try had been placed there by
-    /// then: a task that crashes its worker is told apart from those beside it.
-    fn tell_gone(&self, worker: &Worker, reason: &str) {
-        let placed = worker.runs.iter().filter_map(|run| self.runs.get(run)).map(|live| live.since);
+    /// Logs how long a worker had been silent, and how long before that its youngest attempt was
+    /// placed. This helps to tell a task that crashes its worker from others on it.
+    fn log_worker_gone(&self, worker: &Worker, reason: &str) {
+        let placed =
+            worker.runs.iter().filter_map(|run| self.runs.get(run)).map(|active| active.since);
         let silent = worker.silent_since.map(|since| self.now.since(since));
         let youngest =
             worker.silent_since.zip(placed.max()).map(|(silent, placed)| silent.since(placed));
@@ -37,29 +38,30 @@
             worker.id,
             worker.runs.len(),
             worker.listed.draining,
-            shown(silent),
-            shown(youngest)
+            millis_or_unknown(silent),
+            millis_or_unknown(youngest)
         );
     }
 
-    /// Ends what earlier owners left in lives of workers that have answered in another one since.
-    fn end_former_lives(&mut self) {
-        let former = |live: &ActiveAttempt| self.answers_in_another_life(&live.worker);
-        let runs = self.unlisted.iter().copied();
+    /// Ends attempts of earlier owners on worker incarnations that have been replaced by a later
+    /// one.
+    fn end_runs_of_former_incarnations(&mut self) {
+        let former = |active: &ActiveRun| self.answers_as_other_incarnation(&active.worker);
+        let runs = self.unlisted_runs.iter().copied();
         let over: Vec<Run> = runs.filter(|run| self.runs.get(run).is_some_and(former)).collect();
         for run in over {
-            self.unlisted.remove(&run);
+            self.unlisted_runs.remove(&run);
             self.end_run(run, End::Crashed, String::new());
         }
     }
 
-    fn answers_in_another_life(&self, worker: &str) -> bool {
-        lives_of(&self.workers, Life::of(worker).entry)
+    fn answers_as_other_incarnation(&self, worker: &str) -> bool {
+        incarnations_of(&self.workers, Life::of(worker).entry)
             .any(|(id, worker)| worker.fenced && Life::of(id).born.is_some())
     }
 
-    /// Gives up what runs on workers whose leases have surely run out.
-    pub(super) fn give_up_lapsed(&mut self) {
+    /// Ends attempts on workers whose leases have certainly expired.
+    pub(super) fn expire_leases(&mut self) {
         let lease = self.timings.lease.mul_f64(1.0 + 2.0 * CLOCK_DRIFT);
         let unfenced_end = self.claimed.after(AUTHORITY + lease + LEASE_MARGIN);
         let now = self.now;
@@ -70,20 +72,20 @@
         let ids: Vec<WorkerId> =
             self.workers.values().filter(lapsed).map(|worker| worker.id.clone()).collect();
         for id in ids {
-            self.lapse(&id);
+            self.expire_lease(&id);
         }
         if now > unfenced_end {
-            self.lapse_unlisted();
+            self.end_unlisted_runs();
         } else {
-            self.end_former_lives();
+            self.end_runs_of_former_incarnations();
         }
     }
 
-    fn lapse(&mut self, id: &str) {
+    fn expire_lease(&mut self, id: &str) {
         let Some(worker) = self.workers.get(id) else { return };
-        // A try whose order has not been sent cannot have run there.
+        // An attempt whose start command has not been sent cannot have run.
         let sent =
-            |run: &&Run| self.runs.get(run).is_some_and(|live| live.stage != Stage::Recording);
+            |run: &&Run| self.runs.get(run).is_some_and(|active| active.stage != Stage::Recording);
         let runs: Vec<Run> = worker.runs.iter().filter(sent).copied().collect();
         if runs.is_empty() {
             return;
@@ -94,15 +96,15 @@
         }
     }
 
-    /// Tries on workers that no list has named since this owner began.
-    fn lapse_unlisted(&mut self) {
-        for run in std::mem::take(&mut self.unlisted) {
+    /// Ends attempts on workers that have not been listed since this owner took over.
+    fn end_unlisted_runs(&mut self) {
+        for run in std::mem::take(&mut self.unlisted_runs) {
             self.end_run(run, End::Lost, String::new());
         }
     }
 }
 
-/// Milliseconds for a log line, where the span is known.
-fn shown(span: Option<Duration>) -> String {
+/// Formats a duration in milliseconds for a log line.
+fn millis_or_unknown(span: Option<Duration>) -> String {
     span.map_or_else(|| "unknown".to_owned(), |span| span.as_millis().to_string())
 }
--- a/src/cell/machine/message.rs
+++ b/src/cell/machine/message.rs
@@ -1,4 +1,4 @@
-//! What the owner is told and what it wants done.
+//! Messages that the owner's state machine handles and effects that it requests.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,103 +14,103 @@
 use crate::cell::record::WorkerId;
 use crate::clock::Instant;
 
-/// Names a call that waits for its answer.
+/// Identifies a call that waits for its answer.
 pub type CallId = u64;
 
-/// What a caller asks.
+/// Call of a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
     /// Accept a job.
     Submit(Job),
     /// Cancel a job.
     Cancel(Id),
-    /// Tell a job's phase.
+    /// Return a job's phase.
     Show(Id),
-    /// Count the jobs of a queue for which no task has started.
+    /// Count the jobs of a queue of which no task has started.
     Waiting(String),
 }
 
-/// What a caller is told.
+/// Answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The job is stored.
+    /// The job is accepted and stored.
     Accepted,
     /// The job is cancelled.
     Cancelled,
     /// The job's phase.
     Phase(Phase),
-    /// Jobs that wait.
+    /// Number of waiting jobs.
     Waiting(u64),
-    /// No such job.
+    /// There is no such job.
     Unknown,
-    /// The owner cannot tell at present; nothing was done.
+    /// The owner cannot answer at present; nothing was done.
     Unavailable,
 }
 
-/// What the machine is told.
+/// Input of the state machine.
 #[derive(Debug)]
 pub enum Message {
-    /// A caller asks.
+    /// A caller's call arrived.
     Call {
-        /// Names the call.
+        /// Identifies the call.
         id: CallId,
-        /// What is asked.
+        /// The call.
         call: Call,
     },
-    /// An append ended.
+    /// An append to the journal ended.
     Appended {
-        /// Number of the batch.
+        /// Sequence number of the batch.
         sequence: u64,
         /// When it was sent.
         sent: Instant,
-        /// Offset after it.
+        /// Journal offset after the batch.
         outcome: Result<u64, Rejected>,
     },
-    /// A worker answered a look, or did not.
+    /// A poll of a worker ended.
     Polled {
         /// The worker.
         worker: WorkerId,
-        /// When the look was sent.
+        /// When the poll was sent.
         sent: Instant,
-        /// What it told.
+        /// The worker's report.
         outcome: Result<Report, Fault>,
     },
-    /// A worker answered an order to start.
+    /// A start command ended.
     Started {
         /// The worker.
         worker: WorkerId,
-        /// The try.
+        /// The attempt.
         run: Run,
-        /// Its clock.
+        /// The worker's clock in milliseconds.
         outcome: Result<u64, Fault>,
     },
-    /// A worker answered an order to stop.
+    /// A stop command ended.
     Stopped {
         /// The worker.
         worker: WorkerId,
-        /// The try.
+        /// The attempt.
         run: Run,
-        /// Its clock.
+        /// The worker's clock in milliseconds.
         outcome: Result<u64, Fault>,
     },
-    /// The policy service answered, or did not.
+    /// A query to the policy service ended.
     PolicyAnswered {
-        /// Number of the question.
+        /// Number of the query.
         query: u64,
-        /// What it allows; `None` when no answer came.
+        /// Workers that may run the step; `None` if no answer came.
         allowed: Option<Allowed>,
     },
     /// The list of workers changed.
-    Roster(Roster),
+    WorkersChanged(Roster),
     /// The configuration changed.
-    Table(Rc<Table>),
-    /// The whole state is to be saved.
+    ConfigChanged(Rc<Table>),
+    /// A snapshot of the state is due.
     SnapshotDue,
-    /// An instance is there and can ask the policy service.
+    /// An instance is present and can send queries to the policy service.
     InstanceSeen {
-        /// Where it is reached.
+        /// Address at which it is reached.
         peer: SocketAddr,
-        /// Processor that it may use, in thousandths of a core.
+        /// CPU that it may use, in thousandths of a core.
         strength: u32,
         /// Its failure domain.
         domain: Rc<str>,
@@ -118,78 +118,78 @@
 }
 
 impl Message {
-    /// What taking it in counts for.
-    pub const fn duty(&self) -> Duty {
+    /// Activity that handling it counts as.
+    pub const fn activity(&self) -> Duty {
         match self {
             Self::Call { .. } => Duty::Call,
             Self::Appended { .. } | Self::SnapshotDue => Duty::Append,
             Self::Polled { .. } => Duty::Report,
             Self::Started { .. } | Self::Stopped { .. } => Duty::Order,
             Self::PolicyAnswered { .. } => Duty::Advice,
-            Self::Roster(_) | Self::Table(_) => Duty::List,
+            Self::WorkersChanged(_) | Self::ConfigChanged(_) => Duty::List,
             Self::InstanceSeen { .. } => Duty::Watch,
         }
     }
 }
 
-/// What the machine wants done.
+/// Output of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Append a batch to the journal.
     Append {
-        /// Its number.
+        /// Sequence number of the batch.
         sequence: u64,
-        /// Its content.
+        /// Encoded batch.
         batch: Bytes,
     },
-    /// Look at a worker.
+    /// Poll a worker.
     Poll {
         /// The worker.
         worker: WorkerId,
         /// Its address.
         peer: SocketAddr,
-        /// What to ask.
+        /// The request.
         poll: Look,
     },
-    /// Start a try.
+    /// Start an attempt.
     Start {
         /// The worker.
         worker: WorkerId,
         /// Its address.
         peer: SocketAddr,
-        /// The order.
+        /// The command.
         start: Start,
     },
-    /// Stop a try.
+    /// Stop an attempt.
     Stop {
         /// The worker.
         worker: WorkerId,
         /// Its address.
         peer: SocketAddr,
-        /// The try.
+        /// The attempt.
         run: Run,
     },
-    /// Ask the policy service.
+    /// Query the policy service.
     QueryPolicy(PolicyQuery),
-    /// Answer a caller.
+    /// Answer a call.
     Reply {
-        /// Names the call.
+        /// Identifies the call.
         id: CallId,
         /// The answer.
         answer: Answer,
     },
-    /// Save the whole state.
+    /// Save a snapshot of the state.
     Save(Base),
-    /// Another owner has taken the cell over; end.
+    /// Another owner has taken the cell over; stop owning it.
     StepDown {
-        /// How it showed.
+        /// How that was detected.
         reason: String,
     },
 }
 
 impl Effect {
-    /// What carrying it out counts for.
-    pub const fn duty(&self) -> Duty {
+    /// Activity that carrying it out counts as.
+    pub const fn activity(&self) -> Duty {
         match self {
             Self::Append { .. } | Self::Save(_) | Self::StepDown { .. } => Duty::Append,
             Self::Poll { .. } => Duty::Look,
--- a/src/cell/machine/mod.rs
+++ b/src/cell/machine/mod.rs
@@ -1,53 +1,53 @@
-//! The owner's decisions: state, message and present time in, effects out.
+//! State machine of a cell's owner: messages and the current time in, effects out, no I/O.
 //!
-//! What is decided is applied at once and written to the journal in batches, one under way at a
-//! time. Whatever others could see of a decision waits until its batch is stored: starts, answers to
-//! callers, final phases, and the leave that a worker gets to forget an end.
+//! Decisions are applied at once and written to the journal in batches, one append at a time.
+//! Effects through which others could see a decision wait until its batch is stored: start
+//! commands, answers to callers, final phases, and the permission for a worker to forget an end.
 
+mod active_run;
 mod advice;
-mod agenda;
 mod backlog;
+mod blocker;
 mod calls;
-mod commit;
+mod commands;
 mod crash;
 mod end;
-mod field;
-mod inheritance;
-mod judgement;
-mod lack;
-mod live;
-mod looks;
+mod journal_queue;
 mod loss;
 mod message;
-mod orders;
+mod outcome_stats;
+mod pending;
 mod place;
+mod polls;
 mod preemption;
 mod proxy;
 mod proxy_shares;
 mod rank;
+mod recovery;
 mod reservation;
 mod roster;
 mod succession;
-mod tracked;
-mod waiting;
+mod timer_queue;
+mod tracked_map;
+mod view;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
+pub use active_run::{ActiveRun, Stage};
 pub use advice::PolicyQuery;
-pub use commit::{JournalQueue, StoreHealth};
-pub use live::{ActiveAttempt, Stage};
+pub use journal_queue::{JournalQueue, StoreHealth};
 pub use message::{Answer, Call, CallId, Effect, Message};
 pub use succession::Succession;
-pub use tracked::TrackedMap;
+pub use tracked_map::TrackedMap;
 
-use self::agenda::Agenda;
-use self::backlog::Backlog;
-use self::field::Fields;
+use self::backlog::BacklogLog;
+use self::pending::RoundJobs;
 use self::proxy::PolicyProxy;
-use self::waiting::Hopeful;
+use self::timer_queue::TimerQueue;
+use self::view::WorkerViews;
 use super::Epoch;
 use super::duty::Duty;
 use super::job::{Id, Job, Phase, Run, Step, StepKey};
@@ -61,85 +61,85 @@
 use crate::clock::{Instant, Unix};
 use crate::resource::Amount;
 
-/// Times the owner's processor from which another instance should own the cell: a change of owner
-/// costs about 50 ms of placements.
-const MUCH_STRONGER: f64 = 1.4;
+/// Ratio of another instance's CPU to the owner's from which it should take the cell over. A change
+/// of owner costs about 50 ms of placements.
+const STRENGTH_RATIO: f64 = 1.4;
 
-/// Time after a claim in which the cell stays where it is.
-const SETTLED_AFTER: Duration = Duration::from_millis(1_500);
+/// Time after a claim during which the cell is not handed to a stronger instance.
+const MIN_TENURE: Duration = Duration::from_millis(1_500);
 
-/// Rest between two looks for ended jobs to forget.
-const FORGET_REST: Duration = Duration::from_secs(1);
+/// Interval between two removals of ended jobs whose retention is over.
+const FORGET_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Rest between two looks for leases that have run out, which take seconds.
-const LAPSE_REST: Duration = Duration::from_millis(100);
+/// Interval between two checks for expired leases. Leases last for seconds.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The owner of a cell.
+/// State of a cell's owner.
 pub struct Machine {
-    /// Its epoch.
+    /// Epoch of the owner.
     pub epoch: Epoch,
-    /// Spans that the site sets.
+    /// Durations from the site's settings.
     pub timings: Timings,
-    /// What the journal adds up to.
+    /// State of the cell, as the journal's records define it.
     pub state: State,
-    /// The configuration in force.
-    pub table: Rc<Table>,
-    /// Workers by name.
+    /// Configuration in force.
+    pub config: Rc<Table>,
+    /// Workers by name of their incarnation.
     pub workers: TrackedMap<WorkerId, Worker>,
-    /// Tries that are not known to be over.
-    pub runs: TrackedMap<Run, ActiveAttempt>,
-    /// What the policy service said of steps.
+    /// Attempts that are not known to have ended.
+    pub runs: TrackedMap<Run, ActiveRun>,
+    /// Answers of the policy service, by step.
     pub tickets: BTreeMap<StepKey, Tickets>,
     /// Mean run time of a task by queue, in milliseconds.
     pub mean_run_times_ms: BTreeMap<String, f64>,
-    /// Share of the workers that may run a step, by queue.
+    /// Mean share of the queried workers that may run a step, by queue.
     pub eligible_shares: BTreeMap<String, f64>,
     claim: u64,
-    commit: JournalQueue,
-    /// New jobs that wait for a slow store.
-    admission: Vec<(CallId, Job)>,
+    journal: JournalQueue,
+    /// New jobs that are delayed by a slow store.
+    delayed_jobs: Vec<(CallId, Job)>,
     claimed: Instant,
-    dead: BTreeSet<WorkerId>,
-    save_due: bool,
-    unsettled: BTreeSet<Id>,
-    hopeful: Hopeful,
-    backlog: Backlog,
-    failed_on: BTreeMap<StepKey, BTreeSet<WorkerId>>,
-    /// Tries of tasks that may be what crashes their workers.
+    dead_workers: BTreeSet<WorkerId>,
+    snapshot_due: bool,
+    unstored_ends: BTreeSet<Id>,
+    round_jobs: RoundJobs,
+    backlog: BacklogLog,
+    failed_workers: BTreeMap<StepKey, BTreeSet<WorkerId>>,
+    /// Attempts of tasks that are suspected of crashing their workers.
     suspects: BTreeSet<Run>,
-    /// When a step may next look for tasks to stop.
-    preempted: BTreeMap<StepKey, Instant>,
-    /// When each worker is to be looked at.
-    looks: Agenda<WorkerId>,
-    /// When the next order of each try is to be sent.
-    orders: Agenda<Run>,
-    /// Workers as rounds of placement see them.
-    fields: Fields,
-    /// Tries of earlier owners on workers that no list has named yet.
-    unlisted: BTreeSet<Run>,
+    /// When each step may next preempt tasks.
+    next_preemption: BTreeMap<StepKey, Instant>,
+    /// When each worker is to be polled.
+    polls: TimerQueue<WorkerId>,
+    /// When the next command of each attempt is to be sent.
+    commands: TimerQueue<Run>,
+    /// Workers as placement rounds see them.
+    views: WorkerViews,
+    /// Attempts of earlier owners on workers that have not been listed yet.
+    unlisted_runs: BTreeSet<Run>,
     proxies: BTreeMap<SocketAddr, PolicyProxy>,
     succession: Succession,
     queries: BTreeMap<u64, PolicyQuery>,
     last_query: u64,
     effects: Vec<Effect>,
-    next_yielding: Instant,
-    next_lapse: Instant,
-    next_place: Instant,
-    place_by: Instant,
+    next_preemptible_scan: Instant,
+    next_lease_check: Instant,
+    next_round: Instant,
+    round_by: Instant,
     next_forget: Instant,
-    dirty: bool,
+    needs_placement: bool,
     now: Instant,
     unix: Unix,
 }
 
 impl Machine {
-    /// The owner that claimed the cell at `now`, with number `claim` of its epoch, and read `state`
-    /// from its journal up to offset `end`.
+    /// Creates the state machine of an owner that claimed the cell at `now`, with sequence number
+    /// `claim` of its epoch, after it had read `state` from the journal up to offset `end`.
     pub fn new(
         state: State,
         claim: u64,
         end: u64,
-        table: Rc<Table>,
+        config: Rc<Table>,
         timings: Timings,
         now: Instant,
         unix: Unix,
@@ -148,61 +148,61 @@
             epoch: state.epoch,
             timings,
             state,
-            table,
+            config,
             workers: TrackedMap::default(),
             runs: TrackedMap::default(),
             tickets: BTreeMap::new(),
             mean_run_times_ms: BTreeMap::new(),
             eligible_shares: BTreeMap::new(),
             claim,
-            commit: JournalQueue::new(claim + 1, end, now),
-            admission: Vec::new(),
+            journal: JournalQueue::new(claim + 1, end, now),
+            delayed_jobs: Vec::new(),
             claimed: now,
-            dead: BTreeSet::new(),
-            save_due: false,
-            unsettled: BTreeSet::new(),
-            hopeful: Hopeful::new(now),
-            backlog: Backlog::new(now),
-            failed_on: BTreeMap::new(),
+            dead_workers: BTreeSet::new(),
+            snapshot_due: false,
+            unstored_ends: BTreeSet::new(),
+            round_jobs: RoundJobs::new(now),
+            backlog: BacklogLog::new(now),
+            failed_workers: BTreeMap::new(),
             suspects: BTreeSet::new(),
-            preempted: BTreeMap::new(),
-            looks: Agenda::default(),
-            orders: Agenda::default(),
-            fields: Fields::default(),
-            unlisted: BTreeSet::new(),
+            next_preemption: BTreeMap::new(),
+            polls: TimerQueue::default(),
+            commands: TimerQueue::default(),
+            views: WorkerViews::default(),
+            unlisted_runs: BTreeSet::new(),
             proxies: BTreeMap::new(),
             succession: Succession::default(),
             queries: BTreeMap::new(),
             last_query: 0,
             effects: Vec::new(),
-            next_yielding: now,
-            next_lapse: now,
-            next_place: now,
-            place_by: now,
+            next_preemptible_scan: now,
+            next_lease_check: now,
+            next_round: now,
+            round_by: now,
             next_forget: now,
-            dirty: true,
+            needs_placement: true,
             now,
             unix,
         };
-        machine.inherit();
+        machine.recover_runs();
         machine
     }
 
-    /// Takes in one message.
+    /// Handles one message.
     pub fn handle(&mut self, message: Message, now: Instant, unix: Unix) {
         self.advance(now, unix);
         match message {
             Message::Call { id, call } => self.call(id, call),
             Message::Appended { sequence, sent, outcome } => self.appended(sequence, sent, outcome),
-            Message::Polled { worker, sent, outcome } => self.looked(&worker, sent, outcome),
-            Message::Started { worker, run, outcome } => self.started(&worker, run, outcome),
-            Message::Stopped { worker, run, outcome } => self.stopped(&worker, run, outcome),
+            Message::Polled { worker, sent, outcome } => self.poll_answered(&worker, sent, outcome),
+            Message::Started { worker, run, outcome } => self.start_answered(&worker, run, outcome),
+            Message::Stopped { worker, run, outcome } => self.stop_answered(&worker, run, outcome),
             Message::PolicyAnswered { query, allowed } => {
                 self.policy_answered(query, allowed.as_ref())
             }
-            Message::Roster(roster) => self.roster(roster),
-            Message::Table(table) => self.configure(table),
-            Message::SnapshotDue => self.save_due = true,
+            Message::WorkersChanged(roster) => self.update_workers(roster),
+            Message::ConfigChanged(config) => self.configure(config),
+            Message::SnapshotDue => self.snapshot_due = true,
             Message::InstanceSeen { peer, strength, domain } => {
                 let new = || PolicyProxy::new(strength, domain, now);
                 self.proxies.entry(peer).or_insert_with(new).last_seen = now;
@@ -212,36 +212,36 @@
 
     /// Does what is due and returns all effects since the last call.
     pub fn step(&mut self, now: Instant, unix: Unix) -> Vec<Effect> {
-        self.step_by_duty(now, unix, &mut |_| {})
+        self.step_by_activity(now, unix, &mut |_| {})
     }
 
-    /// Does what is due as [`Machine::step`] does, and calls `done` after each duty.
-    pub fn step_by_duty(
+    /// Like [`Machine::step`], and calls `done` after each activity.
+    pub fn step_by_activity(
         &mut self,
         now: Instant,
         unix: Unix,
         done: &mut dyn FnMut(Duty),
     ) -> Vec<Effect> {
         self.advance(now, unix);
-        self.review_admission();
+        self.admit_delayed_jobs();
         done(Duty::Call);
         self.rank_instances();
         done(Duty::Watch);
-        self.send_orders();
+        self.send_commands();
         done(Duty::Order);
-        self.look_around();
+        self.send_polls();
         done(Duty::Look);
-        if self.now >= self.next_lapse {
-            self.next_lapse = now.after(LAPSE_REST);
-            self.give_up_lapsed();
-            self.drop_unlisted();
+        if self.now >= self.next_lease_check {
+            self.next_lease_check = now.after(LEASE_CHECK_INTERVAL);
+            self.expire_leases();
+            self.remove_unlisted_workers();
         }
         if self.now >= self.next_forget {
-            self.next_forget = now.after(FORGET_REST);
+            self.next_forget = now.after(FORGET_INTERVAL);
             self.forget();
         }
         done(Duty::Upkeep);
-        if self.now >= self.next_place && (self.dirty || self.now >= self.place_by) {
+        if self.now >= self.next_round && (self.needs_placement || self.now >= self.round_by) {
             self.place();
             done(Duty::Placement);
         }
@@ -250,30 +250,31 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// How the store takes what is decided.
+    /// How well the store takes appends.
     pub fn store_health(&self, now: Instant) -> StoreHealth {
-        self.commit.health(now)
+        self.journal.health(now)
     }
 
-    /// Whether an owner of `strength` thousandths of a core should be relieved.
+    /// Whether another instance should take the cell over from this owner, which may use `strength`
+    /// thousandths of a core.
     pub fn offer(&self, strength: u32, now: Instant) -> Offer {
         match self.store_health(now) {
             StoreHealth::Stuck => Offer::Open,
-            _ if self.is_outclassed(strength, now) => Offer::Open,
+            _ if self.stronger_instance_exists(strength, now) => Offer::Open,
             StoreHealth::Degraded => Offer::IfQuicker,
             StoreHealth::Good => Offer::Kept,
         }
     }
 
-    /// Offset after the last batch that is known to be stored.
+    /// Journal offset after the last batch that is known to be stored.
     pub const fn journal_end(&self) -> u64 {
-        self.commit.end()
+        self.journal.end()
     }
 
-    /// Whether an instance is there that is much stronger than `strength`.
-    fn is_outclassed(&self, strength: u32, now: Instant) -> bool {
-        let settled = now.since(self.claimed) > SETTLED_AFTER;
-        settled && f64::from(self.succession.strongest) > f64::from(strength) * MUCH_STRONGER
+    /// Whether an instance is present that is much stronger than `strength`.
+    fn stronger_instance_exists(&self, strength: u32, now: Instant) -> bool {
+        let settled = now.since(self.claimed) > MIN_TENURE;
+        settled && f64::from(self.succession.strongest) > f64::from(strength) * STRENGTH_RATIO
     }
 
     fn advance(&mut self, now: Instant, unix: Unix) {
@@ -282,11 +283,11 @@
     }
 
     fn demand(&self, run: &Run) -> Amount {
-        self.model(&run.task.step).map_or(Amount::ZERO, Step::room)
+        self.spec(&run.task.step).map_or(Amount::ZERO, Step::room)
     }
 
-    /// The step as it was submitted.
-    fn model(&self, key: &StepKey) -> Option<&Step> {
+    /// Returns the step as submitted.
+    fn spec(&self, key: &StepKey) -> Option<&Step> {
         self.state.jobs.get(&key.job)?.job.steps.get(key.step as usize)
     }
 
@@ -294,19 +295,19 @@
         let gone = self.state.forget(self.unix, self.timings.status_retention);
         for id in gone {
             remove_job(&mut self.tickets, id);
-            remove_job(&mut self.failed_on, id);
-            remove_job(&mut self.preempted, id);
+            remove_job(&mut self.failed_workers, id);
+            remove_job(&mut self.next_preemption, id);
         }
     }
 
-    /// Tries of a job that are not known to be over.
+    /// Attempts of a job that are not known to have ended.
     fn runs_of_job(&self, job: Id) -> impl Iterator<Item = &Run> {
         let from = self.runs.range(Run::first(StepKey::first(job))..);
         from.map(|(run, _)| run).take_while(move |run| run.task.step.job == job)
     }
 
-    /// Tries of a step that are not known to be over, with what is known of them.
-    fn runs_of_step(&self, step: StepKey) -> impl Iterator<Item = (&Run, &ActiveAttempt)> {
+    /// Attempts of a step that are not known to have ended, with their state.
+    fn runs_of_step(&self, step: StepKey) -> impl Iterator<Item = (&Run, &ActiveRun)> {
         self.runs.range(Run::first(step)..).take_while(move |(run, _)| run.task.step == step)
     }
 
@@ -315,7 +316,7 @@
     }
 }
 
-/// Drops what is kept of a job's steps.
+/// Removes the entries of a job's steps.
 fn remove_job<T>(kept: &mut BTreeMap<StepKey, T>, job: Id) {
     let steps = kept.range(StepKey::first(job)..).map(|(step, _)| *step);
     let steps: Vec<StepKey> = steps.take_while(|step| step.job == job).collect();
--- /dev/null
+++ b/src/cell/machine/outcome_stats.rs
@@ -0,0 +1,39 @@
+//! Statistics about workers and queues, updated from the ends of attempts.
+
+use super::{ActiveRun, Machine};
+use crate::cell::job::{End, Run};
+
+impl Machine {
+    /// Updates the worker's failure count and the queue's mean run time.
+    pub(super) fn update_stats(&mut self, run: &Run, active: &ActiveRun, end: End) {
+        let step = run.task.step;
+        // Long-running tasks may fail at any time, which is no evidence against their worker.
+        if self.spec(&step).is_some_and(|spec| spec.lasting) {
+            return;
+        }
+        let Some(worker) = self.workers.get_mut(&active.worker) else { return };
+        match end {
+            End::Done => {
+                worker.note_success();
+                self.update_mean_run_time(run, active);
+            }
+            End::Failed => {
+                let quarantined = worker.note_failure(step.job, self.now);
+                self.failed_workers.entry(step).or_default().insert(active.worker.clone());
+                if quarantined {
+                    log::warn!("event=worker.quarantined worker={} reason=failures", active.worker);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn update_mean_run_time(&mut self, run: &Run, active: &ActiveRun) {
+        /// Weight of one run in the mean.
+        const WEIGHT: f64 = 0.05;
+        let Some(entry) = self.state.jobs.get(&run.task.step.job) else { return };
+        let took = self.now.since(active.since).as_millis() as f64;
+        let mean = self.mean_run_times_ms.entry(entry.job.queue.clone()).or_insert(took);
+        *mean += (took - *mean) * WEIGHT;
+    }
+}
--- /dev/null
+++ b/src/cell/machine/pending.rs
@@ -0,0 +1,171 @@
+//! Steps with tasks that wait for a worker.
+
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use std::time::Duration;
+
+use super::Machine;
+use super::rank::{Rank, Timeliness, long_running_rank};
+use crate::cell::job::{Id, Job, Step, StepKey};
+use crate::cell::queue::Queue;
+use crate::cell::state;
+use crate::clock::Instant;
+
+/// Interval between two rounds over all open jobs. Most jobs that earn nothing any more are placed
+/// only in these: with 4,500 open jobs, as after a loss of all instances, checking each of them in
+/// every round took all of the owner's CPU.
+const FULL_SCAN_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Jobs that earn nothing any more and that are still checked in every round, the first in rank:
+/// twice the number of instances of a large site, each of which sends one policy query at a time.
+const MAX_WORTHLESS_JOBS: usize = 64;
+
+/// A step with tasks that wait for a worker.
+pub(super) struct PendingStep {
+    pub(super) key: StepKey,
+    pub(super) job: Rc<Job>,
+    pub(super) queue: Rc<Queue>,
+    pub(super) rank: Rank,
+    pub(super) pending: Vec<u32>,
+    /// Those of the pending tasks that are suspected of crashing their workers.
+    pub(super) suspects: BTreeSet<u32>,
+}
+
+impl PendingStep {
+    pub(super) fn spec(&self) -> &Step {
+        &self.job.steps[self.key.step as usize]
+    }
+
+    /// CPU that its pending tasks need, in thousandths of a core.
+    pub(super) fn cpu_millis(&self) -> u64 {
+        self.spec().room().cpu_millis.saturating_mul(self.pending.len() as u64)
+    }
+}
+
+/// Open jobs that each placement round checks.
+#[derive(Debug)]
+pub(super) struct RoundJobs {
+    /// Jobs that may have tasks to place and can still earn something.
+    jobs: BTreeSet<Id>,
+    /// Some jobs that cannot earn anything any more.
+    ///
+    /// Guards against a site that has only such jobs left and would place them only in full scans:
+    /// its instances were idle in between, and their answers waited for the next scan.
+    worthless: BTreeSet<Id>,
+    next_full_scan: Instant,
+}
+
+impl RoundJobs {
+    pub(super) const fn new(now: Instant) -> Self {
+        Self { jobs: BTreeSet::new(), worthless: BTreeSet::new(), next_full_scan: now }
+    }
+
+    /// Whether the next round checks all jobs.
+    pub(super) fn is_full_scan_due(&self, now: Instant) -> bool {
+        now >= self.next_full_scan
+    }
+
+    /// Notes that a job may have tasks to place.
+    pub(super) fn add(&mut self, job: Id) {
+        self.jobs.insert(job);
+    }
+}
+
+impl Machine {
+    /// Returns the steps with tasks to place whose earlier steps are done, ordered by rank. Checks
+    /// the jobs that can still earn something and, from time to time, all open jobs.
+    pub(super) fn pending_steps(&mut self) -> Vec<PendingStep> {
+        let full_scan = self.round_jobs.is_full_scan_due(self.now);
+        if full_scan {
+            self.round_jobs.next_full_scan = self.now.after(FULL_SCAN_INTERVAL);
+        }
+        let candidates: Vec<Id> = if full_scan {
+            self.state.open.iter().copied().collect()
+        } else {
+            self.round_jobs.jobs.union(&self.round_jobs.worthless).copied().collect()
+        };
+        let mut waiting = Vec::new();
+        for id in candidates {
+            if !self.state.open.contains(&id) {
+                self.round_jobs.jobs.remove(&id);
+                continue;
+            }
+            let first_new = waiting.len();
+            let more_to_come = self.open_occurrences(id);
+            self.add_pending_steps(id, &mut waiting);
+            let earns = |step: &PendingStep| step.rank.timeliness != Timeliness::Worthless;
+            if more_to_come || waiting[first_new..].iter().any(earns) {
+                self.round_jobs.jobs.insert(id);
+            } else {
+                self.round_jobs.jobs.remove(&id);
+            }
+        }
+        waiting.sort_by_key(|step| step.rank);
+        if full_scan {
+            let others =
+                waiting.iter().filter(|step| step.rank.timeliness == Timeliness::Worthless);
+            self.round_jobs.worthless =
+                others.map(|step| step.key.job).take(MAX_WORTHLESS_JOBS).collect();
+        }
+        waiting
+    }
+
+    fn add_pending_steps(&self, id: Id, waiting: &mut Vec<PendingStep>) {
+        let Some(entry) = self.state.jobs.get(&id) else { return };
+        let Some(queue) = self.config.queue(&entry.job.queue) else { return };
+        let accepted = entry.accepted.as_millis();
+        for (occurrence, steps) in &entry.open {
+            for (number, step) in steps.iter().enumerate() {
+                let spec = &entry.job.steps[number];
+                let ready = spec.after.iter().all(|&earlier| steps[earlier].is_done());
+                let pending = if ready { pending(spec, step) } else { Vec::new() };
+                if pending.is_empty() {
+                    continue;
+                }
+                let key = StepKey { job: id, occurrence: *occurrence, step: number as u32 };
+                let rank = if spec.lasting {
+                    long_running_rank(step, queue, accepted)
+                } else {
+                    self.rank(&entry.job, queue, &key, accepted)
+                };
+                let (job, queue) = (entry.job.clone(), queue.clone());
+                let is_suspect = |index: &u32| step.tasks[*index as usize].suspicion.is_strong();
+                let suspects = pending.iter().copied().filter(is_suspect).collect();
+                waiting.push(PendingStep { key, job, queue, rank, pending, suspects });
+            }
+        }
+    }
+
+    /// Opens the occurrences of a job that are due; returns `true` if others are due later.
+    ///
+    /// Guards against an owner that never finishes here: it may have read a placement of a later
+    /// occurrence while an earlier one was still waiting.
+    fn open_occurrences(&mut self, id: Id) -> bool {
+        let unix = self.unix;
+        let Some(entry) = self.state.jobs.get_mut(&id) else { return false };
+        if entry.phase().is_final() {
+            return false;
+        }
+        for number in 0..entry.job.occurrences() {
+            if entry.done.contains(&number) || entry.open.contains_key(&number) {
+                continue;
+            }
+            if entry.job.due(number).is_some_and(|due| due > unix) {
+                return true;
+            }
+            entry.occurrence(number);
+        }
+        false
+    }
+}
+
+/// Returns the tasks of a step that have no attempt. A gang starts only once no earlier attempt of
+/// any member is left.
+fn pending(spec: &Step, step: &state::Step) -> Vec<u32> {
+    if step.is_done() && !spec.lasting || spec.gang && step.is_live() {
+        return Vec::new();
+    }
+    let waits = |task: &state::Task| task.live == 0 && (!task.done || spec.lasting);
+    let tasks = step.tasks.iter().enumerate().filter(|(_, task)| waits(task));
+    tasks.map(|(index, _)| index as u32).collect()
+}
--- a/src/cell/machine/place.rs
+++ b/src/cell/machine/place.rs
@@ -1,111 +1,115 @@
-//! Which task goes where.
+//! Placement rounds: which task runs on which worker.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::commit::Deferred;
-use super::field::{Field, Fields};
-use super::rank::Hope;
-use super::waiting::Waiting;
-use super::{ActiveAttempt, Machine, Stage};
+use super::journal_queue::Deferred;
+use super::pending::PendingStep;
+use super::rank::Timeliness;
+use super::view::{WorkerView, WorkerViews};
+use super::{ActiveRun, Machine, Stage};
 use crate::cell::job::{Run, StepKey, TaskKey};
 use crate::cell::record::{Record, WorkerId};
 use crate::resource::Amount;
 
-/// Rest between two rounds.
-const ROUND_REST: Duration = Duration::from_millis(8);
+/// Shortest interval between two rounds.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(8);
 
-/// Part of the thread's time that rounds take at most: one in so many.
-const ROUND_SHARE: u32 = 4;
+/// Time from the start of a round to the next, as a multiple of the round's duration, so that
+/// rounds take at most a quarter of the thread's time.
+const ROUND_BACKOFF_FACTOR: u32 = 4;
 
-/// Longest rest between two rounds while nothing changes: tickets expire and jobs become due.
-const ROUND_LIMIT: Duration = Duration::from_millis(60);
+/// Longest interval between two rounds while nothing changes: tickets expire and jobs become due.
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Cost of a worker on which the task's step has failed before, in units of a whole worker's room.
-const FAILED_BEFORE: f64 = 4.0;
+/// Cost of a worker on which the step has failed before, in units of a whole worker's capacity.
+const FAILED_BEFORE_COST: f64 = 4.0;
 
-/// Cost of a worker that has left the latest orders without an answer, in the same unit: it gets tasks
-/// only where no other worker has room. A rest alone let two such workers hold one gang by turns, for
-/// a lease each, beside ten sound ones.
-const UNANSWERING: f64 = 4.0;
+/// Cost of a worker that left its latest commands unanswered, in the same unit: it gets tasks only
+/// where no other worker has capacity. With a pause alone, two such workers held one gang
+/// alternately, for a lease each, although ten healthy ones were free.
+const UNRESPONSIVE_COST: f64 = 4.0;
 
-/// Tasks of a step with the fields they go to.
+/// Tasks of a step by index, with the index of the worker that each is placed on.
 type Plan = Vec<(u32, usize)>;
 
 impl Machine {
-    /// Places what fits, in the order of rank.
+    /// Places the tasks that fit, in order of rank.
     pub(super) fn place(&mut self) {
-        self.dirty = false;
-        self.next_place = self.now.after(ROUND_REST);
-        self.place_by = self.now.after(ROUND_LIMIT);
-        let whole = self.hopeful.is_due(self.now);
-        let waiting = self.waiting_steps();
+        self.needs_placement = false;
+        self.next_round = self.now.after(MIN_ROUND_INTERVAL);
+        self.round_by = self.now.after(MAX_ROUND_INTERVAL);
+        let full_scan = self.round_jobs.is_full_scan_due(self.now);
+        let waiting = self.pending_steps();
         if waiting.is_empty() {
             return;
         }
-        self.look_for_yielding();
-        self.note_changed_workers();
-        let mut fields = std::mem::take(&mut self.fields);
-        self.refresh_fields(&mut fields, &waiting);
-        self.place_steps(&waiting, &mut fields, whole);
-        fields.end_round();
-        self.fields = fields;
+        self.refresh_preemptible();
+        self.refresh_changed_workers();
+        let mut views = std::mem::take(&mut self.views);
+        self.refresh_views(&mut views, &waiting);
+        self.place_steps(&waiting, &mut views, full_scan);
+        views.end_round();
+        self.views = views;
     }
 
-    /// Leaves most of the thread to other duties after a round that `took` so long.
+    /// Delays the next round after one that took `took`, so that the thread mostly serves other
+    /// activities.
     ///
-    /// Guards against rounds that follow one another while much waits: reports and calls are taken in
-    /// only between them, and workers and instances wait for the owner.
+    /// Guards against back-to-back rounds while many tasks wait: reports and calls are handled only
+    /// between rounds, so that workers and instances would wait for the owner.
     pub fn delay_next_round(&mut self, took: Duration) {
-        self.next_place = self.next_place.max(self.now.after(took * ROUND_SHARE));
+        self.next_round = self.next_round.max(self.now.after(took * ROUND_BACKOFF_FACTOR));
     }
 
-    fn place_steps(&mut self, waiting: &[Waiting], fields: &mut Fields, whole: bool) {
-        self.tell_backlog(waiting, fields, whole);
-        let mut budget = self.budget(waiting, fields);
-        let mut shares = self.proxy_shares(waiting, fields);
+    fn place_steps(&mut self, waiting: &[PendingStep], views: &mut WorkerViews, full_scan: bool) {
+        self.log_backlog(waiting, views, full_scan);
+        let mut budget = self.budget(waiting, views);
+        let mut shares = self.proxy_shares(waiting, views);
         for step in waiting {
-            // Jobs that come too late anyway ask after all that can be on time.
-            if step.rank.hope != Hope::OnTime && shares.on_time_first() {
+            // Jobs that will be late query the policy service after all that can be on time.
+            if step.rank.timeliness != Timeliness::OnTime && shares.on_time_first() {
                 self.send_deferred(&mut shares);
             }
             if let Some(advice) = &step.queue.advice {
-                self.query_policy(step, advice, fields, &mut shares, &mut budget);
+                self.query_policy(step, advice, views, &mut shares, &mut budget);
             }
-            self.place_step(step, fields);
+            self.place_step(step, views);
         }
         self.send_deferred(&mut shares);
     }
 
-    fn place_step(&mut self, step: &Waiting, fields: &mut Fields) {
-        let allowed = self.allowed(step, fields);
-        let plan = self.plan(step, &allowed, fields);
+    fn place_step(&mut self, step: &PendingStep, views: &mut WorkerViews) {
+        let allowed = self.usable_workers(step, views);
+        let plan = self.plan(step, &allowed, views);
         let left = step.pending.len() - plan.len();
         if !plan.is_empty() {
-            self.carry_out_plan(step, &plan, fields);
+            self.apply_plan(step, &plan, views);
         }
         if left > 0 {
-            self.make_room(step, left, &allowed, fields);
+            self.preempt_for(step, left, &allowed, views);
         }
-        if plan.is_empty() && step.model().gang {
-            self.reserve(step, &allowed, fields);
+        if plan.is_empty() && step.spec().gang {
+            self.reserve_for_gang(step, &allowed, views);
         }
     }
 
-    /// Fields that the step's rules leave, ticket included.
-    pub(super) fn allowed(&self, step: &Waiting, fields: &Fields) -> Vec<usize> {
-        let model = step.model();
-        let places: Vec<usize> = match step.queue.advice {
-            Some(_) => self.ticketed(&step.key, fields),
-            None => fields.open().collect(),
+    /// Returns the workers on which the step may be placed now: they match its constraints and hold
+    /// a valid ticket if the queue needs one.
+    pub(super) fn usable_workers(&self, step: &PendingStep, views: &WorkerViews) -> Vec<usize> {
+        let spec = step.spec();
+        let workers: Vec<usize> = match step.queue.advice {
+            Some(_) => self.ticketed_workers(&step.key, views),
+            None => views.open().collect(),
         };
-        let fits = |field: &Field| field.suits(&step.queue.service, model) && field.is_quiet(model);
+        let fits =
+            |view: &WorkerView| view.matches(&step.queue.service, spec) && view.is_compatible(spec);
         let mut allowed: Vec<usize> =
-            places.into_iter().filter(|&at| fits(fields.get(at))).collect();
-        if let Some(rack) = &model.data_rack
-            && step.rank.hope == Hope::OnTime
+            workers.into_iter().filter(|&at| fits(views.get(at))).collect();
+        if let Some(rack) = &spec.data_rack
+            && step.rank.timeliness == Timeliness::OnTime
         {
-            let near = |at: &usize| fields.get(*at).listed.rack.as_ref() == Some(rack);
+            let near = |at: &usize| views.get(*at).listed.rack.as_ref() == Some(rack);
             if allowed.iter().any(near) {
                 allowed.retain(near);
             }
@@ -113,82 +117,83 @@
         allowed
     }
 
-    /// Fields that may run the step, whether a ticket holds or would have to be renewed.
-    pub(super) fn eligible(&self, step: &Waiting, fields: &Fields) -> Vec<usize> {
-        let suits = |at: &usize| fields.get(*at).suits(&step.queue.service, step.model());
+    /// Returns the workers that may run the step, including those whose ticket has expired.
+    pub(super) fn eligible_workers(&self, step: &PendingStep, views: &WorkerViews) -> Vec<usize> {
+        let matches = |at: &usize| views.get(*at).matches(&step.queue.service, step.spec());
         if step.queue.advice.is_none() {
-            return fields.open().filter(suits).collect();
+            return views.open().filter(matches).collect();
         }
         let Some(tickets) = self.tickets.get(&step.key) else { return Vec::new() };
-        let places = tickets.eligible().filter_map(|(worker, _)| fields.find(worker));
-        places.filter(suits).collect()
+        let workers = tickets.eligible().filter_map(|(worker, _)| views.find(worker));
+        workers.filter(matches).collect()
     }
 
-    /// Fields for which the step has a ticket that holds.
-    fn ticketed(&self, step: &StepKey, fields: &Fields) -> Vec<usize> {
+    /// Returns the workers for which the step has a valid ticket.
+    fn ticketed_workers(&self, step: &StepKey, views: &WorkerViews) -> Vec<usize> {
         let Some(tickets) = self.tickets.get(step) else { return Vec::new() };
-        tickets.holding(self.now).filter_map(|worker| fields.find(worker)).collect()
+        tickets.holding(self.now).filter_map(|worker| views.find(worker)).collect()
     }
 
-    fn plan(&self, step: &Waiting, allowed: &[usize], fields: &Fields) -> Plan {
-        let model = step.model();
-        if !model.gang {
-            return self.fill(step, allowed, fields);
+    fn plan(&self, step: &PendingStep, allowed: &[usize], views: &WorkerViews) -> Plan {
+        let spec = step.spec();
+        if !spec.gang {
+            return self.best_fit(step, allowed, views);
         }
-        if model.same_rack {
-            for rack in fields.racks(allowed) {
+        if spec.same_rack {
+            for rack in views.racks(allowed) {
                 let near: Vec<usize> = allowed
                     .iter()
                     .copied()
-                    .filter(|&at| fields.get(at).listed.rack == rack)
+                    .filter(|&at| views.get(at).listed.rack == rack)
                     .collect();
-                let plan = self.fill(step, &near, fields);
+                let plan = self.best_fit(step, &near, views);
                 if plan.len() == step.pending.len() {
                     return plan;
                 }
             }
-            if step.rank.hope == Hope::OnTime {
+            if step.rank.timeliness == Timeliness::OnTime {
                 return Plan::new();
             }
         }
-        let plan = self.fill(step, allowed, fields);
+        let plan = self.best_fit(step, allowed, views);
         if plan.len() == step.pending.len() { plan } else { Plan::new() }
     }
 
-    /// Best fit for each task in turn: the worker that is left with the least room.
-    fn fill(&self, step: &Waiting, allowed: &[usize], fields: &Fields) -> Plan {
-        let model = step.model();
-        let demand = model.room();
-        let failed = self.failed_on.get(&step.key);
-        let mut rooms: BTreeMap<usize, Amount> = allowed
+    /// Places each task in turn on the worker that is left with the least free capacity.
+    fn best_fit(&self, step: &PendingStep, allowed: &[usize], views: &WorkerViews) -> Plan {
+        let spec = step.spec();
+        let demand = spec.room();
+        let failed = self.failed_workers.get(&step.key);
+        let mut free: BTreeMap<usize, Amount> = allowed
             .iter()
-            .filter(|&&at| !fields.get(at).reserved)
-            .map(|&at| (at, fields.get(at).room))
+            .filter(|&&at| !views.get(at).reserved)
+            .map(|&at| (at, views.get(at).free))
             .collect();
-        let mut counts = self.spread_counts(step, fields);
+        let mut counts = self.spread_counts(step, views);
         let mut plan = Plan::new();
         for &index in &step.pending {
-            let best = rooms
+            let best = free
                 .iter()
                 .filter(|(at, room)| {
                     let taken = counts.get(*at).copied().unwrap_or(0);
                     demand.fits(room)
-                        && (model.spread == 0 || taken < model.spread)
-                        && fields.get(**at).admits(step, index)
+                        && (spec.spread == 0 || taken < spec.spread)
+                        && views.get(**at).admits(step, index)
                 })
                 .map(|(&at, room)| {
-                    let field = fields.get(at);
-                    let before = failed.is_some_and(|failed| failed.contains(&field.id));
-                    let failed_cost = if before { FAILED_BEFORE } else { 0.0 };
-                    let unanswering_cost = if field.unanswering { UNANSWERING } else { 0.0 };
-                    let left = leftover(room, &demand, &field.listed.capacity);
-                    // A crash takes with it what runs beside the task.
+                    let view = views.get(at);
+                    let before = failed.is_some_and(|failed| failed.contains(&view.id));
+                    let failed_cost = if before { FAILED_BEFORE_COST } else { 0.0 };
+                    let unresponsive_cost = if view.unresponsive { UNRESPONSIVE_COST } else { 0.0 };
+                    let left = leftover(room, &demand, &view.listed.capacity);
+                    // Prefers the emptiest worker, because a crash also loses what runs beside the
+                    // task.
                     let left = if step.suspects.contains(&index) { -left } else { left };
-                    (left + failed_cost + unanswering_cost, at)
+                    (left + failed_cost + unresponsive_cost, at)
                 })
                 .min_by(|one, other| one.0.total_cmp(&other.0));
             let Some((_, at)) = best else { break };
-            if let Some(room) = rooms.get_mut(&at) {
+            if let Some(room) = free.get_mut(&at) {
                 *room = room.saturating_sub(&demand);
             }
             *counts.entry(at).or_insert(0) += 1;
@@ -197,42 +202,46 @@
         plan
     }
 
-    /// Tasks of the step on each field, where the step bounds them.
-    pub(super) fn spread_counts(&self, step: &Waiting, fields: &Fields) -> BTreeMap<usize, u32> {
+    /// Returns the number of the step's tasks on each worker, if the step limits it.
+    pub(super) fn spread_counts(
+        &self,
+        step: &PendingStep,
+        views: &WorkerViews,
+    ) -> BTreeMap<usize, u32> {
         let mut counts = BTreeMap::new();
-        if step.model().spread == 0 {
+        if step.spec().spread == 0 {
             return counts;
         }
-        for (_, live) in self.runs_of_step(step.key) {
-            if let Some(at) = fields.find(&live.worker) {
+        for (_, active) in self.runs_of_step(step.key) {
+            if let Some(at) = views.find(&active.worker) {
                 *counts.entry(at).or_insert(0) += 1;
             }
         }
         counts
     }
 
-    fn carry_out_plan(&mut self, step: &Waiting, plan: &Plan, fields: &mut Fields) {
-        let demand = step.model().room();
-        let numbers = self.numbers(step, plan);
+    fn apply_plan(&mut self, step: &PendingStep, plan: &Plan, views: &mut WorkerViews) {
+        let demand = step.spec().room();
+        let numbers = self.run_numbers(step, plan);
         let mut by_worker: BTreeMap<WorkerId, Vec<Run>> = BTreeMap::new();
         let mut all = Vec::new();
         for (&(index, at), number) in plan.iter().zip(numbers) {
-            let field = fields.get_mut(at);
-            field.room = field.room.saturating_sub(&demand);
-            field.serves |= step.model().serves();
-            field.fills |= step.model().fills;
+            let view = views.get_mut(at);
+            view.free = view.free.saturating_sub(&demand);
+            view.runs_serving |= step.spec().serves();
+            view.runs_opportunistic |= step.spec().fills;
             let suspect = step.suspects.contains(&index);
-            field.starting.add(step.key.job, suspect);
+            view.starting.add(step.key.job, suspect);
             let run = Run { task: TaskKey { step: step.key, index }, number };
-            if let Some(worker) = self.workers.get_mut(&field.id) {
+            if let Some(worker) = self.workers.get_mut(&view.id) {
                 worker.reserve(run, &demand);
             }
-            let live = ActiveAttempt::new(field.id.clone(), demand, Stage::Recording, self.now);
-            self.runs.insert(run, live);
+            let active = ActiveRun::new(view.id.clone(), demand, Stage::Recording, self.now);
+            self.runs.insert(run, active);
             if suspect {
                 self.suspects.insert(run);
             }
-            by_worker.entry(field.id.clone()).or_default().push(run);
+            by_worker.entry(view.id.clone()).or_default().push(run);
             all.push(run);
         }
         for (worker, runs) in by_worker {
@@ -241,17 +250,17 @@
                 step.key,
                 runs[0].number,
                 runs.len(),
-                step.rank.hope
+                step.rank.timeliness
             );
             self.record(Record::Placed { worker, runs });
         }
         self.defer(Deferred::Start(all));
     }
 
-    /// Numbers of the next tries; the members of a gang share theirs.
-    fn numbers(&self, step: &Waiting, plan: &Plan) -> Vec<u32> {
+    /// Returns the numbers of the next attempts; the members of a gang share theirs.
+    fn run_numbers(&self, step: &PendingStep, plan: &Plan) -> Vec<u32> {
         let Some(state) = self.state.step(&step.key) else { return vec![1; plan.len()] };
-        if step.model().gang {
+        if step.spec().gang {
             let next = state.tasks.iter().map(|task| task.last).max().unwrap_or(0) + 1;
             return vec![next; plan.len()];
         }
@@ -259,7 +268,7 @@
     }
 }
 
-/// Room left on a worker as a share of what it has, over processors and memory.
+/// Capacity left on a worker as a share of its total, summed over CPU, memory and accelerators.
 fn leftover(room: &Amount, demand: &Amount, capacity: &Amount) -> f64 {
     let share = |room: u64, demand: u64, capacity: u64| {
         room.saturating_sub(demand) as f64 / capacity.max(1) as f64
--- a/src/cell/machine/preemption.rs
+++ b/src/cell/machine/preemption.rs
@@ -1,68 +1,68 @@
-//! Stops tasks that can wait where a more urgent step finds no room.
+//! Stops tasks that can wait if a more urgent step finds no free capacity.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::field::Fields;
-use super::rank::Hope;
-use super::waiting::Waiting;
-use super::{ActiveAttempt, Machine, Stage};
+use super::pending::PendingStep;
+use super::rank::Timeliness;
+use super::view::WorkerViews;
+use super::{ActiveRun, Machine, Stage};
 use crate::cell::job::Run;
 use crate::cell::preempt::{self, Place, Victim};
 use crate::cell::record::WorkerId;
 use crate::cell::worker::Yielding;
 use crate::clock::millis;
 
-/// Rest of a step after tasks were stopped for it: a stop takes up to 0.4 s, and the room is placed
-/// on in the round after its end.
-const REST: Duration = Duration::from_millis(450);
+/// Pause of a step after it has preempted tasks: a stop takes up to 0.4 s, and the released
+/// capacity is used in the round after it.
+const COOLDOWN: Duration = Duration::from_millis(450);
 
-/// Rest between two looks of one step for victims, and between two looks at all tasks for those that
-/// yield: each takes up to some milliseconds on a site of 350 workers.
-const TRY_REST: Duration = Duration::from_millis(60);
-const LOOK_REST: Duration = Duration::from_millis(250);
+/// Interval between two searches of one step for victims, and between two scans of all attempts for
+/// preemptible ones. Each takes up to a few milliseconds on a site of 350 workers.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(60);
+const SCAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time that a task must have left beyond its expected end to be stopped: its way back into work
-/// takes a question to the policy service and a round, about a second, and room may be scarce. With
-/// 4 s, Lakeshore's retraining jobs came too late (worth of one day 0.68; 0.70 with 8 s, 0.72 without
-/// preemption; three runs each).
-const LEAST_SLACK_MS: f64 = 8_000.0;
+/// Time that a task must have left beyond its expected end to be preempted. Restarting it takes a
+/// policy query and a round, about a second, and capacity may be scarce. With 4 s, Lakeshore's
+/// retraining jobs were late (value of one day 0.68; 0.70 with 8 s, 0.72 without preemption; three
+/// runs each).
+const MIN_SLACK_MS: f64 = 8_000.0;
 
-/// Share of its work from which a task is left to end.
+/// Percentage of its work from which a task is no longer preempted.
 const NEARLY_DONE_PERCENT: u32 = 75;
 
-/// Time for which a task is left to run once it has begun, so that none is stopped again and again.
-const LEAST_RUN: Duration = Duration::from_millis(1_000);
+/// Time for which a task is not preempted after its start, so that none is stopped again and again.
+const MIN_RUN_TIME: Duration = Duration::from_millis(1_000);
 
-/// Tries of a task from which it is left to run.
-const MOST_TRIES: u32 = 3;
+/// Number of a task's attempt from which it is no longer preempted.
+const MAX_RUNS: u32 = 3;
 
 impl Machine {
-    /// Stops tasks on `allowed` so that `count` tasks of the step find room there soon.
-    pub(super) fn make_room(
+    /// Preempts tasks on the `allowed` workers so that `count` tasks of the step soon fit there.
+    pub(super) fn preempt_for(
         &mut self,
-        step: &Waiting,
+        step: &PendingStep,
         count: usize,
         allowed: &[usize],
-        fields: &Fields,
+        views: &WorkerViews,
     ) {
-        if step.rank.hope != Hope::OnTime || !self.may_preempt_now(step) {
+        if step.rank.timeliness != Timeliness::OnTime || !self.may_preempt_now(step) {
             return;
         }
-        let model = step.model();
-        let demand = model.room();
-        let taken = self.spread_counts(step, fields);
-        let bound = |at: &usize| match model.spread {
+        let spec = step.spec();
+        let demand = spec.room();
+        let taken = self.spread_counts(step, views);
+        let bound = |at: &usize| match spec.spread {
             0 => usize::MAX,
             spread => spread.saturating_sub(taken.get(at).copied().unwrap_or(0)) as usize,
         };
         let places = allowed.iter().map(|at| Place {
-            room: fields.get(*at).room,
+            room: views.get(*at).free,
             bound: bound(at),
-            victims: self.yielding(*at, step, fields).map(|one| one.victim.clone()).collect(),
+            victims: self.preemptible(*at, step, views).map(|one| one.victim.clone()).collect(),
         });
         let choice = preempt::choose(&demand, count, places.collect());
-        if choice.victims.is_empty() || model.gang && choice.fitting < count {
+        if choice.victims.is_empty() || spec.gang && choice.fitting < count {
             return;
         }
         let work = demand.cpu_millis * choice.fitting as u64 * self.expected_ms(step);
@@ -76,63 +76,69 @@
             choice.victims.len(),
             choice.lost / 1_000
         );
-        self.preempted.insert(step.key, self.now.after(REST));
+        self.next_preemption.insert(step.key, self.now.after(COOLDOWN));
         for run in choice.victims {
             self.stop_run(run);
         }
     }
 
-    /// Whether the step may look for victims; it looks again after a rest.
-    fn may_preempt_now(&mut self, step: &Waiting) -> bool {
-        let rests = self.preempted.get(&step.key).is_some_and(|until| self.now < *until);
-        if !rests {
-            self.preempted.insert(step.key, self.now.after(TRY_REST));
+    /// Whether the step may search for victims now; it then pauses until the next search.
+    fn may_preempt_now(&mut self, step: &PendingStep) -> bool {
+        let cooling_down =
+            self.next_preemption.get(&step.key).is_some_and(|until| self.now < *until);
+        if !cooling_down {
+            self.next_preemption.insert(step.key, self.now.after(ATTEMPT_INTERVAL));
         }
-        !rests
+        !cooling_down
     }
 
-    /// Tasks of the step that fit on a worker now or once tasks there are stopped for them.
-    pub(super) fn reachable_slots(&self, at: usize, step: &Waiting, fields: &Fields) -> f64 {
-        let field = fields.get(at);
-        let (service, model) = (&step.queue.service, step.model());
-        if step.rank.hope != Hope::OnTime {
-            return field.slots(service, model);
+    /// Returns how many tasks of the step fit on a worker now or after preempting others there.
+    pub(super) fn slots_with_preemption(
+        &self,
+        at: usize,
+        step: &PendingStep,
+        views: &WorkerViews,
+    ) -> f64 {
+        let view = views.get(at);
+        let (service, spec) = (&step.queue.service, step.spec());
+        if step.rank.timeliness != Timeliness::OnTime {
+            return view.slots(service, spec);
         }
         let room = self
-            .yielding(at, step, fields)
-            .fold(field.room, |room, yielding| room.saturating_add(&yielding.victim.demand));
-        field.slots_in(&room, service, model)
+            .preemptible(at, step, views)
+            .fold(view.free, |room, yielding| room.saturating_add(&yielding.victim.demand));
+        view.slots_for(&room, service, spec)
     }
 
-    /// Tasks on a worker that may be stopped for the step.
-    fn yielding<'a>(
+    /// Returns the attempts on a worker that may be preempted for the step.
+    fn preemptible<'a>(
         &'a self,
         at: usize,
-        step: &Waiting,
-        fields: &'a Fields,
+        step: &PendingStep,
+        views: &'a WorkerViews,
     ) -> impl Iterator<Item = &'a Yielding> + use<'a> {
         let priority = step.queue.priority;
-        fields.get(at).yielding.iter().filter(move |yielding| {
-            let live = self.runs.get(&yielding.victim.run);
-            yielding.priority > priority && live.is_some_and(|live| !live.stop_requested)
+        views.get(at).preemptible.iter().filter(move |yielding| {
+            let active = self.runs.get(&yielding.victim.run);
+            yielding.priority > priority && active.is_some_and(|active| !active.stop_requested)
         })
     }
 
-    /// Notes on each worker which tasks may be stopped: those that save their progress and whose jobs
-    /// still end in time.
+    /// Updates the list of preemptible attempts of each worker: those of tasks that save
+    /// checkpoints and whose jobs would still end in time.
     ///
-    /// Looked for at times only: done for each step in each round it took so much of a grown site's
-    /// owner that quick jobs started 118 ms after they came, in place of 55 ms.
-    pub(super) fn look_for_yielding(&mut self) {
-        if self.now < self.next_yielding {
+    /// Done only at intervals: when it was done for each step in each round, it took so much time
+    /// of a large site's owner that short jobs started 118 ms after their arrival instead of 55 ms.
+    pub(super) fn refresh_preemptible(&mut self) {
+        if self.now < self.next_preemptible_scan {
             return;
         }
-        self.next_yielding = self.now.after(LOOK_REST);
+        self.next_preemptible_scan = self.now.after(SCAN_INTERVAL);
         let mut found: BTreeMap<WorkerId, Vec<Yielding>> = BTreeMap::new();
-        for (run, live) in self.runs.iter() {
-            if let Some(priority) = self.yields(run, live) {
-                let victim = Victim { run: *run, demand: live.demand };
-                found.entry(live.worker.clone()).or_default().push(Yielding { priority, victim });
+        for (run, active) in self.runs.iter() {
+            if let Some(priority) = self.preemptible_priority(run, active) {
+                let victim = Victim { run: *run, demand: active.demand };
+                found.entry(active.worker.clone()).or_default().push(Yielding { priority, victim });
             }
         }
         let before = self.workers.values().filter(|worker| !worker.yielding.is_empty());
@@ -147,29 +153,29 @@
         }
     }
 
-    /// Priority of a task's queue, if the task may be stopped for more urgent ones.
-    fn yields(&self, run: &Run, live: &ActiveAttempt) -> Option<u32> {
-        let Stage::Running(_) = live.stage else { return None };
+    /// Returns the priority of an attempt's queue if the attempt may be preempted.
+    fn preemptible_priority(&self, run: &Run, active: &ActiveRun) -> Option<u32> {
+        let Stage::Running(_) = active.stage else { return None };
         let key = run.task.step;
-        if live.stop_requested
-            || run.number >= MOST_TRIES
-            || live.progress.0 >= NEARLY_DONE_PERCENT
-            || self.now.since(live.since) < LEAST_RUN
+        if active.stop_requested
+            || run.number >= MAX_RUNS
+            || active.progress.0 >= NEARLY_DONE_PERCENT
+            || self.now.since(active.since) < MIN_RUN_TIME
         {
             return None;
         }
         let entry = self.state.jobs.get(&key.job)?;
-        let model = entry.job.steps.get(key.step as usize)?;
-        if !model.checkpoints || model.gang || model.lasting {
+        let spec = entry.job.steps.get(key.step as usize)?;
+        if !spec.checkpoints || spec.gang || spec.lasting {
             return None;
         }
-        let queue = self.table.queue(&entry.job.queue)?;
+        let queue = self.config.queue(&entry.job.queue)?;
         let slack = self.slack_ms(&entry.job, queue, &key, entry.accepted.as_millis());
-        (slack >= LEAST_SLACK_MS).then_some(queue.priority)
+        (slack >= MIN_SLACK_MS).then_some(queue.priority)
     }
 
-    fn expected_ms(&self, step: &Waiting) -> u64 {
-        let estimate = Duration::from_millis(step.model().estimate_ms);
+    fn expected_ms(&self, step: &PendingStep) -> u64 {
+        let estimate = Duration::from_millis(step.spec().estimate_ms);
         self.mean_run_times_ms.get(&step.queue.name).map_or(millis(estimate), |mean| *mean as u64)
     }
 }
--- a/src/cell/machine/proxy.rs
+++ b/src/cell/machine/proxy.rs
@@ -1,19 +1,19 @@
-//! An instance that can ask the policy service.
+//! Instances that send queries to the policy service for the owner.
 
 use std::rc::Rc;
 
 use crate::cell::timings::{ASKER_MOST_RESTS, ASKER_REST, PRESENCE};
 use crate::clock::Instant;
 
-/// An instance that can ask the policy service.
+/// An instance that can send queries to the policy service, one at a time.
 #[derive(Clone, Debug)]
 pub(super) struct PolicyProxy {
     pub(super) last_seen: Instant,
     pub(super) query: Option<u64>,
     pub(super) strength: u32,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub(super) domain: Rc<str>,
-    /// Questions in a row that it got no answer to.
+    /// Consecutive queries without an answer.
     pub(super) failures: u32,
     pub(super) backoff_until: Instant,
 }
@@ -23,11 +23,11 @@
         Self { last_seen: now, query: None, strength, domain, failures: 0, backoff_until: now }
     }
 
-    /// Takes in how its question came out.
+    /// Notes that its query ended, with or without an answer.
     ///
-    /// Guards against an instance that has just gone, or that alone cannot reach the policy service:
-    /// its questions fail at once, which would make it the first that is free again, and the steps
-    /// asked about through it would wait while others could ask.
+    /// Guards against an instance that has just stopped or cannot reach the policy service: its
+    /// queries fail at once, so it would always be the first idle one, and the steps queried
+    /// through it would wait although other instances could query.
     pub(super) fn note_outcome(&mut self, answered: bool, now: Instant) {
         self.query = None;
         self.failures = if answered { 0 } else { self.failures + 1 };
--- a/src/cell/machine/proxy_shares.rs
+++ b/src/cell/machine/proxy_shares.rs
@@ -1,88 +1,90 @@
-//! Which queue gets the time of the instances that ask the policy service.
+//! Shares out the instances that can query the policy service among the queues.
 //!
-//! The pattern that this answers: a site that is nearly full, where the questions of one queue take a
-//! second each and are asked anew whenever their tickets lapse. Dealt out in the order of rank alone,
-//! they held 25 of 30 instances for half a minute, and the steps of a queue below, whose questions
-//! take 0.14 s, were not asked about once while a third of the workers' room stood empty.
+//! Guards against starvation on a site that is nearly full, where the queries of one queue take a
+//! second each and are repeated whenever their tickets expire. When instances were assigned by rank
+//! alone, that queue occupied 25 of 30 instances for half a minute, and the steps of a lower queue,
+//! whose queries take 0.14 s, were not queried once although a third of the workers' capacity was
+//! free.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 use super::Machine;
-use super::field::Fields;
-use super::rank::Hope;
-use super::waiting::Waiting;
+use super::pending::PendingStep;
+use super::rank::Timeliness;
+use super::view::WorkerViews;
 use crate::cell::job::StepKey;
 use crate::cell::queue::{Advice, Queue};
 use crate::cell::record::WorkerId;
 
-/// Share of the instances that a queue is entitled to, as a part of that of the next higher priority.
-/// Half: a queue below whose questions are short is served with little of the instances' time, and stands
-/// still with less beside free room.
+/// Share of instances of a queue relative to the next higher priority. With half, a lower queue
+/// with short queries is served with little of the instances' time; with less, it starves although
+/// capacity is free.
 const SHARE_OF_NEXT_PRIORITY: f64 = 1.0 / 2.0;
 
-/// Part of the processors that is free from which all queues are entitled to the same: with less, what
-/// waits may wait for room. Of 40 small jobs beside gangs that find none, 12 of those on time and all
-/// that were late had no question within 3 s without it (in the story of the standstill); now all have.
+/// Share of free CPU above which all queues are entitled to equal shares; below it, waiting steps
+/// may be waiting for capacity. Without equal shares, of 40 small jobs that waited beside gangs
+/// without capacity, 12 that could be on time and all late ones had no query within 3 s (in the
+/// test `standstill`); with them, all have one.
 const MOSTLY_FREE: f64 = 0.5;
 
-/// A question that has to wait until the other queues have had their share.
+/// A query that waits until the other queues have had their share.
 pub(super) struct DeferredQuery {
     step: StepKey,
     workers: Vec<WorkerId>,
     advice: Advice,
 }
 
-/// How the instances that can ask are dealt out in one round of placement.
+/// How the instances that can query are shared among queues in one placement round.
 ///
-/// Queues with steps to ask about are entitled to shares of the instances, each priority to twice as
-/// much as the next one below. What a queue does not use goes to the others, in the order of rank,
-/// within the same round.
+/// Queues with steps to query are entitled to shares of the instances, each priority to twice as
+/// many as the next lower one. Instances that a queue does not use go to the others, by rank, in
+/// the same round.
 ///
-/// While most of the room is free, all queues are entitled to the same, also for jobs that come too
-/// late. Guards against tasks that stand still beside free workers at the end of a busy day: what
-/// waits then waits for a question alone, and gangs that find no room asked theirs again and again.
+/// While most CPU is free, all queues have equal shares, and late jobs count as well. Guards
+/// against tasks that wait although workers are free at the end of a busy day: they wait only for a
+/// query, while gangs that find no capacity repeat theirs.
 pub(super) struct ProxyShares {
     queues: Vec<Share>,
-    /// Whether most of the room is free.
+    /// Whether most CPU is free.
     mostly_free: bool,
-    /// Instances that have nothing to ask.
+    /// Instances without a query in flight.
     idle: usize,
-    /// Questions that wait for what the others leave.
+    /// Queries that wait for instances that other queues leave.
     deferred: Vec<DeferredQuery>,
 }
 
-/// What one queue has and needs.
+/// Share and use of instances of one queue.
 struct Share {
     queue: Rc<Queue>,
     /// Instances that it is entitled to.
     entitled: usize,
-    /// Instances that ask for it.
+    /// Instances that send queries for it.
     used: usize,
-    /// Steps that may have something to ask and have not had their turn in this round.
+    /// Steps that may need a query and have not had their turn in this round.
     unserved_steps: usize,
 }
 
 impl ProxyShares {
-    /// Whether one more question may be postponed: never more than instances could ask.
+    /// Whether another query may be deferred: never more than there are idle instances.
     pub(super) const fn may_defer(&self) -> bool {
         self.idle > self.deferred.len()
     }
 
-    /// Whether a step that can still be on time goes before all that come too late.
+    /// Whether steps that can still be on time go before all late ones.
     pub(super) const fn on_time_first(&self) -> bool {
         !self.mostly_free
     }
 
-    /// Notes that a step has its turn now.
+    /// Notes that a step has its turn.
     pub(super) fn note_turn(&mut self, queue: &Queue) {
         if let Some(share) = self.share(queue) {
             share.unserved_steps = share.unserved_steps.saturating_sub(1);
         }
     }
 
-    /// Whether a step of `queue` may ask before the others have had their turn: within its queue's
-    /// share, or where enough instances are left for the shares of the others.
+    /// Whether a step of `queue` may query before the others have had their turn: its queue has not
+    /// used its share, or enough instances are left for the shares of the others.
     pub(super) fn admits(&self, queue: &Queue) -> bool {
         let own = self.queues.iter().find(|share| share.queue.name == queue.name);
         let others = self.queues.iter().filter(|share| share.queue.name != queue.name);
@@ -90,7 +92,7 @@
         own.is_none_or(|share| share.used < share.entitled) || self.idle > unclaimed
     }
 
-    /// Notes that an instance asks for `queue` now.
+    /// Notes that an instance sends a query for `queue`.
     pub(super) fn take(&mut self, queue: &Queue) {
         self.idle = self.idle.saturating_sub(1);
         if let Some(share) = self.share(queue) {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Keeps a question until the others have had their turn.
+    /// Keeps a query until the others have had their turn.
     pub(super) fn defer_query(&mut self, step: StepKey, workers: Vec<WorkerId>, advice: Advice) {
         self.deferred.push(DeferredQuery { step, workers, advice });
     }
@@ -120,17 +122,18 @@
 }
 
 impl Machine {
-    /// How the instances are dealt out among the queues of `waiting`.
-    pub(super) fn proxy_shares(&self, waiting: &[Waiting], fields: &Fields) -> ProxyShares {
-        let mostly_free = fields.free_share() > MOSTLY_FREE;
+    /// Shares the instances among the queues of the `waiting` steps.
+    pub(super) fn proxy_shares(&self, waiting: &[PendingStep], views: &WorkerViews) -> ProxyShares {
+        let mostly_free = views.free_share() > MOSTLY_FREE;
         let mut queues: Vec<Share> = Vec::new();
-        let hopeful = |step: &&Waiting| mostly_free || step.rank.hope == Hope::OnTime;
-        for step in waiting.iter().filter(hopeful).filter(|step| self.may_query(step)) {
+        let counted =
+            |step: &&PendingStep| mostly_free || step.rank.timeliness == Timeliness::OnTime;
+        for step in waiting.iter().filter(counted).filter(|step| self.may_query(step)) {
             share_of(&mut queues, &step.queue).unserved_steps += 1;
         }
         for query in self.queries.values() {
             let entry = self.state.jobs.get(&query.step.job);
-            if let Some(queue) = entry.and_then(|entry| self.table.queue(&entry.job.queue)) {
+            if let Some(queue) = entry.and_then(|entry| self.config.queue(&entry.job.queue)) {
                 share_of(&mut queues, queue).used += 1;
             }
         }
@@ -140,18 +143,18 @@
         ProxyShares { queues, mostly_free, idle, deferred: Vec::new() }
     }
 
-    /// Whether a step may have something to ask.
-    fn may_query(&self, step: &Waiting) -> bool {
+    /// Whether a step may need a query.
+    fn may_query(&self, step: &PendingStep) -> bool {
         let tickets = self.tickets.get(&step.key);
         step.queue.advice.is_some()
             && tickets.is_none_or(|tickets| !tickets.is_asking() && tickets.is_due(self.now))
     }
 
-    /// Asks the questions that were postponed, as far as instances are left.
+    /// Sends the deferred queries, as far as instances are idle.
     pub(super) fn send_deferred(&mut self, shares: &mut ProxyShares) {
         for query in std::mem::take(&mut shares.deferred) {
             let Some(proxy) = self.idle_proxy() else { return };
-            self.ask(proxy, query.step, query.workers, &query.advice);
+            self.send_query(proxy, query.step, query.workers, &query.advice);
             shares.idle = shares.idle.saturating_sub(1);
         }
     }
@@ -166,7 +169,7 @@
     &mut queues[at]
 }
 
-/// Deals `count` instances out; each priority gets `next` times as much as the one above.
+/// Assigns shares of `count` instances; each priority gets `next` times as many as the one above.
 fn allot(queues: &mut [Share], count: usize, next: f64) {
     let levels: BTreeSet<u32> = queues.iter().map(|share| share.queue.priority).collect();
     let weight = |share: &Share| {
--- a/src/cell/machine/rank.rs
+++ b/src/cell/machine/rank.rs
@@ -1,106 +1,113 @@
-//! Which waiting step goes first.
+//! The order in which waiting steps are placed.
 
 use super::Machine;
 use crate::cell::job::{Job, Step, StepKey};
 use crate::cell::queue::Queue;
 use crate::cell::timings::ADVICE_WORKERS;
 
-/// Times its objective after which a job earns nothing any more.
-const WORTHLESS_AFTER: f64 = 3.0;
+/// Multiple of its objective after which a job earns nothing any more.
+const WORTHLESS_FACTOR: f64 = 3.0;
 
-/// Part of the expected run time that must fit before the objective for a job to count as on time;
+/// Share of the expected run time that must fit before the objective for a job to count as on time;
 /// callers' estimates are off by half.
-const HOPE: f64 = 0.7;
+const ON_TIME_RUN_SHARE: f64 = 0.7;
 
-/// Workers in the question to the policy service that callers allow for with each step.
-const USUAL_QUESTION: usize = 30;
+/// Workers in the policy query that callers allow for with each step.
+const TYPICAL_QUERY_WORKERS: usize = 30;
 
-/// Order of waiting steps; smaller goes first.
+/// Order of waiting steps; the smallest is placed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
-    pub(super) hope: Hope,
+    pub(super) timeliness: Timeliness,
     priority: u32,
     deadline: u64,
 }
 
-/// What a job can still earn.
+/// What a job can still earn: everything on time, less when late, nothing when worthless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Hope {
+pub(super) enum Timeliness {
     OnTime,
     Late,
     Worthless,
 }
 
 impl Machine {
-    /// Rank of a step whose job came at `accepted`, on the wall clock in milliseconds.
+    /// Computes the rank of a step whose job arrived at `accepted`, in milliseconds on the wall
+    /// clock.
     pub(super) fn rank(&self, job: &Job, queue: &Queue, key: &StepKey, accepted: u64) -> Rank {
         let begin = job.due(key.occurrence).map_or(accepted, crate::clock::Unix::as_millis);
-        let objective = self.objective(job, queue);
-        let left =
-            self.chain_from(job, key.step as usize, queue) * HOPE + self.asking_ms(job, key, queue);
-        let end = (self.unix.as_millis().saturating_sub(begin)) as f64 + left;
-        let hope = if end <= objective {
-            Hope::OnTime
-        } else if end <= objective * WORTHLESS_AFTER {
-            Hope::Late
+        let objective = self.objective_ms(job, queue);
+        let remaining = self.remaining_path_ms(job, key.step as usize, queue) * ON_TIME_RUN_SHARE
+            + self.first_query_ms(job, key, queue);
+        let end = (self.unix.as_millis().saturating_sub(begin)) as f64 + remaining;
+        let timeliness = if end <= objective {
+            Timeliness::OnTime
+        } else if end <= objective * WORTHLESS_FACTOR {
+            Timeliness::Late
         } else {
-            Hope::Worthless
+            Timeliness::Worthless
         };
-        Rank { hope, priority: queue.priority, deadline: begin + objective as u64 }
+        Rank { timeliness, priority: queue.priority, deadline: begin + objective as u64 }
     }
 
-    /// Time that the policy service takes before a gang can begin that nobody has asked about.
+    /// Time of the policy query that a gang needs before it can start, if it has not been queried
+    /// yet.
     ///
-    /// Guards against questions in vain: in a flood each gang was asked about when it was just on time, and
-    /// was late when its answer came, while others behind it that could be on time were not asked about.
-    fn asking_ms(&self, job: &Job, key: &StepKey, queue: &Queue) -> f64 {
-        let unasked = self.tickets.get(key).is_none_or(|tickets| tickets.tally().0 == 0);
+    /// Guards against useless queries: in a flood, each gang was queried when it was just on time
+    /// and was late when the answer arrived, while other gangs that could be on time were not
+    /// queried.
+    fn first_query_ms(&self, job: &Job, key: &StepKey, queue: &Queue) -> f64 {
+        let unqueried = self.tickets.get(key).is_none_or(|tickets| tickets.tally().0 == 0);
         let gang = job.steps[key.step as usize].gang;
         queue
             .advice
-            .filter(|_| gang && unasked)
+            .filter(|_| gang && unqueried)
             .map_or(0.0, |advice| advice.time_ms(ADVICE_WORKERS))
     }
 
-    /// Time that a step of a job may still be held up, in milliseconds; negative once it is late.
+    /// Time by which a step may still be delayed without its job being late, in milliseconds;
+    /// negative once the job is late.
     pub(super) fn slack_ms(&self, job: &Job, queue: &Queue, key: &StepKey, accepted: u64) -> f64 {
         let begin = job.due(key.occurrence).map_or(accepted, crate::clock::Unix::as_millis);
         let passed = self.unix.as_millis().saturating_sub(begin) as f64;
-        let left = self.chain_from(job, key.step as usize, queue);
-        self.objective(job, queue) - passed - left
+        let remaining = self.remaining_path_ms(job, key.step as usize, queue);
+        self.objective_ms(job, queue) - passed - remaining
     }
 
     /// Time within which a job should end, in milliseconds.
-    fn objective(&self, job: &Job, queue: &Queue) -> f64 {
-        self.chain(job, 0, queue) * queue.stretch.max(1.0) + queue.target_ms as f64
+    fn objective_ms(&self, job: &Job, queue: &Queue) -> f64 {
+        self.critical_path_ms(job, 0, queue) * queue.stretch.max(1.0) + queue.target_ms as f64
     }
 
-    /// Expected time of the longest chain of steps of a job, from `first` on, in milliseconds.
-    fn chain(&self, job: &Job, first: usize, queue: &Queue) -> f64 {
-        let asking = queue.advice.map_or(0.0, |advice| advice.time_ms(USUAL_QUESTION));
+    /// Expected duration of the longest chain of dependent steps from step `first` on, policy
+    /// queries included, in milliseconds.
+    fn critical_path_ms(&self, job: &Job, first: usize, queue: &Queue) -> f64 {
+        let query_ms = queue.advice.map_or(0.0, |advice| advice.time_ms(TYPICAL_QUERY_WORKERS));
         let mut ends = vec![0.0_f64; job.steps.len()];
         for (number, step) in job.steps.iter().enumerate().skip(first) {
             let begin = step.after.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
-            ends[number] = begin + asking + self.expected(step, queue);
+            ends[number] = begin + query_ms + self.expected_run_ms(step, queue);
         }
         ends.into_iter().fold(0.0, f64::max)
     }
 
-    /// The same for the steps that wait for `step`, itself included.
-    fn chain_from(&self, job: &Job, step: usize, queue: &Queue) -> f64 {
+    /// Expected duration of the longest chain of dependent steps that starts with `step`, without
+    /// policy queries, in milliseconds.
+    fn remaining_path_ms(&self, job: &Job, step: usize, queue: &Queue) -> f64 {
         let mut ends = vec![0.0_f64; job.steps.len()];
-        ends[step] = self.expected(&job.steps[step], queue);
+        ends[step] = self.expected_run_ms(&job.steps[step], queue);
         for (number, later) in job.steps.iter().enumerate().skip(step + 1) {
             let begin = later.after.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
             if begin > 0.0 {
-                ends[number] = begin + self.expected(later, queue);
+                ends[number] = begin + self.expected_run_ms(later, queue);
             }
         }
         ends.into_iter().fold(0.0, f64::max)
     }
 
-    /// Expected run time of a task: the caller's estimate, drawn towards what the queue's tasks took.
-    fn expected(&self, step: &Step, queue: &Queue) -> f64 {
+    /// Expected run time of a task in milliseconds: the mean of the caller's estimate and of the
+    /// run times observed in the queue.
+    fn expected_run_ms(&self, step: &Step, queue: &Queue) -> f64 {
         let estimate = step.estimate_ms as f64;
         match self.mean_run_times_ms.get(&queue.name) {
             Some(mean) if step.estimate_ms > 0 => f64::midpoint(estimate, *mean),
@@ -110,12 +117,20 @@
     }
 }
 
-/// Rank of tasks that run until their job is cancelled: one that ran before serves users who miss
-/// it now, and goes before all that waits; a new one keeps its queue's place.
-pub(super) fn lasting_rank(step: &crate::cell::state::Step, queue: &Queue, accepted: u64) -> Rank {
+/// Rank of long-running tasks. One that ran before is placed before all others, because its users
+/// miss it now; a new one is ranked by its queue.
+pub(super) fn long_running_rank(
+    step: &crate::cell::state::Step,
+    queue: &Queue,
+    accepted: u64,
+) -> Rank {
     let ran = step.tasks.iter().any(|task| task.last > 0 && task.live == 0);
     if ran {
-        return Rank { hope: Hope::OnTime, priority: 0, deadline: 0 };
+        return Rank { timeliness: Timeliness::OnTime, priority: 0, deadline: 0 };
+    }
+    Rank {
+        timeliness: Timeliness::OnTime,
+        priority: queue.priority,
+        deadline: accepted + queue.target_ms,
     }
-    Rank { hope: Hope::OnTime, priority: queue.priority, deadline: accepted + queue.target_ms }
 }
--- a/src/cell/machine/reservation.rs
+++ b/src/cell/machine/reservation.rs
@@ -1,120 +1,128 @@
-//! Room kept for gangs while their tickets hold.
+//! Reserves workers for gangs while their tickets are valid.
 //!
-//! The pattern that this answers: a site that is nearly full, where what comes free is taken by
-//! whatever fits first, and whose policy service takes a second for a question about a gang's
-//! workers. A narrow gang finds its few places at once; a wide one never finds all of its own in the
-//! moment in which it has tickets for them, asks again and again in vain, and comes too late.
+//! On a site that is nearly full, free capacity is taken by whatever fits first, and the policy
+//! service takes a second for a query about a gang's workers. A narrow gang finds its few workers
+//! at once. A wide one would never find all of its workers while its tickets are valid, would
+//! repeat its query without success, and would be late.
 //!
-//! So a gang whose tickets hold has its workers to itself: on a quarter of the workers room for
-//! several tasks of each comes free within a second. And only as many gangs are asked about at a time
-//! as the site can have room for when the answers come, the first in rank first: a wide one waits
-//! until those before it are placed, and none after it takes its turn.
+//! For this reason, the workers of a gang with valid tickets are reserved for it: on a quarter of
+//! the workers, capacity for several tasks each becomes free within a second. And only as many
+//! gangs are queried at a time as the site can have capacity for when the answers arrive, in order
+//! of rank. A wide gang waits until those before it are placed, and no later one overtakes it.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use super::Machine;
-use super::field::Fields;
-use super::rank::Hope;
-use super::waiting::Waiting;
+use super::pending::PendingStep;
+use super::rank::Timeliness;
+use super::view::WorkerViews;
 
-/// Share of the site's processors for which gangs may be asked about or hold tickets at a time.
-const SHARE: f64 = 0.7;
+/// Share of the site's CPU for which gangs may have queries in flight or valid tickets at a time.
+const BUDGET_SHARE: f64 = 0.7;
 
-/// Share of the workers that may be kept free for gangs.
-const KEPT_SHARE: f64 = 0.5;
+/// Share of the workers that may be reserved for gangs.
+const MAX_RESERVED_SHARE: f64 = 0.5;
 
-/// Times its tasks for which workers with tickets are kept free for a gang, each counted with the
-/// tasks that fit there, at least one: some come free sooner than others.
-const MARGIN: f64 = 3.0;
+/// Factor by which the capacity of the workers reserved for a gang exceeds its tasks. Each worker
+/// counts with the tasks that fit there, at least one, since some become free sooner than others.
+const RESERVE_FACTOR: f64 = 3.0;
 
-/// How many gangs may be asked about or hold tickets at a time, by the processors that they need, in
+/// Limit of the gangs with queries in flight or valid tickets, by the CPU that they need in
 /// thousandths of a core.
 ///
-/// Each priority has its own: an urgent gang doesn't wait for the answers of less urgent ones.
+/// Each priority has its own limit, so that an urgent gang does not wait for the answers of less
+/// urgent ones.
 #[derive(Clone, Debug)]
-pub(super) struct Budget {
-    /// What each priority has.
-    whole: u64,
-    /// What is taken of it, by priority.
+pub(super) struct GangBudget {
+    /// Limit of each priority.
+    limit: u64,
+    /// CPU used, by priority.
     used: BTreeMap<u32, u64>,
 }
 
-impl Budget {
-    /// Whether nothing is left for gangs like `step`.
-    pub(super) fn is_spent(&self, step: &Waiting) -> bool {
-        self.used.get(&step.queue.priority).is_some_and(|used| *used >= self.whole)
+impl GangBudget {
+    /// Whether nothing is left for gangs of the priority of `step`.
+    pub(super) fn is_exhausted(&self, step: &PendingStep) -> bool {
+        self.used.get(&step.queue.priority).is_some_and(|used| *used >= self.limit)
     }
 
-    /// Takes what a gang needs; `false` where too little is left. Then nothing is for those after it
-    /// either, if it can be on time.
+    /// Takes the CPU that a gang needs; returns `false` if too little is left. In that case,
+    /// nothing is left for later gangs either, if this gang can be on time.
     ///
-    /// Guards against gangs that never fit: waiting for all others, a late one would hold up those that
-    /// do for as long as it waits.
-    pub(super) fn take(&mut self, step: &Waiting) -> bool {
-        let need = self.need(step);
+    /// Late gangs do not block later ones: one that never fits would hold up those that do for as
+    /// long as it waits.
+    pub(super) fn try_take(&mut self, step: &PendingStep) -> bool {
+        let cost = self.cost(step);
         let used = self.used.entry(step.queue.priority).or_insert(0);
-        let admitted = *used + need <= self.whole;
+        let admitted = *used + cost <= self.limit;
         if admitted {
-            *used += need;
-        } else if step.rank.hope == Hope::OnTime {
-            *used = self.whole;
+            *used += cost;
+        } else if step.rank.timeliness == Timeliness::OnTime {
+            *used = self.limit;
         }
         admitted
     }
 
-    /// Notes a gang that is asked about or holds tickets.
-    fn note(&mut self, step: &Waiting) {
-        *self.used.entry(step.queue.priority).or_insert(0) += self.need(step);
+    /// Adds a gang that has a query in flight or valid tickets.
+    fn add_active(&mut self, step: &PendingStep) {
+        *self.used.entry(step.queue.priority).or_insert(0) += self.cost(step);
     }
 
-    /// What a gang counts for: no single one takes more than half.
-    fn need(&self, step: &Waiting) -> u64 {
-        step.cpu_millis().min(self.whole / 2)
+    /// CPU that a gang counts with: at most half of the limit.
+    fn cost(&self, step: &PendingStep) -> u64 {
+        step.cpu_millis().min(self.limit / 2)
     }
 }
 
 impl Machine {
-    /// What may be spent on questions about further gangs in this round.
-    pub(super) fn budget(&self, waiting: &[Waiting], fields: &Fields) -> Budget {
-        let whole = (fields.cpu_millis() as f64 * SHARE) as u64;
-        let mut budget = Budget { whole, used: BTreeMap::new() };
-        for step in waiting.iter().filter(|step| step.model().gang && self.is_under_way(step)) {
-            budget.note(step);
+    /// Returns what is left for queries about further gangs in this round.
+    pub(super) fn budget(&self, waiting: &[PendingStep], views: &WorkerViews) -> GangBudget {
+        let limit = (views.cpu_millis() as f64 * BUDGET_SHARE) as u64;
+        let mut budget = GangBudget { limit, used: BTreeMap::new() };
+        for step in
+            waiting.iter().filter(|step| step.spec().gang && self.has_query_or_tickets(step))
+        {
+            budget.add_active(step);
         }
         budget
     }
 
-    /// Whether a question about the step is under way, or its tickets hold.
-    pub(super) fn is_under_way(&self, step: &Waiting) -> bool {
+    /// Whether a query about the step is in flight or any of its tickets is valid.
+    pub(super) fn has_query_or_tickets(&self, step: &PendingStep) -> bool {
         let tickets = self.tickets.get(&step.key);
         tickets.is_some_and(|tickets| {
             tickets.is_asking() || tickets.holding(self.now).next().is_some()
         })
     }
 
-    /// Keeps the workers of a gang that does not fit yet free of what comes after it.
-    pub(super) fn reserve(&self, step: &Waiting, allowed: &[usize], fields: &mut Fields) {
-        if step.rank.hope == Hope::Worthless {
+    /// Reserves workers for a gang that does not fit yet, so that later steps leave them free.
+    pub(super) fn reserve_for_gang(
+        &self,
+        step: &PendingStep,
+        allowed: &[usize],
+        views: &mut WorkerViews,
+    ) {
+        if step.rank.timeliness == Timeliness::Worthless {
             return;
         }
-        let spare = (fields.count() as f64 * KEPT_SHARE) as usize;
-        let spare = spare.saturating_sub(fields.reserved());
+        let spare = (views.count() as f64 * MAX_RESERVED_SHARE) as usize;
+        let spare = spare.saturating_sub(views.reserved());
         let mut open: Vec<usize> = allowed.to_vec();
-        open.retain(|&at| !fields.get(at).reserved);
-        open.sort_by_key(|&at| Reverse(fields.get(at).room.cpu_millis));
+        open.retain(|&at| !views.get(at).reserved);
+        open.sort_by_key(|&at| Reverse(views.get(at).free.cpu_millis));
         let wanted = step.pending.len() as f64;
         let mut slots = 0.0;
-        let mut kept = Vec::new();
+        let mut reserved = Vec::new();
         for at in open {
-            if slots >= wanted * MARGIN {
+            if slots >= wanted * RESERVE_FACTOR {
                 break;
             }
-            slots += fields.get(at).slots(&step.queue.service, step.model()).max(1.0);
-            kept.push(at);
+            slots += views.get(at).slots(&step.queue.service, step.spec()).max(1.0);
+            reserved.push(at);
         }
-        if slots >= wanted && kept.len() <= spare {
-            kept.into_iter().for_each(|at| fields.reserve(at));
+        if slots >= wanted && reserved.len() <= spare {
+            reserved.into_iter().for_each(|at| views.reserve(at));
         }
     }
 }
--- a/src/cell/machine/roster.rs
+++ b/src/cell/machine/roster.rs
@@ -1,4 +1,4 @@
-//! The list of workers and the configuration, as they change.
+//! Changes of the worker list and of the configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -12,29 +12,29 @@
 use crate::cell::worker::Worker;
 
 impl Machine {
-    pub(super) fn roster(&mut self, roster: Roster) {
+    pub(super) fn update_workers(&mut self, roster: Roster) {
         if roster.whole {
             let present: BTreeSet<&WorkerId> = roster.present.iter().map(|(id, _)| id).collect();
             let missing: Vec<WorkerId> =
                 self.workers.keys().filter(|id| !present.contains(id)).cloned().collect();
-            missing.iter().for_each(|id| self.miss(id));
-            self.dead.retain(|id| present.contains(id));
+            missing.iter().for_each(|id| self.mark_unlisted(id));
+            self.dead_workers.retain(|id| present.contains(id));
         }
         let mut any_new = false;
         for (id, listed) in roster.present {
-            any_new |= self.list(id, listed);
+            any_new |= self.add_listed(id, listed);
         }
         if any_new {
-            self.reserve_inherited();
+            self.reserve_recovered();
         }
         for entry in roster.gone {
-            self.miss_lives(&entry);
+            self.mark_incarnations_unlisted(&entry);
         }
     }
 
-    /// Takes in a worker's entry; `true` when the worker was not known.
-    fn list(&mut self, id: WorkerId, listed: Rc<Listed>) -> bool {
-        if self.dead.contains(&id) {
+    /// Adds or updates a worker's entry; returns `true` if the worker was not known.
+    fn add_listed(&mut self, id: WorkerId, listed: Rc<Listed>) -> bool {
+        if self.dead_workers.contains(&id) {
             return false;
         }
         if let Some(worker) = self.workers.get_mut(&id) {
@@ -45,9 +45,9 @@
                     listed.capacity.to_string(),
                     worker.used.to_string()
                 );
-                self.dirty = true;
+                self.needs_placement = true;
             }
-            self.dirty |= !worker.is_room_known(self.timings.room_known_for, self.now);
+            self.needs_placement |= !worker.is_room_known(self.timings.room_known_for, self.now);
             worker.listed = listed;
             worker.listed_at = self.now;
             return false;
@@ -60,36 +60,37 @@
             listed.draining
         );
         if Life::of(&id).born.is_some() {
-            self.miss_lives(Life::of(&id).entry);
+            self.mark_incarnations_unlisted(Life::of(&id).entry);
         }
         self.workers.insert(id.clone(), Worker::new(id, listed, self.timings.lease, self.now));
         true
     }
 
-    /// Reserves room for the tries that an earlier owner placed, on workers that are new here.
-    fn reserve_inherited(&mut self) {
-        for run in std::mem::take(&mut self.unlisted) {
-            let Some(live) = self.runs.get(&run) else { continue };
-            match self.workers.get_mut(&live.worker) {
-                Some(worker) => worker.reserve(run, &live.demand),
+    /// Allocates capacity to the attempts of earlier owners on workers that have just been listed.
+    fn reserve_recovered(&mut self) {
+        for run in std::mem::take(&mut self.unlisted_runs) {
+            let Some(active) = self.runs.get(&run) else { continue };
+            match self.workers.get_mut(&active.worker) {
+                Some(worker) => worker.reserve(run, &active.demand),
                 None => {
-                    self.unlisted.insert(run);
+                    self.unlisted_runs.insert(run);
                 }
             }
         }
     }
 
-    /// The list no longer names any life of a worker that is known here.
-    fn miss_lives(&mut self, entry: &str) {
-        let lives: Vec<WorkerId> =
-            lives_of(&self.workers, entry).map(|(id, _)| id.clone()).collect();
-        lives.iter().for_each(|id| self.miss(id));
-        self.dead.retain(|id| Life::of(id).entry != entry);
+    /// Marks all incarnations of a worker that the list no longer names.
+    fn mark_incarnations_unlisted(&mut self, entry: &str) {
+        let incarnations: Vec<WorkerId> =
+            incarnations_of(&self.workers, entry).map(|(id, _)| id.clone()).collect();
+        incarnations.iter().for_each(|id| self.mark_unlisted(id));
+        self.dead_workers.retain(|id| Life::of(id).entry != entry);
     }
 
-    /// Absence from the list says little: entries lapse while the store is away. What runs there
-    /// counts until its lease has surely run out.
-    fn miss(&mut self, id: &str) {
+    /// Marks a worker as missing from the list. This alone does not mean that it is gone: entries
+    /// expire while the store is unavailable. Its attempts count as running until its lease has
+    /// certainly expired.
+    fn mark_unlisted(&mut self, id: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else { return };
         if worker.missing_since.is_none() {
@@ -98,17 +99,17 @@
         }
     }
 
-    pub(super) fn configure(&mut self, table: Rc<Table>) {
-        if table.version > self.table.version {
-            log::info!("event=config.in_force version={}", table.version);
-            self.table = table;
+    pub(super) fn configure(&mut self, config: Rc<Table>) {
+        if config.version > self.config.version {
+            log::info!("event=config.in_force version={}", config.version);
+            self.config = config;
             self.workers.mark_all_changed();
-            self.dirty = true;
+            self.needs_placement = true;
         }
     }
 
-    /// Forgets workers that are off the list and hold nothing any more.
-    pub(super) fn drop_unlisted(&mut self) {
+    /// Removes workers that are no longer listed, do not answer, and have no attempts.
+    pub(super) fn remove_unlisted_workers(&mut self) {
         let now = self.now;
         let over = |worker: &&Worker| {
             let gone = worker.missing_since.is_some_and(|since| {
@@ -124,14 +125,14 @@
         }
     }
 
-    /// Forgets what the policy service said of a life that is over.
+    /// Drops the tickets for a worker incarnation that has ended.
     pub(super) fn forget_tickets(&mut self, worker: &str) {
         self.tickets.values_mut().for_each(|tickets| tickets.forget(worker));
     }
 }
 
-/// Workers by name, as far as they are lives of the one that the list names `entry`.
-pub(super) fn lives_of<'a>(
+/// Returns the incarnations of the worker that the list names `entry`.
+pub(super) fn incarnations_of<'a>(
     workers: &'a BTreeMap<WorkerId, Worker>,
     entry: &'a str,
 ) -> impl Iterator<Item = (&'a WorkerId, &'a Worker)> {
--- a/src/cell/machine/succession.rs
+++ b/src/cell/machine/succession.rs
@@ -9,30 +9,31 @@
 use super::Machine;
 use crate::clock::Instant;
 
-/// Rest between two rankings: below the time for which an instance that follows the owner waits for its
-/// answer.
-const REST: Duration = Duration::from_millis(100);
+/// Interval between two rankings: shorter than the time for which an instance that follows the
+/// owner waits for its answer.
+const RANKING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The order in which instances would take the cell over, as it was worked out last.
+/// The order in which instances would take the cell over, as last computed.
 ///
-/// Each instance is told of it several times a second. Ranked anew and told whole each time, it takes
-/// time that grows with the square of the instances; so it is ranked at times, and each instance is
-/// told the list only when it has another one.
+/// Each instance receives it several times a second. Computing and sending all of it each time
+/// would take time that grows with the square of the number of instances. It is computed at
+/// intervals, and an instance receives the list only if its digest differs.
 #[derive(Clone, Debug, Default)]
 pub struct Succession {
-    /// Instances that follow the owner, the first to take over first.
+    /// Instances that follow the owner, first to take over first.
     pub order: Rc<[SocketAddr]>,
-    /// Tells the list from others; zero for none.
+    /// Digest of the list; zero if it is empty.
     pub digest: u64,
-    /// Processor of the strongest of them, in thousandths of a core.
+    /// CPU of the strongest instance, in thousandths of a core.
     pub(super) strongest: u32,
-    next: Instant,
+    next_ranking: Instant,
 }
 
 impl Machine {
-    /// Instances that were heard of lately, in the order of succession: the strongest first, since the
-    /// owner does most of the work and instances differ fourfold, and those of equal strength by turns
-    /// from each failure domain, so that a cut of one leaves most of the first ones.
+    /// Returns the instances that were heard of recently, in order of succession. Stronger
+    /// instances come first, because the owner does most of the work and instances differ by a
+    /// factor of four. Among equally strong ones, failure domains alternate, so that losing one
+    /// domain leaves most of the first instances.
     pub fn present_instances(&self, now: Instant) -> Vec<SocketAddr> {
         let fresh = self.proxies.iter().filter(|(_, proxy)| proxy.is_fresh(now));
         let mut counts: BTreeMap<(u32, &str), u32> = BTreeMap::new();
@@ -46,20 +47,20 @@
         ranked.into_iter().map(|(.., peer)| peer).collect()
     }
 
-    /// The order of succession as it was worked out last, a moment ago.
+    /// Returns the order of succession as last computed.
     pub const fn succession(&self) -> &Succession {
         &self.succession
     }
 
-    /// Works the order of succession out anew, if it is time to.
+    /// Recomputes the order of succession if it is due.
     pub(super) fn rank_instances(&mut self) {
-        if self.now < self.succession.next {
+        if self.now < self.succession.next_ranking {
             return;
         }
         let order = self.present_instances(self.now);
         let fresh = self.proxies.values().filter(|proxy| proxy.is_fresh(self.now));
         let strongest = fresh.map(|proxy| proxy.strength).max().unwrap_or(0);
-        self.succession.next = self.now.after(REST);
+        self.succession.next_ranking = self.now.after(RANKING_INTERVAL);
         self.succession.strongest = strongest;
         if *order != *self.succession.order {
             self.succession.digest = digest(&order);
@@ -68,7 +69,7 @@
     }
 }
 
-/// Tells a list from others; zero for an empty one.
+/// Returns a digest of the list; zero if it is empty.
 fn digest(order: &[SocketAddr]) -> u64 {
     if order.is_empty() {
         return 0;
--- a/src/cell/machine/agenda.rs
+++ b/src/cell/machine/timer_queue.rs
@@ -1,26 +1,26 @@
-//! What is due when.
+//! Keys ordered by the time at which they are due.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::clock::Instant;
 
-/// Moments at which something is due, by key, so that what is not due is not gone through.
+/// Due times by key, with an index by time, so that keys that are not due need not be visited.
 #[derive(Debug)]
-pub(super) struct Agenda<K> {
-    moments: BTreeMap<K, Instant>,
+pub(super) struct TimerQueue<K> {
+    due_times: BTreeMap<K, Instant>,
     queue: BTreeSet<(Instant, K)>,
 }
 
-impl<K> Default for Agenda<K> {
+impl<K> Default for TimerQueue<K> {
     fn default() -> Self {
-        Self { moments: BTreeMap::new(), queue: BTreeSet::new() }
+        Self { due_times: BTreeMap::new(), queue: BTreeSet::new() }
     }
 }
 
-impl<K: Clone + Ord> Agenda<K> {
-    /// Replaces the moment of `key`; `None` for never.
+impl<K: Clone + Ord> TimerQueue<K> {
+    /// Sets the due time of `key`; `None` removes it.
     pub(super) fn set(&mut self, key: &K, at: Option<Instant>) {
-        let before = self.moments.get(key).copied();
+        let before = self.due_times.get(key).copied();
         if before == at {
             return;
         }
@@ -29,16 +29,16 @@
         }
         match at {
             Some(at) => {
-                self.moments.insert(key.clone(), at);
+                self.due_times.insert(key.clone(), at);
                 self.queue.insert((at, key.clone()));
             }
             None => {
-                self.moments.remove(key);
+                self.due_times.remove(key);
             }
         }
     }
 
-    /// Keys that are due at `now`, the first `limit` of them, in the order of keys.
+    /// Returns the first `limit` keys that are due at `now`, in key order.
     pub(super) fn due(&self, now: Instant, limit: usize) -> Vec<K> {
         let due = self.queue.iter().take_while(|(at, _)| *at <= now).take(limit);
         let mut due: Vec<K> = due.map(|(_, key)| key.clone()).collect();
--- a/src/cell/machine/tracked.rs
+++ b/src/cell/machine/tracked_map.rs
@@ -1,11 +1,11 @@
-//! A map that knows which of its entries may have changed.
+//! A map that tracks which of its entries may have changed.
 
 use std::borrow::Borrow;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Deref;
 
-/// A map that notes the keys of entries as they are added, removed or handed out to be changed, so
-/// that whoever keeps something worked out from them goes through these alone.
+/// A map that records the keys of entries that are added, removed or borrowed mutably, so that
+/// values derived from the entries can be updated incrementally.
 ///
 /// ```
 /// use oriolefork::cell::machine::TrackedMap;
@@ -39,7 +39,7 @@
 }
 
 impl<K: Clone + Ord, V> TrackedMap<K, V> {
-    /// Adds or replaces an entry.
+    /// Inserts or replaces an entry.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         self.changed.insert(key.clone());
         self.entries.insert(key, value)
@@ -55,7 +55,7 @@
         Some(value)
     }
 
-    /// An entry that may be changed.
+    /// Returns a mutable reference to an entry and marks the entry as changed.
     pub fn get_mut<Q: Ord + ?Sized>(&mut self, key: &Q) -> Option<&mut V>
     where
         K: Borrow<Q>,
@@ -67,12 +67,13 @@
         self.entries.get_mut(key)
     }
 
-    /// Notes all entries, for a change of what they are seen by.
+    /// Marks all entries as changed, for a change in what is derived from them.
     pub fn mark_all_changed(&mut self) {
         self.changed.extend(self.entries.keys().cloned());
     }
 
-    /// Keys of the entries that may have changed since the last call, removed ones included.
+    /// Returns the keys of entries that may have changed since the last call, including removed
+    /// ones.
     pub fn take_changed(&mut self) -> BTreeSet<K> {
         std::mem::take(&mut self.changed)
     }
--- /dev/null
+++ b/src/cell/machine/view.rs
@@ -0,0 +1,325 @@
+//! Cached views of workers for placement rounds.
+//!
+//! Views are kept between rounds, and each round refreshes only those of workers that have changed.
+//! With 3,000 workers, examining each of them for each waiting step took all of the owner's time.
+
+use std::cmp::Reverse;
+use std::collections::{BTreeSet, HashMap};
+use std::rc::Rc;
+use std::time::Duration;
+
+use super::Machine;
+use super::crash::StartingTasks;
+use super::pending::PendingStep;
+use super::timer_queue::TimerQueue;
+use crate::cell::job::{Run, Step};
+use crate::cell::link::Listed;
+use crate::cell::record::WorkerId;
+use crate::cell::worker::{Worker, Yielding};
+use crate::clock::Instant;
+use crate::resource::Amount;
+
+/// Resolution of the clock.
+const CLOCK_TICK: Duration = Duration::from_millis(1);
+
+/// A worker as a placement round sees it.
+#[derive(Debug)]
+pub(super) struct WorkerView {
+    pub(super) id: WorkerId,
+    pub(super) listed: Rc<Listed>,
+    pub(super) free: Amount,
+    /// CPU that is free at the start of the round, in thousandths of a core.
+    free_cpu_millis: u64,
+    /// Whether it may be given new tasks.
+    open: bool,
+    /// Reserved for a gang of higher rank in this round.
+    pub(super) reserved: bool,
+    /// Whether the worker left its latest commands unanswered.
+    pub(super) unresponsive: bool,
+    /// Attempts on the worker that may be preempted.
+    pub(super) preemptible: Rc<[Yielding]>,
+    /// Whether tasks on it have a response time target.
+    pub(super) runs_serving: bool,
+    /// Whether opportunistic tasks run on it, which use what others leave.
+    pub(super) runs_opportunistic: bool,
+    /// Tasks that are starting on it; filled in only while crash isolation is on.
+    pub(super) starting: StartingTasks,
+}
+
+/// Parts of the views that are filled in only when needed; few sites have tasks for which they
+/// matter.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct ViewOptions {
+    /// A waiting step has a response time target or is opportunistic.
+    interference: bool,
+    /// A waiting or running task is suspected of crashing its workers.
+    crash_isolation: bool,
+}
+
+/// Views of all workers, in the order of their names, which are addressed by index.
+#[derive(Debug, Default)]
+pub(super) struct WorkerViews {
+    all: Vec<WorkerView>,
+    positions: HashMap<WorkerId, usize>,
+    /// Indices ordered by free CPU, most first, as of the last call of [`WorkerViews::sort`].
+    by_free_cpu: Vec<usize>,
+    is_sorted: bool,
+    /// Indices of reserved workers.
+    reserved: Vec<usize>,
+    /// Workers that have changed since the last round.
+    changed: BTreeSet<WorkerId>,
+    /// When the view of a worker changes although the worker does not.
+    refresh_times: TimerQueue<WorkerId>,
+    options: ViewOptions,
+    open: Totals,
+}
+
+/// Totals of all workers that may be given new tasks.
+#[derive(Clone, Copy, Debug, Default)]
+struct Totals {
+    count: usize,
+    /// CPU in thousandths of a core, in total and unallocated.
+    cpu_millis: u64,
+    free_cpu_millis: u64,
+}
+
+impl WorkerViews {
+    /// Notes that a worker was added, changed or removed.
+    pub(super) fn note_changed(&mut self, id: WorkerId) {
+        self.changed.insert(id);
+    }
+
+    /// Number of workers that may be given new tasks now.
+    pub(super) const fn count(&self) -> usize {
+        self.open.count
+    }
+
+    /// Indices of workers that may be given new tasks now.
+    pub(super) fn open(&self) -> impl Iterator<Item = usize> + '_ {
+        (0..self.all.len()).filter(|&at| self.all[at].open)
+    }
+
+    /// Share of their CPU that is free at the start of the round, 0 to 1.
+    pub(super) fn free_share(&self) -> f64 {
+        self.open.free_cpu_millis as f64 / self.open.cpu_millis.max(1) as f64
+    }
+
+    /// Their CPU that is free at the start of the round, in thousandths of a core.
+    pub(super) const fn free_cpu_millis(&self) -> u64 {
+        self.open.free_cpu_millis
+    }
+
+    /// Their total CPU, in thousandths of a core.
+    pub(super) const fn cpu_millis(&self) -> u64 {
+        self.open.cpu_millis
+    }
+
+    pub(super) fn get(&self, at: usize) -> &WorkerView {
+        &self.all[at]
+    }
+
+    /// Returns a view that may be changed for the rest of the round.
+    pub(super) fn get_mut(&mut self, at: usize) -> &mut WorkerView {
+        self.is_sorted = false;
+        &mut self.all[at]
+    }
+
+    /// Returns the index of the worker of that name, if it may be given new tasks now.
+    pub(super) fn find(&self, id: &WorkerId) -> Option<usize> {
+        self.positions.get(id).copied().filter(|&at| self.all[at].open)
+    }
+
+    pub(super) fn racks(&self, positions: &[usize]) -> BTreeSet<Option<String>> {
+        positions.iter().map(|&at| self.all[at].listed.rack.clone()).collect()
+    }
+
+    /// Reserves a worker for a gang for the rest of the round.
+    pub(super) fn reserve(&mut self, at: usize) {
+        self.all[at].reserved = true;
+        self.reserved.push(at);
+    }
+
+    /// Number of workers reserved for gangs.
+    pub(super) const fn reserved(&self) -> usize {
+        self.reserved.len()
+    }
+
+    /// Sorts the workers by free CPU. They are nearly in order from the last time.
+    pub(super) fn sort(&mut self) {
+        if self.is_sorted {
+            return;
+        }
+        let all = &self.all;
+        self.by_free_cpu.sort_by_key(|&at| (Reverse(all[at].free.cpu_millis), at));
+        self.is_sorted = true;
+    }
+
+    /// Workers that may be given new tasks now, by free CPU, most first, as of the last call of
+    /// [`WorkerViews::sort`].
+    pub(super) fn by_free_cpu(&self) -> impl Iterator<Item = usize> + '_ {
+        self.by_free_cpu.iter().copied().filter(|&at| self.all[at].open)
+    }
+
+    /// Replaces a view and updates the totals.
+    fn replace(&mut self, at: usize, view: WorkerView) {
+        let before = std::mem::replace(&mut self.all[at], view);
+        self.open.remove(&before);
+        self.open.add(&self.all[at]);
+    }
+
+    /// Releases the reservations of the round.
+    pub(super) fn end_round(&mut self) {
+        for at in std::mem::take(&mut self.reserved) {
+            self.all[at].reserved = false;
+        }
+    }
+}
+
+impl Totals {
+    fn add(&mut self, view: &WorkerView) {
+        if view.open {
+            self.count += 1;
+            self.cpu_millis += view.listed.capacity.cpu_millis;
+            self.free_cpu_millis += view.free_cpu_millis;
+        }
+    }
+
+    fn remove(&mut self, view: &WorkerView) {
+        if view.open {
+            self.count -= 1;
+            self.cpu_millis -= view.listed.capacity.cpu_millis;
+            self.free_cpu_millis -= view.free_cpu_millis;
+        }
+    }
+}
+
+impl WorkerView {
+    /// Whether the step's tasks and those on the worker do not disturb each other.
+    ///
+    /// Guards against opportunistic tasks that slow tasks with a response time target beyond that
+    /// target: the two kinds run on different workers.
+    pub(super) fn is_compatible(&self, step: &Step) -> bool {
+        !(step.fills && self.runs_serving || step.serves() && self.runs_opportunistic)
+    }
+
+    /// Whether a task of the step may start beside those that are starting on the worker.
+    pub(super) fn admits(&self, step: &PendingStep, index: u32) -> bool {
+        self.starting.admits(step.key.job, step.suspects.contains(&index))
+    }
+
+    /// Number of the step's tasks that fit on the worker now.
+    pub(super) fn slots(&self, service: &str, step: &Step) -> f64 {
+        self.slots_for(&self.free, service, step)
+    }
+
+    /// Number of the step's tasks that would fit if the worker had `room` free.
+    pub(super) fn slots_for(&self, room: &Amount, service: &str, step: &Step) -> f64 {
+        if self.reserved || !self.matches(service, step) || !self.is_compatible(step) {
+            return 0.0;
+        }
+        let demand = step.room();
+        let fits = |room: u64, demand: u64| room.checked_div(demand).unwrap_or(u64::MAX);
+        let slots = fits(room.cpu_millis, demand.cpu_millis)
+            .min(fits(room.memory_mib, demand.memory_mib))
+            .min(fits(room.accelerators, demand.accelerators))
+            .min(u64::from(step.count));
+        let bound = if step.spread == 0 { u64::MAX } else { u64::from(step.spread) };
+        slots.min(bound) as f64
+    }
+
+    /// Whether the worker belongs to `service` and has the label that the step requires.
+    pub(super) fn matches(&self, service: &str, step: &Step) -> bool {
+        let label = step.label.as_ref().is_none_or(|label| self.listed.labels.contains(label));
+        self.listed.service == service && label
+    }
+}
+
+impl Machine {
+    /// Refreshes the views for a round that places the `waiting` steps. What runs on each worker
+    /// matters only if one of them has a response time target or is opportunistic.
+    pub(super) fn refresh_views(&self, views: &mut WorkerViews, waiting: &[PendingStep]) {
+        let shares = |step: &PendingStep| step.spec().fills || step.spec().serves();
+        let interference = waiting.iter().any(shares);
+        let crash_isolation =
+            waiting.iter().any(|step| !step.suspects.is_empty()) || !self.suspects.is_empty();
+        let options = ViewOptions { interference, crash_isolation };
+        // The set of starting tasks changes with time alone.
+        let all = crash_isolation || options != views.options;
+        views.options = options;
+        let changed = std::mem::take(&mut views.changed);
+        if changed
+            .iter()
+            .any(|id| views.positions.contains_key(id) != self.workers.contains_key(id))
+        {
+            return self.rebuild_views(views);
+        }
+        let mut stale = changed;
+        stale.extend(views.refresh_times.due(self.now, usize::MAX));
+        if all {
+            stale.extend(self.workers.keys().cloned());
+        }
+        for id in &stale {
+            if let Some((worker, &at)) = self.workers.get(id).zip(views.positions.get(id)) {
+                views.replace(at, self.view(worker, options));
+                views.refresh_times.set(id, self.next_refresh(worker));
+            }
+        }
+        views.is_sorted &= stale.is_empty();
+    }
+
+    fn rebuild_views(&self, views: &mut WorkerViews) {
+        let all = self.workers.values().map(|worker| self.view(worker, views.options));
+        views.all = all.collect();
+        let positions = self.workers.keys().cloned().enumerate();
+        views.positions = positions.map(|(at, id)| (id, at)).collect();
+        views.by_free_cpu = (0..views.all.len()).collect();
+        views.is_sorted = false;
+        views.open = Totals::default();
+        views.all.iter().for_each(|view| views.open.add(view));
+        views.refresh_times = TimerQueue::default();
+        for worker in self.workers.values() {
+            views.refresh_times.set(&worker.id, self.next_refresh(worker));
+        }
+    }
+
+    /// Returns when the view of a worker changes although the worker does not.
+    fn next_refresh(&self, worker: &Worker) -> Option<Instant> {
+        let rest = worker.next_end_of_rest(self.now);
+        let known = worker.room_known_until(self.timings.room_known_for);
+        let lapse = known.map(|until| until.after(CLOCK_TICK)).filter(|lapse| *lapse > self.now);
+        rest.into_iter().chain(lapse).min()
+    }
+
+    fn view(&self, worker: &Worker, options: ViewOptions) -> WorkerView {
+        let ViewOptions { interference, crash_isolation } = options;
+        let runs_any = |is: fn(&Step) -> bool| worker.runs.iter().any(|run| self.runs_as(run, is));
+        let known_for = self.timings.room_known_for;
+        let free = worker.room();
+        WorkerView {
+            id: worker.id.clone(),
+            listed: worker.listed.clone(),
+            free,
+            free_cpu_millis: free.cpu_millis,
+            open: worker.is_open(self.now) && worker.is_room_known(known_for, self.now),
+            reserved: false,
+            unresponsive: worker.silence.is_remembered(self.now),
+            // Capacity released on an overcommitted worker cannot be used.
+            preemptible: if worker.is_overcommitted() {
+                Rc::default()
+            } else {
+                worker.yielding.clone()
+            },
+            runs_serving: interference && runs_any(Step::serves),
+            runs_opportunistic: interference && runs_any(|step| step.fills),
+            starting: if crash_isolation {
+                self.starting(worker)
+            } else {
+                StartingTasks::default()
+            },
+        }
+    }
+
+    fn runs_as(&self, run: &Run, is: fn(&Step) -> bool) -> bool {
+        self.spec(&run.task.step).is_some_and(is)
+    }
+}
--- a/src/cell/node/table.rs
+++ b/src/cell/node/table.rs
@@ -38,7 +38,7 @@
         *self.table.borrow_mut() = table.clone();
         for view in self.views.borrow().values() {
             if let Some(owning) = &view.owning {
-                owning.send(Message::Table(table.clone()));
+                owning.send(Message::ConfigChanged(table.clone()));
             }
         }
     }
--- a/src/cell/owner.rs
+++ b/src/cell/owner.rs
@@ -59,7 +59,7 @@
     /// What taking it in counts for.
     const fn duty(&self) -> Duty {
         match self {
-            Self::Message(message) => message.duty(),
+            Self::Message(message) => message.activity(),
             Self::Call { .. } | Self::End => Duty::Call,
             Self::Inspect(_) => Duty::Watch,
         }
@@ -174,7 +174,7 @@
             let (now, unix) = (self.borders.clock.now(), self.borders.clock.unix());
             (self.health)(self.machine.store_health(now));
             let mut round = Duration::ZERO;
-            let effects = self.machine.step_by_duty(now, unix, &mut |duty| {
+            let effects = self.machine.step_by_activity(now, unix, &mut |duty| {
                 let took = lap.end(duty);
                 if duty == Duty::Placement {
                     round = took;
@@ -182,7 +182,7 @@
             });
             self.machine.delay_next_round(round);
             for effect in effects {
-                let duty = effect.duty();
+                let duty = effect.activity();
                 if let Some(why) = self.carry_out(effect) {
                     return why;
                 }
@@ -347,7 +347,7 @@
                 match borders.duties.measure(Duty::List, borders.lists.roster()).await {
                     Ok(roster) => {
                         list.answered();
-                        handle.send(Message::Roster(share(roster, cell, cells)));
+                        handle.send(Message::WorkersChanged(share(roster, cell, cells)));
                     }
                     Err(cause) => list.failed(&cause),
                 }
--- a/tests/logic/cell/advice.rs
+++ b/tests/logic/cell/advice.rs
@@ -21,7 +21,7 @@
     let queues =
         queues.map(|queue| Queue { advice: Some(TERMS), ..Queue::clone(queue) }.into()).collect();
     let table = Table { version: 2, queues, services: table.services.clone() };
-    story.tell(Message::Table(Rc::new(table)));
+    story.tell(Message::ConfigChanged(Rc::new(table)));
     story
 }
 
--- a/tests/logic/cell/askers.rs
+++ b/tests/logic/cell/askers.rs
@@ -35,7 +35,7 @@
         ..upper.clone()
     };
     let queues = vec![upper.into(), lower.into()];
-    story.tell(Message::Table(Rc::new(Table {
+    story.tell(Message::ConfigChanged(Rc::new(Table {
         version: 2,
         queues,
         services: table.services.clone(),
--- a/tests/logic/cell/crash.rs
+++ b/tests/logic/cell/crash.rs
@@ -30,7 +30,7 @@
     let listed = Rc::new(model::listed(next, cores(8)));
     let gone = vec![format!("w{worker}").into()];
     let present = vec![(format!("w{next}").into(), listed)];
-    story.tell(Message::Roster(Roster { present, gone, whole: false }));
+    story.tell(Message::WorkersChanged(Roster { present, gone, whole: false }));
     story.pass(1);
     story.report(next, &[], &[]);
     settle(story);
@@ -170,7 +170,7 @@
         let mut listed = model::listed(worker, cores(8));
         listed.draining = true;
         let present = vec![(format!("w{worker}").into(), Rc::new(listed))];
-        story.tell(Message::Roster(Roster { present, gone: Vec::new(), whole: false }));
+        story.tell(Message::WorkersChanged(Roster { present, gone: Vec::new(), whole: false }));
         crash(&mut story, &starts, next);
     }
     assert_ne!(story.phase(1), Some(Answer::Phase(Phase::Failed)));
--- a/tests/logic/cell/duty.rs
+++ b/tests/logic/cell/duty.rs
@@ -33,7 +33,7 @@
     let mut story = Story::begin(2);
     let mut duties = Vec::new();
     let (now, unix) = (Instant::from_millis(60_000), Unix::from_millis(60_000));
-    story.machine.step_by_duty(now, unix, &mut |duty| duties.push(duty));
+    story.machine.step_by_activity(now, unix, &mut |duty| duties.push(duty));
     assert_eq!(duties.last(), Some(&Duty::Append));
     assert!(duties.contains(&Duty::Look) && duties.contains(&Duty::Upkeep), "{duties:?}");
 }
--- a/tests/logic/cell/left_behind.rs
+++ b/tests/logic/cell/left_behind.rs
@@ -67,7 +67,7 @@
     state.apply_batch(batch(Epoch(2), vec![ended]));
     state.apply_batch(model::claim(Epoch(3), Unix::from_millis(UNIX)));
     let mut story = Story::take_over(state, 3);
-    story.tell(Message::Roster(model::roster(4, cores(8))));
+    story.tell(Message::WorkersChanged(model::roster(4, cores(8))));
     story.pass(10);
     story.report(3, &runs[..1], &[]);
     story.pass(10);
@@ -81,7 +81,7 @@
     let (state, _) = left_behind("w0@1");
     let mut story = Story::take_over(state, 3);
     let present = ["gone@2", "w0@2"].map(|name| (name.into(), Rc::new(model::listed(5, cores(8)))));
-    story.tell(Message::Roster(Roster { present: present.into(), ..Roster::default() }));
+    story.tell(Message::WorkersChanged(Roster { present: present.into(), ..Roster::default() }));
     while !story.effects.iter().any(|effect| matches!(effect, Effect::Start { .. })) {
         assert!(story.now < NEXT_LIFE_MS, "it still waits");
         for worker in ["gone@2", "w0@2"] {
@@ -102,11 +102,11 @@
     let mut story = Story::begin(0);
     let listed = Rc::new(model::listed(5, cores(8)));
     let present = vec![("w5@1".into(), listed)];
-    story.tell(Message::Roster(Roster { present, ..Roster::default() }));
+    story.tell(Message::WorkersChanged(Roster { present, ..Roster::default() }));
     let report = Report { clock_ms: WORKER_CLOCK, ..Report::default() };
     let sent = Instant::from_millis(story.now);
     story.tell(Message::Polled { worker: "w5@1".into(), sent, outcome: Ok(report) });
-    story.tell(Message::Roster(Roster { gone: vec!["w5".into()], ..Roster::default() }));
+    story.tell(Message::WorkersChanged(Roster { gone: vec!["w5".into()], ..Roster::default() }));
     story.ask(1, Call::Submit(model::job(1, model::step(1, cores(1)))));
     story.store_all();
     story.pass(100);
@@ -120,7 +120,7 @@
     let listed = Rc::new(model::listed(5, cores(8)));
     for life in ["w5@1", "w5@2"] {
         let present = vec![(life.into(), listed.clone())];
-        story.tell(Message::Roster(Roster { present, ..Roster::default() }));
+        story.tell(Message::WorkersChanged(Roster { present, ..Roster::default() }));
         if life == "w5@1" {
             let report = Report { clock_ms: WORKER_CLOCK, ..Report::default() };
             let sent = Instant::from_millis(story.now);
--- a/tests/logic/cell/looks.rs
+++ b/tests/logic/cell/looks.rs
@@ -88,7 +88,7 @@
     let mut story = Story::begin(1);
     let listed = Listed { service: "archive".to_owned(), ..model::listed(7, cores(8)) };
     let present = vec![("w7".into(), Rc::new(listed))];
-    story.tell(Message::Roster(Roster { present, gone: Vec::new(), whole: false }));
+    story.tell(Message::WorkersChanged(Roster { present, gone: Vec::new(), whole: false }));
     story.pass(100);
     let looked_at = |story: &Story| {
         let is_seven =
@@ -99,7 +99,7 @@
     let mut table: Table = (*model::table()).clone();
     table.version += 1;
     table.services.push(Service { name: "archive".to_owned(), guards: false });
-    story.tell(Message::Table(Rc::new(table)));
+    story.tell(Message::ConfigChanged(Rc::new(table)));
     story.pass(100);
     assert!(looked_at(&story));
 }
--- a/tests/logic/cell/machine.rs
+++ b/tests/logic/cell/machine.rs
@@ -257,7 +257,7 @@
     let mut story = Story::begin(1);
     let listed = Listed { service: "elsewhere".to_owned(), ..model::listed(7, cores(8)) };
     let present = vec![("w7".into(), Rc::new(listed))];
-    story.tell(Message::Roster(Roster { present, gone: Vec::new(), whole: false }));
+    story.tell(Message::WorkersChanged(Roster { present, gone: Vec::new(), whole: false }));
     story.pass(400);
     let looked_at =
         |effect: &Effect| matches!(effect, Effect::Poll { worker, .. } if &**worker == "w7");
--- a/tests/logic/cell/place.rs
+++ b/tests/logic/cell/place.rs
@@ -43,7 +43,7 @@
     let mut listed = (*roster.present[0].1).clone();
     listed.draining = true;
     roster.present[0].1 = listed.into();
-    story.tell(Message::Roster(roster));
+    story.tell(Message::WorkersChanged(roster));
     assert!(story.running(1, model::step(1, cores(1))).is_empty());
 }
 
--- a/tests/logic/cell/preempt.rs
+++ b/tests/logic/cell/preempt.rs
@@ -67,7 +67,7 @@
     let urgent = Queue { name: URGENT.to_owned(), priority: 0, stretch: 4.0, ..usual.clone() };
     let queues = vec![usual.into(), urgent.into()];
     let table = Table { version: 2, queues, services: table.services.clone() };
-    story.tell(Message::Table(Rc::new(table)));
+    story.tell(Message::ConfigChanged(Rc::new(table)));
     story
 }
 
--- a/tests/logic/cell/shrink.rs
+++ b/tests/logic/cell/shrink.rs
@@ -14,7 +14,7 @@
 /// The list says what worker `w0` has from now on.
 fn resize(story: &mut Story, capacity: Amount) {
     let present = vec![("w0".into(), Rc::new(model::listed(0, capacity)))];
-    story.tell(Message::Roster(Roster { present, gone: Vec::new(), whole: false }));
+    story.tell(Message::WorkersChanged(Roster { present, gone: Vec::new(), whole: false }));
     story.pass(1);
 }
 
--- a/tests/logic/cell/standstill.rs
+++ b/tests/logic/cell/standstill.rs
@@ -56,7 +56,7 @@
         });
         let queues = [plain.clone()].into_iter().chain(advised).collect();
         let table = Table { version: 2, queues, services: table.services.clone() };
-        story.tell(Message::Table(Rc::new(table)));
+        story.tell(Message::ConfigChanged(Rc::new(table)));
         Self { story, asked: Vec::new(), advice: vec![WIDE, SMALL] }
     }
 
--- a/tests/logic/cell/story.rs
+++ b/tests/logic/cell/story.rs
@@ -47,7 +47,7 @@
 
     fn with(machine: Machine, workers: usize) -> Self {
         let mut story = Self { machine, now: 0, effects: Vec::new() };
-        story.tell(Message::Roster(model::roster(workers, cores(8))));
+        story.tell(Message::WorkersChanged(model::roster(workers, cores(8))));
         story.pass(1);
         for number in 0..workers {
             story.report(number, &[], &[]);
--- a/tests/logic/cell/world/faults.rs
+++ b/tests/logic/cell/world/faults.rs
@@ -124,7 +124,7 @@
         let roster = Roster { present: present.collect(), gone: Vec::new(), whole: true };
         for owner in 0..self.owners.len() {
             let delay = self.rng.random_range(5..400);
-            let message = Message::Roster(roster.clone());
+            let message = Message::WorkersChanged(roster.clone());
             self.schedule(delay, Event::Owner { owner, message });
         }
     }
