--- a/src/placement/decision.rs
+++ b/src/placement/decision.rs
@@ -1,4 +1,4 @@
-//! What the engine decides.
+//! Decisions of the placement engine.
 
 use crate::{job, task, worker};
 
@@ -7,11 +7,11 @@
 pub struct Assignment {
     /// The task to start.
     pub task: task::Id,
-    /// Where its resources are reserved.
+    /// The worker on which its resources are allocated.
     pub worker: worker::Name,
 }
 
-/// One step that the caller carries out.
+/// A start or a preemption for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Start tasks of a job; all tasks of a gang come in one such decision.
@@ -21,16 +21,16 @@
         /// Its tasks with their workers.
         tasks: Vec<Assignment>,
     },
-    /// Checkpoint a running task to make room.
+    /// Checkpoint a running task to free its resources.
     ///
-    /// The task keeps its reservation until the caller reports it gone by
+    /// The task keeps its allocation until the caller reports that it has ended, by
     /// [`Engine::release`](super::Engine::release) or [`Engine::finish`](super::Engine::finish).
     Preempt {
         /// The task to checkpoint.
         task: task::Id,
-        /// Where it runs.
+        /// The worker on which it runs.
         worker: worker::Name,
-        /// The urgent job that gets the room.
+        /// The job that gets the freed resources.
         beneficiary: job::Id,
     },
 }
--- a/src/placement/estimate.rs
+++ b/src/placement/estimate.rs
@@ -1,35 +1,36 @@
-//! Run times learned from earlier runs of the same job.
+//! Run-time estimates from earlier runs of the same job.
 //!
-//! Declared run times are often far off, so measured ones replace them as soon as there are any.
-//! The median withstands single outliers; the safe estimate leans on the longest recent run.
+//! Declared run times are often far off, so measured ones replace them once there are enough.
+//! The typical estimate is the median, which tolerates single outliers; the upper bound is the
+//! longest recent run plus a quarter.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Runs kept of each job name.
-const RUNS: usize = 15;
-/// Job names kept; the one unused for longest makes room.
-const NAMES: usize = 8_192;
-/// Runs from which the declared run time is no longer asked.
-const ENOUGH: usize = 3;
+/// Runs stored for each job name.
+const MAX_RUNS: usize = 15;
+/// Job names stored; the one that was recorded least recently is evicted.
+const MAX_JOB_NAMES: usize = 8_192;
+/// Measured runs from which on the declared run time is ignored.
+const MIN_MEASURED_RUNS: usize = 3;
 
-/// How long a task is expected to run.
+/// Expected run time of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunTimeEstimate {
-    /// As many runs take longer as take less.
+    /// Median run time.
     pub typical: Duration,
-    /// Few runs take longer.
+    /// Run time that few runs exceed.
     pub upper_bound: Duration,
 }
 
 #[derive(Debug, Default)]
 struct History {
     runs: VecDeque<Duration>,
-    used: u64,
+    last_used: u64,
 }
 
-/// Learns how long tasks run by team and job name.
+/// Estimates run times by team and job name.
 ///
 /// ```
 /// use oriolefork::placement::RunTimeEstimator;
@@ -44,26 +45,26 @@
 #[derive(Debug, Default)]
 pub struct RunTimeEstimator {
     histories: HashMap<(Rc<str>, Rc<str>), History>,
-    uses: u64,
+    use_count: u64,
 }
 
 impl RunTimeEstimator {
-    /// Takes in a run that ended well.
+    /// Records the run time of a task that succeeded.
     pub fn record_run(&mut self, team: &str, name: &str, run: Duration) {
-        self.uses += 1;
+        self.use_count += 1;
         let key = (team.into(), name.into());
-        if !self.histories.contains_key(&key) && self.histories.len() >= NAMES {
+        if !self.histories.contains_key(&key) && self.histories.len() >= MAX_JOB_NAMES {
             self.evict();
         }
         let history = self.histories.entry(key).or_default();
-        history.used = self.uses;
+        history.last_used = self.use_count;
         history.runs.push_back(run);
-        if history.runs.len() > RUNS {
+        if history.runs.len() > MAX_RUNS {
             history.runs.pop_front();
         }
     }
 
-    /// What is expected of the next run; `None` when nothing is declared or learned.
+    /// Estimate for the next run; `None` when no run time is declared or measured.
     pub fn estimate(
         &self,
         team: &str,
@@ -73,7 +74,7 @@
         let history = self.histories.get(&(team.into(), name.into()));
         let mut runs: Vec<_> =
             history.map(|history| history.runs.iter().copied().collect()).unwrap_or_default();
-        if runs.len() < ENOUGH {
+        if runs.len() < MIN_MEASURED_RUNS {
             runs.extend(declared);
         }
         runs.sort_unstable();
@@ -83,7 +84,7 @@
     }
 
     fn evict(&mut self) {
-        let oldest = self.histories.iter().min_by_key(|(_, history)| history.used);
+        let oldest = self.histories.iter().min_by_key(|(_, history)| history.last_used);
         if let Some(key) = oldest.map(|(key, _)| key.clone()) {
             self.histories.remove(&key);
         }
--- a/src/placement/explanation.rs
+++ b/src/placement/explanation.rs
@@ -1,15 +1,15 @@
 //! Why a job waits or can never run.
 
-use super::health::Standing;
+use super::health::WorkerHealth;
 use super::node::Node;
-use super::queue::Waiting;
+use super::queue::WaitingJob;
 use super::search::Denial;
 use super::{Engine, PendingReason, SchedulingState};
 use crate::job::{self, Kind};
 use crate::resource::Amount;
 
 impl Engine {
-    /// Why a job waits; `None` when none of its tasks wait.
+    /// Why a job waits; `None` when it has no waiting tasks.
     pub fn explain(&self, job: job::Id) -> Option<PendingReason> {
         let waiting = self.queue.get(job)?;
         if let Some(reason) =
@@ -17,12 +17,12 @@
         {
             return Some(reason);
         }
-        let cause = self.queue.class_of(job).and_then(|class| class.cause);
-        Some(self.reason(waiting, cause))
+        let denial = self.queue.class_of(job).and_then(|class| class.last_denial);
+        Some(self.reason(waiting, denial))
     }
 
-    /// Why such a job can never run on the workers known; `None` when it can, or when no worker
-    /// is known yet.
+    /// Why a job of `tasks` tasks can never run on the known workers; `None` when it can, or when
+    /// no worker is known yet.
     pub fn infeasible_reason(
         &self,
         demand: &Amount,
@@ -41,18 +41,18 @@
             .then_some(PendingReason::TooManyTasks { tasks, slots })
     }
 
-    /// What a denial means to the people who wait for the job.
-    fn reason(&self, waiting: &Waiting, cause: Option<Denial>) -> PendingReason {
+    /// Converts the last denial of a job's class into a reason for operators.
+    fn reason(&self, waiting: &WaitingJob, denial: Option<Denial>) -> PendingReason {
         if self.pool.largest().is_zero() {
             return PendingReason::NoWorkers;
         }
-        let pledged = self.pledges.count(waiting.job);
-        if pledged > 0 {
-            return PendingReason::Preempting { tasks: pledged };
+        let claimed = self.claims.count(waiting.job);
+        if claimed > 0 {
+            return PendingReason::Preempting { tasks: claimed };
         }
-        if let Some(kept) = self.reservations.get(waiting.job) {
+        if let Some(reservation) = self.reservations.get(waiting.job) {
             return match waiting.kind {
-                Kind::Gang => PendingReason::ReservingForGang { tasks: kept.tasks },
+                Kind::Gang => PendingReason::ReservingForGang { tasks: reservation.tasks },
                 Kind::Batch | Kind::LongRunning => {
                     PendingReason::ReservingForTask { demand: waiting.demand }
                 }
@@ -60,24 +60,26 @@
         }
         let first = self.reservations.first();
         let team = self.teams.get(waiting.team);
-        match (cause, team.quota, first) {
+        match (denial, team.quota, first) {
             (None, ..) => PendingReason::LowerPriority,
             (Some(Denial::Quota), Some(quota), _) => {
                 PendingReason::Quota { usage: team.usage, quota }
             }
             (Some(Denial::Reserved), _, Some(job)) => PendingReason::ReservedForOther { job },
-            (Some(Denial::Held), ..) => PendingReason::HeldByPreset { preset: self.policy.preset },
+            (Some(Denial::HeldByPreset), ..) => {
+                PendingReason::HeldByPreset { preset: self.policy.preset }
+            }
             _ if !self.is_available(&waiting.demand) => PendingReason::Unavailable,
-            _ => PendingReason::NoRoom { demand: waiting.demand },
+            _ => PendingReason::NoFreeCapacity { demand: waiting.demand },
         }
     }
 
-    /// Whether a worker that is large enough takes new tasks.
+    /// Whether any worker that is large enough accepts new tasks.
     fn is_available(&self, demand: &Amount) -> bool {
-        let takes = |node: &Node| {
-            let trusted = !matches!(node.standing, Standing::Quarantined(_));
-            trusted && node.scheduling_state == SchedulingState::Open
+        let accepts_tasks = |node: &Node| {
+            let not_quarantined = !matches!(node.health, WorkerHealth::Quarantined(_));
+            not_quarantined && node.scheduling_state == SchedulingState::Open
         };
-        self.pool.nodes().iter().any(|node| takes(node) && demand.fits(&node.capacity))
+        self.pool.nodes().iter().any(|node| accepts_tasks(node) && demand.fits(&node.capacity))
     }
 }
--- a/src/placement/health.rs
+++ b/src/placement/health.rs
@@ -1,8 +1,9 @@
-//! Workers that fail what they start, told apart from jobs that fail wherever they start.
+//! Tells faulty workers from faulty jobs.
 //!
-//! A failure counts against a worker only while the job has not also failed on other workers, and
-//! against a job name only by distinct workers. A worker on which several distinct jobs in a row
-//! failed is quarantined, then tried with one task at a time, for ever longer spans.
+//! A failure counts against a worker unless jobs of that name also fail on several other workers.
+//! It counts against a job name once for each distinct worker. A worker on which several distinct
+//! jobs fail in a row is quarantined and then put on probation, with one task at a time. Each
+//! further quarantine lasts twice as long, up to a limit.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
@@ -14,171 +15,184 @@
 
 /// Distinct jobs that fail in a row on a worker before it is quarantined.
 const FAILED_JOBS: usize = 3;
-/// Distinct workers on which a job name fails before the job is held to be at fault.
+/// Distinct workers on which a job name fails before the job is considered faulty.
 const FAILED_WORKERS: usize = 3;
 /// Length of the first quarantine.
-const FIRST: Duration = Duration::from_secs(60);
+const FIRST_QUARANTINE: Duration = Duration::from_secs(60);
 /// Length of the longest quarantine.
-const LONGEST: Duration = Duration::from_secs(60 * 60);
-/// Tasks that succeed on probation before a worker is trusted again.
-const TRIALS: u32 = 3;
-/// Job names of which failures are kept; the oldest makes room.
-const NAMES: usize = 4_096;
+const LONGEST_QUARANTINE: Duration = Duration::from_secs(60 * 60);
+/// Tasks that must succeed on probation before a worker is healthy again.
+const PROBATION_SUCCESSES: u32 = 3;
+/// Job names, and jobs, whose failures are stored; the oldest is evicted.
+const MAX_JOB_NAMES: usize = 4_096;
 
-/// How far a worker is trusted.
+/// Which tasks a worker may get, given its recent failures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
-    /// Takes all work.
+pub enum WorkerHealth {
+    /// Accepts all tasks.
     #[default]
     Healthy,
-    /// Takes no work until the instant.
+    /// Accepts no tasks until the instant.
     Quarantined(Instant),
-    /// Takes one task at a time, which may run already.
+    /// Accepts one task at a time; holds the task that runs now, if any.
     Probation(Option<task::Id>),
 }
 
-impl Standing {
-    /// Whether a new task may start at all.
+impl WorkerHealth {
+    /// Whether a new task may start.
     pub fn is_open(self) -> bool {
         matches!(self, Self::Healthy | Self::Probation(None))
     }
 }
 
-/// A job name of a team.
-pub(super) type Label = (Rc<str>, Rc<str>);
+/// Team and job name.
+pub(super) type JobName = (Rc<str>, Rc<str>);
 
-/// What a finished task brought to light.
+/// What a failed task reveals as faulty.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Finding {
-    /// The worker fails distinct jobs.
+pub(super) enum FaultSource {
+    /// The worker: distinct jobs fail on it.
     Worker,
-    /// The job fails on distinct workers.
+    /// The job: it fails on distinct workers.
     Job,
 }
 
 #[derive(Debug, Default)]
-struct Record {
-    failed: Vec<job::Id>,
-    strikes: u32,
-    trials: u32,
+struct WorkerFailures {
+    failed_jobs: Vec<job::Id>,
+    quarantines: u32,
+    successes: u32,
 }
 
 #[derive(Debug, Default)]
-struct Suspect {
+struct JobFailures {
     workers: Vec<usize>,
     reported: bool,
 }
 
 /// Failures by worker and by job name.
 #[derive(Debug, Default)]
-pub(super) struct Health {
-    records: HashMap<usize, Record>,
-    suspects: HashMap<Label, Suspect>,
-    order: VecDeque<Label>,
-    avoid: BTreeMap<job::Id, Vec<usize>>,
+pub(super) struct FailureTracker {
+    by_worker: HashMap<usize, WorkerFailures>,
+    by_job_name: HashMap<JobName, JobFailures>,
+    insertion_order: VecDeque<JobName>,
+    failed_on: BTreeMap<job::Id, Vec<usize>>,
 }
 
-impl Health {
+impl FailureTracker {
     /// Workers on which tasks of this job failed.
-    pub(super) fn avoided(&self, job: job::Id) -> &[usize] {
-        self.avoid.get(&job).map_or(&[], Vec::as_slice)
+    pub(super) fn failed_workers(&self, job: job::Id) -> &[usize] {
+        self.failed_on.get(&job).map_or(&[], Vec::as_slice)
     }
 
-    /// Forgets where a job failed.
-    pub(super) fn forget(&mut self, job: job::Id) {
-        self.avoid.remove(&job);
+    /// Removes the record of the workers on which a job failed.
+    pub(super) fn forget_job(&mut self, job: job::Id) {
+        self.failed_on.remove(&job);
     }
 
-    /// Takes in a task that succeeded; returns whether the worker has passed its probation.
-    pub(super) fn succeeded(&mut self, job: job::Id, label: &Label, worker: usize) -> bool {
-        self.avoid.remove(&job);
-        self.suspects.remove(label);
-        let Some(record) = self.records.get_mut(&worker) else { return false };
-        record.failed.clear();
-        record.trials += 1;
-        if record.strikes > 0 && record.trials < TRIALS {
+    /// Records a success; returns whether the worker has passed its probation.
+    pub(super) fn record_success(
+        &mut self,
+        job: job::Id,
+        job_name: &JobName,
+        worker: usize,
+    ) -> bool {
+        self.failed_on.remove(&job);
+        self.by_job_name.remove(job_name);
+        let Some(failures) = self.by_worker.get_mut(&worker) else { return false };
+        failures.failed_jobs.clear();
+        failures.successes += 1;
+        if failures.quarantines > 0 && failures.successes < PROBATION_SUCCESSES {
             return false;
         }
-        self.records.remove(&worker);
+        self.by_worker.remove(&worker);
         true
     }
 
-    /// Takes in a task that failed on a worker.
-    pub(super) fn failed(&mut self, job: job::Id, label: &Label, worker: usize) -> Vec<Finding> {
-        self.remember(job, worker);
-        let mut findings = Vec::new();
-        if self.suspect(label, worker) {
-            findings.push(Finding::Job);
+    /// Records a failure on a worker; returns what is newly considered faulty.
+    pub(super) fn record_failure(
+        &mut self,
+        job: job::Id,
+        job_name: &JobName,
+        worker: usize,
+    ) -> Vec<FaultSource> {
+        self.record_failed_worker(job, worker);
+        let mut faults = Vec::new();
+        if self.record_job_failure(job_name, worker) {
+            faults.push(FaultSource::Job);
         }
-        if self.fails_elsewhere(label, worker) {
-            return findings;
+        if self.fails_on_other_workers(job_name, worker) {
+            return faults;
         }
-        let record = self.records.entry(worker).or_default();
-        record.trials = 0;
-        if !record.failed.contains(&job) {
-            record.failed.push(job);
+        let failures = self.by_worker.entry(worker).or_default();
+        failures.successes = 0;
+        if !failures.failed_jobs.contains(&job) {
+            failures.failed_jobs.push(job);
         }
-        if record.failed.len() >= FAILED_JOBS || record.strikes > 0 {
-            findings.push(Finding::Worker);
+        if failures.failed_jobs.len() >= FAILED_JOBS || failures.quarantines > 0 {
+            faults.push(FaultSource::Worker);
         }
-        findings
+        faults
     }
 
-    /// Starts a quarantine; returns its length, which doubles each time.
-    pub(super) fn quarantine(&mut self, worker: usize) -> Duration {
-        let record = self.records.entry(worker).or_default();
-        let span = FIRST.saturating_mul(1 << record.strikes.min(16)).min(LONGEST);
-        record.strikes += 1;
-        record.failed.clear();
-        self.exculpate(worker);
+    /// Records the start of a quarantine; returns its length, which doubles each time.
+    pub(super) fn start_quarantine(&mut self, worker: usize) -> Duration {
+        let failures = self.by_worker.entry(worker).or_default();
+        let span = FIRST_QUARANTINE
+            .saturating_mul(1 << failures.quarantines.min(16))
+            .min(LONGEST_QUARANTINE);
+        failures.quarantines += 1;
+        failures.failed_jobs.clear();
+        self.discard_failures_on(worker);
         span
     }
 
-    fn remember(&mut self, job: job::Id, worker: usize) {
-        if self.avoid.len() >= NAMES && !self.avoid.contains_key(&job) {
-            self.avoid.pop_first();
+    fn record_failed_worker(&mut self, job: job::Id, worker: usize) {
+        if self.failed_on.len() >= MAX_JOB_NAMES && !self.failed_on.contains_key(&job) {
+            self.failed_on.pop_first();
         }
-        let workers = self.avoid.entry(job).or_default();
+        let workers = self.failed_on.entry(job).or_default();
         if !workers.contains(&worker) && workers.len() < FAILED_WORKERS {
             workers.push(worker);
         }
     }
 
-    /// Notes a failing worker of a job name; returns whether the job has just come to be held to
-    /// be at fault.
-    fn suspect(&mut self, label: &Label, worker: usize) -> bool {
-        if !self.suspects.contains_key(label) {
-            self.order.push_back(label.clone());
-            self.shed();
+    /// Records that a job name failed on a worker; returns whether the job is newly considered
+    /// faulty.
+    fn record_job_failure(&mut self, job_name: &JobName, worker: usize) -> bool {
+        if !self.by_job_name.contains_key(job_name) {
+            self.insertion_order.push_back(job_name.clone());
+            self.evict_oldest();
         }
-        let suspect = self.suspects.entry(label.clone()).or_default();
-        if !suspect.workers.contains(&worker) && suspect.workers.len() < FAILED_WORKERS {
-            suspect.workers.push(worker);
+        let failures = self.by_job_name.entry(job_name.clone()).or_default();
+        if !failures.workers.contains(&worker) && failures.workers.len() < FAILED_WORKERS {
+            failures.workers.push(worker);
         }
-        let found = suspect.workers.len() >= FAILED_WORKERS && !suspect.reported;
-        suspect.reported |= found;
-        found
+        let at_fault = failures.workers.len() >= FAILED_WORKERS && !failures.reported;
+        failures.reported |= at_fault;
+        at_fault
     }
 
-    fn shed(&mut self) {
-        while self.order.len() > NAMES {
-            if let Some(label) = self.order.pop_front() {
-                self.suspects.remove(&label);
+    fn evict_oldest(&mut self) {
+        while self.insertion_order.len() > MAX_JOB_NAMES {
+            if let Some(job_name) = self.insertion_order.pop_front() {
+                self.by_job_name.remove(&job_name);
             }
         }
     }
 
-    /// Failures on a worker that is at fault itself say nothing about the jobs.
-    fn exculpate(&mut self, worker: usize) {
-        for suspect in self.suspects.values_mut() {
-            suspect.workers.retain(|&other| other != worker);
+    /// Removes failures on a faulty worker, which are no evidence against the jobs.
+    fn discard_failures_on(&mut self, worker: usize) {
+        for failures in self.by_job_name.values_mut() {
+            failures.workers.retain(|&other| other != worker);
         }
     }
 
-    /// A job that fails on several other workers says nothing about this one.
-    fn fails_elsewhere(&self, label: &Label, worker: usize) -> bool {
-        let Some(suspect) = self.suspects.get(label) else { return false };
-        let others = suspect.workers.iter().filter(|&&other| other != worker).count();
+    /// Whether a job name fails on several other workers, so that its failure is no evidence
+    /// against this one.
+    fn fails_on_other_workers(&self, job_name: &JobName, worker: usize) -> bool {
+        let Some(failures) = self.by_job_name.get(job_name) else { return false };
+        let others = failures.workers.iter().filter(|&&other| other != worker).count();
         others + 1 >= FAILED_WORKERS
     }
 }
--- a/src/placement/health_event.rs
+++ b/src/placement/health_event.rs
@@ -1,4 +1,4 @@
-//! What placement finds out that a person should see.
+//! Events about failing workers and jobs, for operators.
 
 use std::time::Duration;
 
@@ -6,31 +6,34 @@
 
 use crate::{job, worker};
 
-/// A finding about a worker or a job.
+/// A change in the health of a worker or a job.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum HealthEvent {
-    /// A worker fails the tasks of distinct jobs and takes no work for a while.
-    #[display("worker {worker} fails distinct jobs; it takes no work for {}s", span.as_secs())]
+    /// A worker failed tasks of several distinct jobs and is quarantined.
+    #[display(
+        "worker {worker} failed tasks of distinct jobs; it gets no tasks for {}s",
+        span.as_secs()
+    )]
     Quarantined {
         /// The worker.
         worker: worker::Name,
-        /// How long it takes no work.
+        /// Length of the quarantine.
         span: Duration,
     },
-    /// A quarantined worker is tried with one task at a time.
-    #[display("worker {worker} is tried again with one task at a time")]
+    /// A quarantine ended; the worker gets one task at a time.
+    #[display("quarantine of worker {worker} ended; it gets one task at a time")]
     Probation {
         /// The worker.
         worker: worker::Name,
     },
-    /// A worker has passed its probation.
-    #[display("worker {worker} takes all work again")]
+    /// A worker passed its probation and gets all kinds of tasks again.
+    #[display("worker {worker} passed probation and gets all kinds of tasks again")]
     Restored {
         /// The worker.
         worker: worker::Name,
     },
-    /// A job name fails on distinct workers; the fault is the job's.
-    #[display("job {job} ({team}/{name}) fails on every worker it is tried on")]
+    /// Jobs of this name failed on several distinct workers, so the job is at fault.
+    #[display("job {job} ({team}/{name}) failed on every worker that ran it")]
     FailsEverywhere {
         /// The job that failed last.
         job: job::Id,
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,18 +1,18 @@
 //! Placement of tasks on the workers of one failure domain.
 //!
-//! [`Engine`] is a pure state machine: it is told of workers, waiting jobs, running tasks and
-//! measured usage, and decides which task starts where and which is preempted. It does no input
-//! or output and reads no clock. What it decides, it reserves at once, so that two decisions can
-//! never use the same room.
+//! [`Engine`] is a pure state machine. Its input is workers, waiting jobs, running tasks and
+//! measured usage; its output is which tasks start on which workers and which are preempted. It
+//! does no I/O and takes the current time as an argument. A decision allocates its resources at
+//! once, so that two decisions never use the same capacity.
 
+mod allocation;
+mod arithmetic;
 mod decision;
 mod engine;
 mod estimate;
 mod explanation;
 mod health;
 mod health_event;
-mod ledger;
-mod measure;
 mod node;
 mod pending_reason;
 mod policy;
--- a/src/placement/pending_reason.rs
+++ b/src/placement/pending_reason.rs
@@ -1,4 +1,4 @@
-//! Why a job waits or can never run, in words for operators.
+//! Why a job waits or can never run, as a message for operators.
 
 use derive_more::Display;
 
@@ -9,78 +9,80 @@
 /// Why a job does not run.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum PendingReason {
-    /// No worker is known.
+    /// No worker is known yet.
     #[display("no worker is known yet; check the instance list and the network")]
     NoWorkers,
-    /// Larger than every worker.
+    /// A task is larger than every worker.
     #[display(
-        "a task needs {demand}, more than any worker has (at most {largest}); ask for less or add \
+        "a task needs {demand}, more than any worker has (at most {largest}); request less or add \
          a larger worker"
     )]
     TooLarge {
-        /// What one task needs.
+        /// Demand of one task.
         demand: Amount,
-        /// The largest amount of each resource on any worker.
+        /// The largest capacity of any worker in each dimension.
         largest: Amount,
     },
-    /// All tasks together are more than all workers hold when empty.
-    #[display("{tasks} tasks must run at once, but all workers together hold only {slots} of them")]
+    /// Fewer tasks fit on all workers when empty than must run at once.
+    #[display("{tasks} tasks must run at once, but at most {slots} fit on all workers together")]
     TooManyTasks {
         /// Tasks that must run at once.
         tasks: usize,
-        /// Tasks that all workers hold when empty.
+        /// Tasks that fit on all workers when empty.
         slots: usize,
     },
-    /// No worker that takes new tasks has room now.
-    #[display("no worker that takes new tasks has {demand} free; it starts when work ends")]
-    NoRoom {
-        /// What one task needs.
+    /// No worker that accepts new tasks has enough free capacity now.
+    #[display(
+        "no worker that accepts new tasks has {demand} free; the job starts when other tasks end"
+    )]
+    NoFreeCapacity {
+        /// Demand of one task.
         demand: Amount,
     },
-    /// A gang for which there is not enough room at once.
-    #[display("all {tasks} tasks must start at once; room is being kept for them")]
+    /// A gang that waits until its reservation holds all tasks.
+    #[display("all {tasks} tasks must start at once; capacity is being reserved for them")]
     ReservingForGang {
         /// Tasks that must run at once.
         tasks: usize,
     },
-    /// Waits for a worker on which room is kept for it.
-    #[display("no worker has {demand} free; room is being kept until a task fits")]
+    /// A task that waits until it fits on a worker reserved for it.
+    #[display("no worker has {demand} free; capacity is being reserved until a task fits")]
     ReservingForTask {
-        /// What one task needs.
+        /// Demand of one task.
         demand: Amount,
     },
-    /// Room is kept for a job that waits longer.
-    #[display("the room is kept for job {job}, which would be delayed")]
+    /// Free capacity is reserved for another job.
+    #[display("the free capacity is reserved for job {job}, which would be delayed")]
     ReservedForOther {
         /// The job.
         job: job::Id,
     },
-    /// Its team is above its quota while others wait.
+    /// Its team is above its quota while other teams wait.
     #[display("team uses {usage} of its quota of {quota}, and teams within their quota wait")]
     Quota {
-        /// What the team uses.
+        /// Usage of the team.
         usage: Amount,
-        /// What it may use while others wait.
+        /// Amount that it may use while other teams wait.
         quota: Amount,
     },
-    /// The preset holds it back.
-    #[display("preset {preset} holds back batch work that has no deadline while workers are busy")]
+    /// The preset holds back batch jobs without a deadline.
+    #[display("preset {preset} holds back batch jobs without a deadline while workers are busy")]
     HeldByPreset {
         /// The preset.
         preset: Preset,
     },
-    /// Preempted tasks have not stopped yet.
-    #[display("room is being made: {tasks} preempted tasks have not stopped yet")]
+    /// Waits for preempted tasks to stop.
+    #[display("capacity for {tasks} tasks is being freed by preemption")]
     Preempting {
-        /// Tasks that are being checkpointed for it.
+        /// Tasks of the job with a preemption claim.
         tasks: usize,
     },
-    /// Only draining, closed or quarantined workers could take it.
+    /// Only workers that are draining, closed or quarantined are large enough.
     #[display(
-        "only workers that take no new tasks (draining, closed, quarantined) are large enough"
+        "only workers that accept no new tasks (draining, closed, quarantined) are large enough"
     )]
     Unavailable,
-    /// Other work goes first.
-    #[display("its turn has not come; other work goes first")]
+    /// Placement has not been attempted yet, because other jobs go first.
+    #[display("other jobs have a higher priority")]
     LowerPriority,
 }
--- a/src/placement/policy.rs
+++ b/src/placement/policy.rs
@@ -1,11 +1,11 @@
-//! Rules that a preset gives the engine.
+//! The engine's policy and the presets that define it.
 
 use std::time::Duration;
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// What the system is trying to do at present.
+/// Operating mode of the failure domain.
 #[derive(
     Clone,
     Copy,
@@ -21,19 +21,19 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Preset {
-    /// Everyday work.
+    /// Normal operation.
     #[default]
     #[display("ordinary")]
     Ordinary,
-    /// Waiting time goes before everything else.
+    /// Short waiting times take precedence over all other goals.
     #[display("peak")]
     Peak,
-    /// Workers are being serviced rack by rack.
+    /// Workers are taken out of service rack by rack.
     #[display("maintenance")]
     Maintenance,
 }
 
-/// Which of two measures a deployment weighs more.
+/// Which of two goals a deployment favours where they conflict.
 #[derive(
     Clone,
     Copy,
@@ -49,95 +49,101 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Objective {
-    /// How fully workers are used.
+    /// High utilization of workers.
     #[default]
     #[display("packing")]
     Packing,
-    /// How long work waits before it runs.
+    /// Short waiting times of jobs.
     #[display("waiting")]
     Waiting,
 }
 
-/// How waiting work is ordered and a worker is chosen.
+/// How waiting jobs are ordered and workers are chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Strategy {
-    /// First come, first served on the first worker with room.
+    /// First come, first served, on the first worker with enough free capacity.
     FirstFit,
-    /// First come, first served on the worker with the least room left.
+    /// First come, first served, on the worker with the least processor time left.
     BestFit,
-    /// Urgency, slack and fair share, with reservations for gangs.
+    /// Ordered by urgency, slack and fair share, with reservations for gangs and overdue jobs.
     #[default]
     FairShare,
 }
 
-/// How the fit of a task on a worker is rated.
+/// How the fit of a task on a worker is scored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum FitMetric {
-    /// By what it leaves over in the dimension scarcest in the failure domain.
+    /// By what is left of the dimension that is scarcest in the failure domain.
     #[default]
     Scarcest,
-    /// By what it leaves over in all dimensions together.
+    /// By the sum of what is left of processors and memory.
     Sum,
-    /// By how well the shape of the task matches the shape of the room.
+    /// By how evenly processors and memory are left over.
     Balance,
 }
 
-/// Which run time decides whether a task may use room kept for a gang.
+/// Which run-time estimate decides whether a task may backfill capacity reserved for another
+/// job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum BackfillEstimate {
-    /// The typical one: more work gets in, and some of it delays the gang.
+    /// The typical one: more tasks backfill, and some of them delay the reservation.
     Typical,
-    /// The safe one.
+    /// The upper bound.
     #[default]
     UpperBound,
 }
 
-/// Rules in force.
+/// Rules for placement decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// The preset they come from.
+    /// The preset that defines them.
     pub preset: Preset,
-    /// The deployment's leaning.
+    /// What the deployment favours.
     pub objective: Objective,
-    /// How work is ordered and workers are chosen.
+    /// How jobs are ordered and workers are chosen.
     pub strategy: Strategy,
-    /// How the fit on a worker is rated.
+    /// How the fit on a worker is scored.
     pub fit: FitMetric,
-    /// Whether the shortest work of a team goes first instead of the oldest.
+    /// Whether the shortest job goes first among jobs of a team with equal demand, not the oldest.
     pub shortest_first: bool,
-    /// Jobs at most for which room is kept at a time; the last place is left to gangs.
+    /// Most jobs with a reservation at a time; one of the places is only for gangs.
     pub max_reservations: usize,
-    /// Which run time lets other work use that room.
+    /// Which run-time estimate decides about backfilling reserved capacity.
     pub backfill: BackfillEstimate,
-    /// Whether urgent work may preempt normal batch tasks.
+    /// Whether jobs may preempt normal batch tasks.
     pub preemption_enabled: bool,
-    /// Thousandths of each worker that normal batch work without a deadline leaves free.
+    /// Thousandths of each worker that normal batch jobs without a deadline leave free until they
+    /// reach the aging threshold.
     pub headroom_permille: u64,
-    /// Thousandths of the failure domain in use from which normal batch work without a deadline is
-    /// held back until it has aged.
+    /// Thousandths of the failure domain in use from which normal batch jobs without a deadline are
+    /// held back, until they reach the aging threshold.
     pub hold_batch_above_permille: Option<u64>,
-    /// A job whose latest start lies within this span goes before jobs in fair-share order.
+    /// Jobs whose latest start lies within this span go before jobs in fair-share order.
     pub slack_window: Duration,
-    /// A job that waited this long goes before jobs in fair-share order.
+    /// Jobs that waited this long go before jobs in fair-share order.
     pub aging_threshold: Duration,
-    /// A gang that waited this long lets nothing new start on the workers reserved for it.
+    /// Age from which on a reservation is hard: no new task starts in the reserved
+    /// capacity.
     pub hard_reservation_after: Duration,
-    /// A gang that waited this long may preempt batch tasks without a deadline, where urgent work
-    /// may preempt at all; `None` for never.
+    /// Age of its reservation from which on a gang may preempt batch tasks without a deadline, if
+    /// preemption is enabled; `None` for never.
     pub gang_preemption_after: Option<Duration>,
-    /// Longest run time of a new task on a rack of which a worker drains; `None` for no limit.
+    /// Longest run time of a new task on a rack with a draining worker, where another rack has
+    /// enough free capacity;
+    /// `None` for no limit.
     pub drain_horizon: Option<Duration>,
-    /// Most tasks started in one call of [`Engine::decide`](super::Engine::decide).
+    /// Most tasks to start in one call of [`Engine::decide`](super::Engine::decide).
     pub max_starts: usize,
 }
 
 impl Policy {
-    /// The rules of `preset` in a deployment that objective `objective` more.
+    /// The rules of `preset` in a deployment that favours `objective`.
     ///
     /// ```
     /// use oriolefork::placement::{Objective, Policy, Preset};
     /// let peak = Policy::for_preset(Preset::Peak, Objective::Packing);
-    /// assert!(peak.headroom_permille > Policy::for_preset(Preset::Ordinary, Objective::Packing).headroom_permille);
+    /// let ordinary = Policy::for_preset(Preset::Ordinary, Objective::Packing);
+    /// assert!(peak.headroom_permille > ordinary.headroom_permille);
     /// ```
     pub fn for_preset(preset: Preset, objective: Objective) -> Self {
         let ordinary = Self::ordinary(objective);
@@ -169,7 +175,7 @@
         }
     }
 
-    /// Where the shortest work goes first, the rest is let forward earlier.
+    /// The threshold is lower where the shortest jobs go first, as longer jobs then wait longer.
     fn aging_threshold(objective: Objective) -> Duration {
         match objective {
             Objective::Packing => Duration::from_secs(60 * 60),
--- a/src/placement/pool.rs
+++ b/src/placement/pool.rs
@@ -1,11 +1,12 @@
 //! The workers of the failure domain, by rack.
 //!
-//! Each rack keeps the widest room of its workers in each dimension, so that a search skips racks
-//! without room, and the totals follow every change, so that no decision adds up all workers.
+//! Each rack stores the largest free capacity of its workers in each dimension, so that a search
+//! skips racks without enough of it. Totals are updated on every change, so that no decision has to
+//! sum over all workers.
 
 use std::collections::HashMap;
 
-use super::measure;
+use super::arithmetic;
 use super::node::Node;
 use crate::resource::Amount;
 use crate::worker;
@@ -15,15 +16,15 @@
 pub(super) struct Rack {
     name: String,
     pub(super) members: Vec<usize>,
-    /// The largest room of any member in each dimension, pledged or not.
-    pub(super) widest: Amount,
-    /// Members that drain.
+    /// The largest free capacity of any member in each dimension, claimed or not.
+    pub(super) max_free: Amount,
+    /// Number of draining members.
     pub(super) draining: usize,
 }
 
-/// A sort of worker, told apart by what it has.
+/// Number of workers with the same capacity.
 #[derive(Debug)]
-struct Model {
+struct CapacityClass {
     capacity: Amount,
     nodes: usize,
 }
@@ -34,21 +35,21 @@
     nodes: Vec<Node>,
     by_name: HashMap<worker::Name, usize>,
     pub(super) racks: Vec<Rack>,
-    models: Vec<Model>,
-    counted: Vec<Count>,
+    capacity_classes: Vec<CapacityClass>,
+    contributions: Vec<Contribution>,
     grown: Vec<usize>,
-    /// What all open workers have.
+    /// Total capacity of all workers that accept tasks.
     pub(super) capacity: Amount,
-    /// What of it is used.
+    /// The used part of it.
     pub(super) used: Amount,
 }
 
-/// What a node last added to the totals.
+/// What a worker currently contributes to the totals.
 #[derive(Clone, Copy, Debug, Default)]
-struct Count {
+struct Contribution {
     capacity: Amount,
     used: Amount,
-    room: Amount,
+    free: Amount,
     draining: bool,
     grown: bool,
 }
@@ -66,23 +67,23 @@
         self.by_name.get(name).copied()
     }
 
-    /// The index of a worker, which is created closed and without capacity when it is new.
+    /// The index of a worker. A new worker is created closed and without capacity.
     pub(super) fn intern(&mut self, name: &worker::Name) -> usize {
         if let Some(index) = self.find(name) {
             return index;
         }
         let index = self.nodes.len();
-        let rack = self.rack("");
+        let rack = self.intern_rack("");
         self.nodes.push(Node::new(name.clone(), rack));
-        self.counted.push(Count::default());
+        self.contributions.push(Contribution::default());
         self.racks[rack].members.push(index);
         self.by_name.insert(name.clone(), index);
         index
     }
 
     /// Moves a worker to another rack.
-    pub(super) fn place(&mut self, index: usize, rack: &str) {
-        let to = self.rack(rack);
+    pub(super) fn move_to_rack(&mut self, index: usize, rack: &str) {
+        let to = self.intern_rack(rack);
         let from = self.nodes[index].rack;
         if from == to {
             return;
@@ -90,116 +91,118 @@
         self.racks[from].members.retain(|&member| member != index);
         self.racks[to].members.push(index);
         self.racks[to].members.sort_unstable();
-        let draining = usize::from(self.counted[index].draining);
+        let draining = usize::from(self.contributions[index].draining);
         self.racks[from].draining -= draining;
         self.racks[to].draining += draining;
         self.nodes[index].rack = to;
-        self.widen(from);
+        self.update_max_free(from);
     }
 
-    /// Changes a worker and brings the totals up to date.
+    /// Changes a worker and updates the totals.
     pub(super) fn update<T>(&mut self, index: usize, change: impl FnOnce(&mut Node) -> T) -> T {
         let before = self.nodes[index].capacity;
         let result = change(&mut self.nodes[index]);
         if before != self.nodes[index].capacity {
-            self.count_model(before, false);
-            self.count_model(self.nodes[index].capacity, true);
+            self.count_capacity(before, false);
+            self.count_capacity(self.nodes[index].capacity, true);
         }
-        self.recount(index);
+        self.update_totals(index);
         result
     }
 
-    /// Whether some worker has at least `demand` when empty, in any scheduling_state.
+    /// Whether any worker, in any scheduling state, has a capacity of at least `demand`.
     pub(super) fn could_hold(&self, demand: &Amount) -> bool {
-        self.models.iter().any(|model| demand.fits(&model.capacity))
+        self.capacity_classes.iter().any(|class| demand.fits(&class.capacity))
     }
 
-    /// Tasks of `demand` that all workers hold when empty.
+    /// Number of tasks of `demand` that fit on all workers when empty.
     pub(super) fn slots(&self, demand: &Amount) -> usize {
-        let each =
-            |model: &Model| measure::slots(demand, &model.capacity).saturating_mul(model.nodes);
-        self.models.iter().map(each).fold(0, usize::saturating_add)
+        let each = |class: &CapacityClass| {
+            arithmetic::slots(demand, &class.capacity).saturating_mul(class.nodes)
+        };
+        self.capacity_classes.iter().map(each).fold(0, usize::saturating_add)
     }
 
-    /// The largest amount of each resource on any worker.
+    /// The largest capacity of any worker in each dimension.
     pub(super) fn largest(&self) -> Amount {
-        let widen = |most: Amount, model: &Model| measure::widest(&most, &model.capacity);
-        self.models.iter().fold(Amount::ZERO, widen)
+        let larger =
+            |most: Amount, class: &CapacityClass| arithmetic::max_each(&most, &class.capacity);
+        self.capacity_classes.iter().fold(Amount::ZERO, larger)
     }
 
-    /// Workers whose room grew since the last call.
+    /// Returns and clears the workers whose free capacity grew since the last call.
     pub(super) fn take_grown(&mut self) -> Vec<usize> {
         for &index in &self.grown {
-            self.counted[index].grown = false;
+            self.contributions[index].grown = false;
         }
         std::mem::take(&mut self.grown)
     }
 
-    /// Notes that a worker may take what it could not take before.
+    /// Marks a worker as possibly able to run tasks that did not fit before.
     pub(super) fn mark_grown(&mut self, index: usize) {
-        if !self.counted[index].grown {
-            self.counted[index].grown = true;
+        if !self.contributions[index].grown {
+            self.contributions[index].grown = true;
             self.grown.push(index);
         }
     }
 
-    fn rack(&mut self, name: &str) -> usize {
+    fn intern_rack(&mut self, name: &str) -> usize {
         if let Some(index) = self.racks.iter().position(|rack| rack.name == name) {
             return index;
         }
         let name = name.to_owned();
-        self.racks.push(Rack { name, members: Vec::new(), widest: Amount::ZERO, draining: 0 });
+        self.racks.push(Rack { name, members: Vec::new(), max_free: Amount::ZERO, draining: 0 });
         self.racks.len() - 1
     }
 
-    fn count_model(&mut self, capacity: Amount, added: bool) {
+    fn count_capacity(&mut self, capacity: Amount, added: bool) {
         if capacity.is_zero() {
             return;
         }
-        let position = self.models.iter().position(|model| model.capacity == capacity);
+        let position = self.capacity_classes.iter().position(|class| class.capacity == capacity);
         match (position, added) {
-            (Some(position), true) => self.models[position].nodes += 1,
-            (None, true) => self.models.push(Model { capacity, nodes: 1 }),
+            (Some(position), true) => self.capacity_classes[position].nodes += 1,
+            (None, true) => self.capacity_classes.push(CapacityClass { capacity, nodes: 1 }),
             (Some(position), false) => {
-                self.models[position].nodes -= 1;
-                if self.models[position].nodes == 0 {
-                    self.models.swap_remove(position);
+                self.capacity_classes[position].nodes -= 1;
+                if self.capacity_classes[position].nodes == 0 {
+                    self.capacity_classes.swap_remove(position);
                 }
             }
             (None, false) => {}
         }
     }
 
-    fn recount(&mut self, index: usize) {
+    fn update_totals(&mut self, index: usize) {
         let node = &self.nodes[index];
         let open = if node.is_open() { node.capacity } else { Amount::ZERO };
-        let count = Count {
+        let contribution = Contribution {
             capacity: open,
-            used: measure::narrowest(&node.used(), &open),
-            room: node.room(),
+            used: arithmetic::min_each(&node.used(), &open),
+            free: node.free(),
             draining: node.scheduling_state == super::SchedulingState::Draining,
-            grown: self.counted[index].grown,
+            grown: self.contributions[index].grown,
         };
         let rack = node.rack;
-        let before = std::mem::replace(&mut self.counted[index], count);
+        let before = std::mem::replace(&mut self.contributions[index], contribution);
         self.capacity = self.capacity.saturating_sub(&before.capacity);
-        self.capacity = self.capacity.saturating_add(&count.capacity);
-        self.used = self.used.saturating_sub(&before.used).saturating_add(&count.used);
-        if before.draining != count.draining {
+        self.capacity = self.capacity.saturating_add(&contribution.capacity);
+        self.used = self.used.saturating_sub(&before.used).saturating_add(&contribution.used);
+        if before.draining != contribution.draining {
             self.racks[rack].draining -= usize::from(before.draining);
-            self.racks[rack].draining += usize::from(count.draining);
+            self.racks[rack].draining += usize::from(contribution.draining);
         }
-        if !count.room.fits(&before.room) {
+        if !contribution.free.fits(&before.free) {
             self.mark_grown(index);
         }
-        if count.room != before.room {
-            self.widen(rack);
+        if contribution.free != before.free {
+            self.update_max_free(rack);
         }
     }
 
-    fn widen(&mut self, rack: usize) {
+    fn update_max_free(&mut self, rack: usize) {
         let rack = &mut self.racks[rack];
-        let rooms = rack.members.iter().map(|&member| self.counted[member].room);
-        rack.widest = rooms.fold(Amount::ZERO, |most, room| measure::widest(&most, &room));
+        let amounts = rack.members.iter().map(|&member| self.contributions[member].free);
+        rack.max_free = amounts.fold(Amount::ZERO, |most, free| arithmetic::max_each(&most, &free));
     }
 }
--- a/src/placement/request.rs
+++ b/src/placement/request.rs
@@ -1,4 +1,4 @@
-//! What the engine is told about waiting and running work.
+//! Waiting and running tasks and the state of workers, as passed to the engine.
 
 use std::time::Duration;
 
@@ -7,24 +7,24 @@
 use crate::resource::Amount;
 use crate::task;
 
-/// Tasks of a job that wait to be placed.
+/// Waiting tasks of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// The job.
     pub job: job::Id,
     /// Team whose quota the tasks count against.
     pub team: String,
-    /// Job name under which run times are learned.
+    /// Job name by which run times are estimated.
     pub name: String,
     /// How the tasks are placed.
     pub kind: Kind,
-    /// How soon they should start.
+    /// Whether they go before normal jobs.
     pub urgency: Urgency,
     /// Time by which every task must have ended.
     pub deadline: Option<Unix>,
     /// Declared run time of a task.
     pub run_time: Option<Duration>,
-    /// What each task needs.
+    /// Demand of each task.
     pub demand: Amount,
     /// The tasks to place.
     pub tasks: Vec<task::Id>,
@@ -32,18 +32,18 @@
     pub queued: Instant,
 }
 
-/// A task that already runs, as a new owner learns of it.
+/// A task that already runs when a new owner takes over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningTask {
-    /// What is reserved for the task.
+    /// Resources to allocate.
     pub demand: Amount,
     /// Team whose quota it counts against.
     pub team: String,
-    /// Job name under which run times are learned.
+    /// Job name by which run times are estimated.
     pub name: String,
     /// How the task was placed.
     pub kind: Kind,
-    /// How soon it should have started.
+    /// Whether it went before normal jobs.
     pub urgency: Urgency,
     /// When it started.
     pub started: Instant,
@@ -53,14 +53,14 @@
     pub deadline: Option<Unix>,
 }
 
-/// Whether a worker takes new tasks.
+/// Whether a worker accepts new tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum SchedulingState {
-    /// Takes new tasks.
+    /// Accepts new tasks.
     #[default]
     Open,
-    /// Keeps its tasks and takes no new ones.
+    /// Keeps its tasks and accepts no new ones.
     Draining,
-    /// Cannot be reached or is not yet fenced; takes no new tasks.
+    /// Unreachable or not yet fenced; accepts no new tasks.
     Closed,
 }
--- a/src/placement/reservation.rs
+++ b/src/placement/reservation.rs
@@ -1,81 +1,83 @@
-//! Room kept for gangs, and for large tasks that smaller ones would keep out for ever.
+//! Reservations for gangs, and for large tasks that smaller ones would starve.
 //!
-//! The plan follows the expected ends of running tasks to the earliest instant at which all tasks
-//! of the gang fit. Until then other work may use the room if it is expected to end in time, or
-//! if it fits beside the gang. Expected ends can be wrong without end, so after a bound the
-//! reservation becomes hard: nothing new starts in the gang's room at all, and as running tasks
-//! end, the room can only grow.
+//! The plan simulates the expected ends of running tasks up to the earliest instant at which all
+//! tasks of the job fit. Until then other tasks may backfill the reserved capacity if they are
+//! expected to end in time or fit beside the job. Expected ends can be wrong again and again, so
+//! after a time limit the reservation becomes hard: no new task starts in the reserved capacity,
+//! which then only grows as running tasks end.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-use super::ledger::Ledger;
-use super::measure;
+use super::allocation::Allocations;
+use super::arithmetic;
 use super::node::Node;
 use super::pool::Pool;
 use crate::clock::Instant;
 use crate::job::{self, Kind, Urgency};
 use crate::resource::Amount;
 
-/// How long a plan stands before expected ends are looked at again.
-const REPLAN: Duration = Duration::from_secs(5);
+/// Age at which a plan is computed again.
+const REPLAN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What is kept on one worker.
+/// Part of a reservation on one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Share {
-    /// Tasks of the gang.
+struct WorkerShare {
+    /// Number of the job's tasks on the worker.
     slots: usize,
-    /// Room beside them at the planned start.
+    /// Capacity left beside them at the planned start.
     spare: Amount,
 }
 
-/// Room kept for a job.
+/// Capacity reserved for a job.
 #[derive(Debug)]
 pub(super) struct Reservation {
     pub(super) job: job::Id,
     pub(super) tasks: usize,
     demand: Amount,
     since: Instant,
-    planned: Instant,
+    planned_at: Instant,
     hard: bool,
-    /// When the gang is expected to start; `None` when that cannot be told.
+    /// When the job is expected to start; `None` when the expected ends do not free enough
+    /// capacity.
     pub(super) start: Option<Instant>,
-    shares: BTreeMap<usize, Share>,
+    shares: BTreeMap<usize, WorkerShare>,
 }
 
 impl Reservation {
     fn new(job: job::Id, demand: Amount, tasks: usize, now: Instant) -> Self {
         let shares = BTreeMap::new();
-        Self { job, tasks, demand, since: now, planned: now, hard: false, start: None, shares }
+        Self { job, tasks, demand, since: now, planned_at: now, hard: false, start: None, shares }
     }
 
-    /// How long room has been kept.
+    /// Time since the reservation was made.
     pub(super) fn age(&self, now: Instant) -> Duration {
         now.since(self.since)
     }
 
-    /// Room on a worker that is kept.
-    fn kept(&self, node: usize) -> Amount {
+    /// Reserved amount on a worker.
+    fn reserved_on(&self, node: usize) -> Amount {
         self.shares
             .get(&node)
-            .map_or(Amount::ZERO, |share| measure::times(&self.demand, share.slots))
+            .map_or(Amount::ZERO, |share| arithmetic::multiplied(&self.demand, share.slots))
     }
 
-    /// The part of `room` on a worker that a task ending at `ends` may use.
-    fn allowance(&self, node: usize, room: Amount, ends: Option<Instant>) -> Amount {
-        let Some(share) = self.shares.get(&node) else { return room };
-        let in_time = self.ends_in_time(ends);
-        let room = match self.hard {
-            true => room.saturating_sub(&measure::times(&self.demand, share.slots)),
-            false => room,
+    /// The part of `free` on a worker that a task which ends at `end` may use; `None` for no known
+    /// end.
+    fn allowance(&self, node: usize, free: Amount, end: Option<Instant>) -> Amount {
+        let Some(share) = self.shares.get(&node) else { return free };
+        let in_time = self.ends_in_time(end);
+        let free = match self.hard {
+            true => free.saturating_sub(&arithmetic::multiplied(&self.demand, share.slots)),
+            false => free,
         };
-        if in_time { room } else { measure::narrowest(&room, &share.spare) }
+        if in_time { free } else { arithmetic::min_each(&free, &share.spare) }
     }
 
-    /// Notes that other work now uses part of a worker until `ends`.
-    fn charge(&mut self, node: usize, demand: &Amount, ends: Option<Instant>) {
-        if self.ends_in_time(ends) {
+    /// Subtracts another job's task, placed on a worker until `end`, from the spare capacity.
+    fn charge(&mut self, node: usize, demand: &Amount, end: Option<Instant>) {
+        if self.ends_in_time(end) {
             return;
         }
         if let Some(share) = self.shares.get_mut(&node) {
@@ -83,181 +85,196 @@
         }
     }
 
-    fn ends_in_time(&self, ends: Option<Instant>) -> bool {
-        match (ends, self.start) {
-            (Some(ends), Some(start)) => ends <= start,
+    fn ends_in_time(&self, end: Option<Instant>) -> bool {
+        match (end, self.start) {
+            (Some(end), Some(start)) => end <= start,
             (Some(_), None) => true,
             (None, _) => false,
         }
     }
 
-    /// Plans anew around what `earlier` reservations keep.
-    fn replan(&mut self, earlier: &[Self], pool: &Pool, ledger: &Ledger, now: Instant) {
+    /// Computes the plan again, without the capacity reserved by `earlier` reservations.
+    fn replan(&mut self, earlier: &[Self], pool: &Pool, allocations: &Allocations, now: Instant) {
         let kept = |node| {
-            earlier.iter().fold(Amount::ZERO, |sum, other| sum.saturating_add(&other.kept(node)))
+            earlier
+                .iter()
+                .fold(Amount::ZERO, |sum, other| sum.saturating_add(&other.reserved_on(node)))
         };
-        let forecast = Forecast::run(pool, ledger, kept, &self.demand, self.tasks, now);
-        self.planned = now;
+        let forecast = Forecast::run(pool, allocations, kept, &self.demand, self.tasks, now);
+        self.planned_at = now;
         self.start = forecast.start;
         self.shares = forecast.shares(&self.demand, self.tasks, pool);
     }
 }
 
-/// All reservations, the earliest first.
+/// All reservations, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct Reservations {
-    kept: Vec<Reservation>,
+    reservations: Vec<Reservation>,
 }
 
 impl Reservations {
     pub(super) fn get(&self, job: job::Id) -> Option<&Reservation> {
-        self.kept.iter().find(|kept| kept.job == job)
+        self.reservations.iter().find(|reservation| reservation.job == job)
     }
 
     pub(super) fn len(&self) -> usize {
-        self.kept.len()
+        self.reservations.len()
     }
 
-    /// The first job for which room is kept.
+    /// The job with the oldest reservation.
     pub(super) fn first(&self) -> Option<job::Id> {
-        self.kept.first().map(|kept| kept.job)
+        self.reservations.first().map(|reservation| reservation.job)
     }
 
-    /// Jobs for which room is kept.
+    /// Jobs with a reservation.
     pub(super) fn jobs(&self) -> Vec<job::Id> {
-        self.kept.iter().map(|kept| kept.job).collect()
+        self.reservations.iter().map(|reservation| reservation.job).collect()
     }
 
-    /// Keeps room for a job in addition.
+    /// Adds a reservation for a job.
     pub(super) fn add(
         &mut self,
         job: job::Id,
         demand: Amount,
         tasks: usize,
         pool: &Pool,
-        ledger: &Ledger,
+        allocations: &Allocations,
         now: Instant,
     ) {
         let mut reservation = Reservation::new(job, demand, tasks, now);
-        reservation.replan(&self.kept, pool, ledger, now);
-        self.kept.push(reservation);
+        reservation.replan(&self.reservations, pool, allocations, now);
+        self.reservations.push(reservation);
     }
 
-    /// Lets other work into the room kept for a job.
+    /// Removes a job's reservation.
     pub(super) fn remove(&mut self, job: job::Id, pool: &mut Pool) {
-        let Some(position) = self.kept.iter().position(|kept| kept.job == job) else { return };
-        let reservation = self.kept.remove(position);
+        let Some(position) =
+            self.reservations.iter().position(|reservation| reservation.job == job)
+        else {
+            return;
+        };
+        let reservation = self.reservations.remove(position);
         reservation.shares.keys().for_each(|&node| pool.mark_grown(node));
     }
 
-    /// Keeps room for fewer tasks after `placed` of them have started.
+    /// Reduces a job's reservation after `placed` of its tasks have started.
     pub(super) fn shrink(&mut self, job: job::Id, placed: usize, pool: &mut Pool) {
-        let Some(kept) = self.kept.iter_mut().find(|kept| kept.job == job) else { return };
-        kept.tasks = kept.tasks.saturating_sub(placed);
-        kept.planned = Instant::default();
-        if kept.tasks == 0 {
+        let Some(reservation) =
+            self.reservations.iter_mut().find(|reservation| reservation.job == job)
+        else {
+            return;
+        };
+        reservation.tasks = reservation.tasks.saturating_sub(placed);
+        reservation.planned_at = Instant::default();
+        if reservation.tasks == 0 {
             self.remove(job, pool);
         }
     }
 
-    /// Brings plans up to date that are old.
+    /// Computes old plans again; reservations become hard at the age `hard_after`.
     pub(super) fn refresh(
         &mut self,
         pool: &mut Pool,
-        ledger: &Ledger,
+        allocations: &Allocations,
         now: Instant,
-        patience: Duration,
+        hard_after: Duration,
     ) {
-        for index in 0..self.kept.len() {
-            let (earlier, rest) = self.kept.split_at_mut(index);
+        for index in 0..self.reservations.len() {
+            let (earlier, rest) = self.reservations.split_at_mut(index);
             let reservation = &mut rest[0];
-            reservation.hard |= reservation.since.after(patience) <= now;
-            if reservation.planned.after(REPLAN) > now {
+            reservation.hard |= reservation.since.after(hard_after) <= now;
+            if reservation.planned_at.after(REPLAN_INTERVAL) > now {
                 continue;
             }
             reservation.shares.keys().for_each(|&node| pool.mark_grown(node));
-            reservation.replan(earlier, pool, ledger, now);
+            reservation.replan(earlier, pool, allocations, now);
         }
     }
 
-    /// The part of `room` on a worker that a task of `job` ending at `ends` may use.
+    /// The part of `free` on a worker that a task of `job` which ends at `end` may use.
     pub(super) fn allowance(
         &self,
         job: job::Id,
         node: usize,
-        room: Amount,
-        ends: Option<Instant>,
+        free: Amount,
+        end: Option<Instant>,
     ) -> Amount {
-        let others = self.kept.iter().filter(|kept| kept.job != job);
-        others.fold(room, |room, kept| kept.allowance(node, room, ends))
+        let others = self.reservations.iter().filter(|reservation| reservation.job != job);
+        others.fold(free, |free, reservation| reservation.allowance(node, free, end))
     }
 
-    /// Notes that a task of `job` now uses part of a worker until `ends`.
+    /// Subtracts a task of `job`, placed on a worker until `end`, from the spare capacity of other
+    /// jobs' reservations.
     pub(super) fn charge(
         &mut self,
         job: job::Id,
         node: usize,
         demand: &Amount,
-        ends: Option<Instant>,
+        end: Option<Instant>,
     ) {
-        let others = self.kept.iter_mut().filter(|kept| kept.job != job);
-        others.for_each(|kept| kept.charge(node, demand, ends));
+        let others = self.reservations.iter_mut().filter(|reservation| reservation.job != job);
+        others.for_each(|reservation| reservation.charge(node, demand, end));
     }
 }
 
-/// Room as it is expected to become.
+/// Simulation of the free capacity on all workers as running tasks end.
 struct Forecast {
     start: Option<Instant>,
     used: Vec<Amount>,
     slots: Vec<usize>,
-    /// When a worker last gained a slot.
-    ready: Vec<Instant>,
+    /// When each worker last gained a slot.
+    ready_at: Vec<Instant>,
 }
 
 impl Forecast {
-    /// Follows expected ends until `tasks` of `demand` fit.
+    /// Simulates expected ends until `tasks` tasks of `demand` fit.
     fn run(
         pool: &Pool,
-        ledger: &Ledger,
+        allocations: &Allocations,
         kept: impl Fn(usize) -> Amount,
         demand: &Amount,
         tasks: usize,
         now: Instant,
     ) -> Self {
         let nodes = pool.nodes();
-        let takes = |index: usize| nodes[index].takes(Kind::Gang, Urgency::Normal);
-        let taken = |(index, node): (usize, &Node)| {
-            node.used().saturating_add(&node.pledged).saturating_add(&kept(index))
+        let accepts = |index: usize| nodes[index].accepts(Kind::Gang, Urgency::Normal);
+        let occupied = |(index, node): (usize, &Node)| {
+            node.used().saturating_add(&node.claimed).saturating_add(&kept(index))
+        };
+        let used: Vec<_> = nodes.iter().enumerate().map(occupied).collect();
+        let mut forecast = Self {
+            start: None,
+            used,
+            slots: vec![0; nodes.len()],
+            ready_at: vec![now; nodes.len()],
         };
-        let used: Vec<_> = nodes.iter().enumerate().map(taken).collect();
-        let mut forecast =
-            Self { start: None, used, slots: vec![0; nodes.len()], ready: vec![now; nodes.len()] };
         let mut total = 0usize;
-        let mut ends: Vec<_> = nodes.iter().map(|node| node.ends.iter()).collect();
+        let mut ends: Vec<_> = nodes.iter().map(|node| node.expected_ends.iter()).collect();
         let mut next = BinaryHeap::new();
-        for index in (0..nodes.len()).filter(|&index| takes(index)) {
+        for index in (0..nodes.len()).filter(|&index| accepts(index)) {
             forecast.slots[index] = forecast.count(index, demand, pool);
             total = total.saturating_add(forecast.slots[index]);
             if let Some((_, task)) = ends[index].next() {
-                next.push(Reverse((likely(ledger, *task, now), index, *task)));
+                next.push(Reverse((likely_end(allocations, *task, now), index, *task)));
             }
         }
         let mut at = now;
         while total < tasks {
             let Some(Reverse((end, index, task))) = next.pop() else { return forecast };
             at = at.max(end);
-            let freed = ledger.get(task).map_or(Amount::ZERO, |running| running.demand);
-            total += forecast.free(index, &freed, demand, pool, at);
+            let freed = allocations.get(task).map_or(Amount::ZERO, |allocation| allocation.demand);
+            total += forecast.release(index, &freed, demand, pool, at);
             if let Some((_, task)) = ends[index].next() {
-                next.push(Reverse((likely(ledger, *task, now), index, *task)));
+                next.push(Reverse((likely_end(allocations, *task, now), index, *task)));
             }
         }
         forecast.start = Some(at);
         forecast
     }
 
-    /// Takes in the end of a task; returns the slots gained.
-    fn free(
+    /// Simulates the end of a task; returns the number of slots gained.
+    fn release(
         &mut self,
         index: usize,
         freed: &Amount,
@@ -270,39 +287,40 @@
         let gained = slots.saturating_sub(self.slots[index]);
         if gained > 0 {
             self.slots[index] = slots;
-            self.ready[index] = at;
+            self.ready_at[index] = at;
         }
         gained
     }
 
-    fn room(&self, index: usize, pool: &Pool) -> Amount {
+    fn free(&self, index: usize, pool: &Pool) -> Amount {
         pool.get(index).capacity.saturating_sub(&self.used[index])
     }
 
     fn count(&self, index: usize, demand: &Amount, pool: &Pool) -> usize {
-        measure::slots(demand, &self.room(index, pool))
+        arithmetic::slots(demand, &self.free(index, pool))
     }
 
-    /// Shares of the workers that are ready first.
-    fn shares(&self, demand: &Amount, tasks: usize, pool: &Pool) -> BTreeMap<usize, Share> {
+    /// Distributes the tasks over the workers that are ready first.
+    fn shares(&self, demand: &Amount, tasks: usize, pool: &Pool) -> BTreeMap<usize, WorkerShare> {
         let mut order: Vec<_> =
             (0..self.slots.len()).filter(|&node| self.slots[node] > 0).collect();
-        order.sort_unstable_by_key(|&node| (self.ready[node], node));
+        order.sort_unstable_by_key(|&node| (self.ready_at[node], node));
         let mut shares = BTreeMap::new();
-        let mut left = tasks;
+        let mut remaining = tasks;
         for node in order {
-            if left == 0 {
+            if remaining == 0 {
                 break;
             }
-            let slots = self.slots[node].min(left);
-            left -= slots;
-            let spare = self.room(node, pool).saturating_sub(&measure::times(demand, slots));
-            shares.insert(node, Share { slots, spare });
+            let slots = self.slots[node].min(remaining);
+            remaining -= slots;
+            let spare =
+                self.free(node, pool).saturating_sub(&arithmetic::multiplied(demand, slots));
+            shares.insert(node, WorkerShare { slots, spare });
         }
         shares
     }
 }
 
-fn likely(ledger: &Ledger, task: crate::task::Id, now: Instant) -> Instant {
-    ledger.get(task).and_then(|running| running.likely_end(now)).unwrap_or(now)
+fn likely_end(allocations: &Allocations, task: crate::task::Id, now: Instant) -> Instant {
+    allocations.get(task).and_then(|allocation| allocation.likely_end(now)).unwrap_or(now)
 }
--- a/src/placement/risk.rs
+++ b/src/placement/risk.rs
@@ -4,16 +4,16 @@
 
 use derive_more::Display;
 
-use super::ledger::Ledger;
-use super::queue::{Queue, Waiting};
+use super::allocation::Allocations;
+use super::queue::{Queue, WaitingJob};
 use crate::clock::{Instant, Unix, millis};
 use crate::job;
 use crate::task;
 
-/// How long before its latest start a waiting job is reported.
-const MARGIN: Duration = Duration::from_secs(60);
+/// Time before its latest start from which on a waiting job is reported.
+const REPORT_MARGIN: Duration = Duration::from_secs(60);
 
-/// A deadline at risk.
+/// A deadline that is likely to be missed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display("job {job} is expected to end at {} but is due at {}", expected.as_millis(), deadline.as_millis())]
 pub struct DeadlineRisk {
@@ -21,26 +21,28 @@
     pub job: job::Id,
     /// The running task that is likely to end late; `None` when tasks still wait.
     pub task: Option<task::Id>,
-    /// The time it was to meet.
+    /// The deadline.
     pub deadline: Unix,
-    /// When it is expected to end, waiting jobs as if they started now.
+    /// Expected end; of a waiting job, the end if it started now.
     pub expected: Unix,
 }
 
-/// Waiting jobs that must start now to end in time.
-pub(super) fn waiting(queue: &Queue, unix: Unix) -> impl Iterator<Item = DeadlineRisk> {
-    queue.due_before(unix.after(MARGIN)).filter_map(move |waiting| late(waiting, unix))
+/// Waiting jobs whose latest start is near or has passed.
+pub(super) fn waiting_jobs(queue: &Queue, unix: Unix) -> impl Iterator<Item = DeadlineRisk> {
+    queue
+        .due_before(unix.after(REPORT_MARGIN))
+        .filter_map(move |waiting| waiting_risk(waiting, unix))
 }
 
 /// Running tasks that are likely to end after their deadline.
-pub(super) fn running(
-    ledger: &Ledger,
+pub(super) fn running_tasks(
+    allocations: &Allocations,
     now: Instant,
     unix: Unix,
 ) -> impl Iterator<Item = DeadlineRisk> {
-    ledger.dated().filter_map(move |(task, deadline, running)| {
-        let left = running.likely_end(now)?.since(now);
-        let expected = unix.after(left);
+    allocations.with_deadline().filter_map(move |(task, deadline, allocation)| {
+        let remaining = allocation.likely_end(now)?.since(now);
+        let expected = unix.after(remaining);
         (expected > deadline).then_some(DeadlineRisk {
             job: task.job,
             task: Some(task),
@@ -50,7 +52,7 @@
     })
 }
 
-fn late(waiting: &Waiting, unix: Unix) -> Option<DeadlineRisk> {
+fn waiting_risk(waiting: &WaitingJob, unix: Unix) -> Option<DeadlineRisk> {
     let deadline = waiting.deadline?;
     let run = waiting.estimate.map_or(Duration::ZERO, |estimate| estimate.typical);
     let expected = Unix::from_millis(unix.as_millis().saturating_add(millis(run)));
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -1,85 +1,88 @@
-//! One round of decisions: which job goes first, and whether it finds room.
+//! One round of placement decisions: the order of jobs, and the attempts to place them.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use super::health::Standing;
-use super::queue::{Band, Head, State, Waiting};
-use super::search::{Ask, Denial};
-use super::{Assignment, Decision, Engine, HealthEvent, Strategy, measure};
+use super::health::WorkerHealth;
+use super::queue::{ClassState, Head, PriorityBand, WaitingJob};
+use super::search::{Denial, PlacementQuery};
+use super::{Assignment, Decision, Engine, HealthEvent, Strategy, arithmetic};
 use crate::clock::{Instant, Unix};
 use crate::job::{self, Kind, Urgency};
 use crate::resource::Amount;
 use crate::task;
 
-/// How long a class that waits for more than room is first left alone.
-const RETRY: Duration = Duration::from_millis(250);
-/// How long a class that waits for room is left alone while none grows; by then its first job may
-/// have come to press, which opens headroom and reservations to it.
-const WATCH: Duration = Duration::from_secs(15);
-/// How often the first span doubles.
-const DOUBLINGS: u32 = 4;
-/// Jobs of a class that are tried when the first is held up by something of its own.
-const TRIED: usize = 16;
-/// Jobs that may find no room in one round; the others come in the next.
-const FRUITLESS: usize = 192;
+/// First retry delay of a class that was denied for another reason than missing capacity, is urgent
+/// or has a reservation.
+const MIN_RETRY: Duration = Duration::from_millis(250);
+/// How long a class that waits for capacity stays parked while none is freed. After that its first
+/// job may have aged or come near its deadline, which gives it access to headroom and a
+/// reservation.
+const MAX_PARKED: Duration = Duration::from_secs(15);
+/// How often the retry delay doubles.
+const MAX_DOUBLINGS: u32 = 4;
+/// Jobs of a class that are attempted when the first is denied for a reason of its own.
+const MAX_JOBS_PER_CLASS: usize = 16;
+/// Failed attempts in one round; the remaining jobs are attempted in the next.
+const MAX_FAILED_ATTEMPTS: usize = 192;
 
-/// Rank of a class; the smallest goes first.
+/// Priority of a class, by its first job; the smallest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     pub(super) above_quota: bool,
     urgency: Reverse<Urgency>,
-    band: Band,
+    band: PriorityBand,
     share: u64,
     order: u64,
     job: job::Id,
 }
 
 impl Rank {
-    /// Whether the job has waited for long or is expected to miss its deadline.
+    /// Whether the job has reached the aging threshold or is expected to miss its deadline.
     pub(super) fn is_overdue(&self) -> bool {
-        matches!(self.band, Band::Late | Band::Aged)
+        matches!(self.band, PriorityBand::Late | PriorityBand::Aged)
     }
 
-    /// Whether neither urgency nor long waiting nor a near deadline presses the job.
-    pub(super) fn is_plain(&self) -> bool {
-        self.urgency == Reverse(Urgency::Normal) && self.band == Band::Fair
+    /// Whether the job is neither urgent nor aged nor near its deadline.
+    pub(super) fn is_deferrable(&self) -> bool {
+        self.urgency == Reverse(Urgency::Normal) && self.band == PriorityBand::FairShare
     }
 }
 
-/// What one call of [`Engine::decide`] carries along.
+/// State of one call of [`Engine::decide`].
 #[derive(Debug)]
 pub(super) struct Round {
     pub(super) now: Instant,
     unix: Unix,
-    left: usize,
-    fruitless: usize,
+    remaining_starts: usize,
+    failed_attempts: usize,
     pub(super) decisions: Vec<Decision>,
-    /// Needs of the jobs within quota that wait for room; found when first asked for.
-    starved: Option<Vec<Amount>>,
+    /// Demands of the jobs within quota that wait for capacity; computed at first use.
+    starved_demands: Option<Vec<Amount>>,
 }
 
-/// How a try went.
-enum Outcome {
-    /// Some or all tasks were placed.
+/// Result of an attempt to place a job.
+enum Attempt {
+    /// At least one task was placed.
     Placed,
-    /// Nothing was placed.
+    /// No task was placed.
     Denied(Denial),
 }
 
 impl Engine {
-    /// Decides starts of about `limit` tasks, more only to finish a gang, and reserves them.
+    /// Decides which tasks start, and allocates their resources: at most `limit` tasks, more only
+    /// to complete a gang.
     ///
-    /// Preemptions come in addition. A decision that is not carried out is taken back by
+    /// Preemptions do not count towards the limit. A start that is not carried out is undone by
     /// [`Self::release`] for each of its tasks.
     pub fn decide(&mut self, now: Instant, unix: Unix, limit: usize) -> Vec<Decision> {
-        self.begin(now);
+        self.refresh_state(now);
         let mut round = Round::new(now, unix, limit.min(self.policy.max_starts));
         let classes: Vec<_> = self
             .queue
             .classes()
-            .filter(|(_, class)| class.state == State::Runnable)
+            .filter(|(_, class)| class.state == ClassState::Runnable)
             .map(|(index, _)| index)
             .collect();
         let ranked = classes
@@ -93,37 +96,40 @@
                 heap.push(Reverse((current, index)));
                 continue;
             }
-            if self.try_class(index, &current, &mut round) {
+            if self.attempt_class(index, &current, &mut round) {
                 heap.extend(self.rank(index, &round).map(|rank| Reverse((rank, index))));
             }
         }
         round.decisions
     }
 
-    /// Brings everything up to date that changes with time.
-    fn begin(&mut self, now: Instant) {
+    /// Updates all state that changes with time.
+    fn refresh_state(&mut self, now: Instant) {
         self.end_quarantines(now);
-        self.pledges.expire(&mut self.pool, now);
+        self.claims.expire(&mut self.pool, now);
         self.refresh_reservations(now);
         let grown = self.pool.take_grown();
-        let rooms: Vec<_> = grown.iter().map(|&index| self.pool.get(index).room()).collect();
-        let widest = rooms.iter().fold(Amount::ZERO, |most, room| measure::widest(&most, room));
-        self.queue.wake(now, |demand| {
-            !rooms.is_empty() && demand.fits(&widest) && rooms.iter().any(|room| demand.fits(room))
+        let free_amounts: Vec<_> = grown.iter().map(|&index| self.pool.get(index).free()).collect();
+        let max_free =
+            free_amounts.iter().fold(Amount::ZERO, |most, free| arithmetic::max_each(&most, free));
+        self.queue.unpark(now, |demand| {
+            !free_amounts.is_empty()
+                && demand.fits(&max_free)
+                && free_amounts.iter().any(|free| demand.fits(free))
         });
     }
 
     fn end_quarantines(&mut self, now: Instant) {
-        let (over, rest) = self.quarantined.iter().partition(|(until, _)| *until <= now);
+        let (ended, rest) = self.quarantined.iter().partition(|(until, _)| *until <= now);
         self.quarantined = rest;
-        let over: Vec<(Instant, usize)> = over;
-        for (until, index) in over {
-            if self.pool.get(index).standing != Standing::Quarantined(until) {
+        let ended: Vec<(Instant, usize)> = ended;
+        for (until, index) in ended {
+            if self.pool.get(index).health != WorkerHealth::Quarantined(until) {
                 continue;
             }
-            self.pool.update(index, |node| node.standing = Standing::Probation(None));
+            self.pool.update(index, |node| node.health = WorkerHealth::Probation(None));
             let worker = self.pool.get(index).name.clone();
-            self.note(HealthEvent::Probation { worker });
+            self.emit(HealthEvent::Probation { worker });
         }
     }
 
@@ -133,183 +139,204 @@
                 self.reservations.remove(job, &mut self.pool);
             }
         }
-        let patience = self.policy.hard_reservation_after;
-        self.reservations.refresh(&mut self.pool, &self.ledger, now, patience);
+        let hard_after = self.policy.hard_reservation_after;
+        self.reservations.refresh(&mut self.pool, &self.allocations, now, hard_after);
     }
 
     fn rank(&self, index: usize, round: &Round) -> Option<Rank> {
         let Head { band, order, job } =
             self.queue.head(index, round.now, round.unix, &self.policy)?;
-        let urgency = Reverse(self.queue.class(index).alike.urgency);
+        let urgency = Reverse(self.queue.class(index).key.urgency);
         if self.policy.strategy != Strategy::FairShare {
             return Some(Rank { above_quota: false, urgency, band, share: 0, order, job });
         }
         let waiting = self.queue.get(job)?;
         let team = self.teams.get(waiting.team);
-        let above_quota = team.exceeds(&waiting.step());
-        let share = if band == Band::Fair { team.share(&self.pool.capacity) } else { 0 };
+        let above_quota = team.exceeds(&waiting.atomic_demand());
+        let share = if band == PriorityBand::FairShare {
+            team.dominant_share(&self.pool.capacity)
+        } else {
+            0
+        };
         Some(Rank { above_quota, urgency, band, share, order, job })
     }
 
-    /// Tries the jobs of a class; returns whether it is worth another try in this round.
-    fn try_class(&mut self, index: usize, rank: &Rank, round: &mut Round) -> bool {
+    /// Attempts to place jobs of a class; returns whether to attempt it again in this round.
+    fn attempt_class(&mut self, index: usize, rank: &Rank, round: &mut Round) -> bool {
         let mut jobs = vec![rank.job];
         let mut first = None;
         let mut next = 0;
         while let Some(&job) = jobs.get(next) {
             next += 1;
-            let denial = match self.try_job(job, rank, round) {
-                Outcome::Placed => return true,
-                Outcome::Denied(denial) => denial,
+            let denial = match self.attempt_job(job, rank, round) {
+                Attempt::Placed => return true,
+                Attempt::Denied(denial) => denial,
             };
-            if next == 1 && denial.is_of_one_job() {
-                let others = self.queue.first(index, TRIED);
+            if next == 1 && denial.concerns_single_job() {
+                let others = self.queue.first(index, MAX_JOBS_PER_CLASS);
                 jobs.extend(others.into_iter().filter(|&other| other != job));
             }
             first.get_or_insert(denial);
         }
-        round.fruitless += next;
-        self.park(index, first.unwrap_or(Denial::NoRoom), rank, round);
+        round.failed_attempts += next;
+        self.park(index, first.unwrap_or(Denial::NoFreeCapacity), rank, round);
         false
     }
 
     fn park(&mut self, index: usize, denial: Denial, rank: &Rank, round: &mut Round) {
-        let reserves = self.reservations.get(rank.job).is_some();
+        let has_reservation = self.reservations.get(rank.job).is_some();
         let class = self.queue.class_mut(index);
-        let urgent = class.alike.urgency == Urgency::Urgent;
+        let urgent = class.key.urgency == Urgency::Urgent;
         let until = match denial {
-            Denial::NoRoom if !urgent && !reserves => round.now.after(WATCH),
-            _ if urgent => round.now.after(RETRY),
-            _ => round.now.after(RETRY * (1 << class.tries.min(DOUBLINGS))),
+            Denial::NoFreeCapacity if !urgent && !has_reservation => round.now.after(MAX_PARKED),
+            _ if urgent => round.now.after(MIN_RETRY),
+            _ => round.now.after(MIN_RETRY * (1 << class.failed_attempts.min(MAX_DOUBLINGS))),
         };
-        class.tries += 1;
-        class.state = State::Parked(until);
-        class.cause = Some(denial);
-        if let Some(starved) = round.starved.as_mut().filter(|_| !rank.above_quota) {
-            starved.push(class.alike.demand);
+        class.failed_attempts += 1;
+        class.state = ClassState::Parked(until);
+        class.last_denial = Some(denial);
+        if let Some(starved_demands) = round.starved_demands.as_mut().filter(|_| !rank.above_quota)
+        {
+            starved_demands.push(class.key.demand);
         }
     }
 
-    fn try_job(&mut self, job: job::Id, rank: &Rank, round: &mut Round) -> Outcome {
-        let Some(ask) = self.ask(job, rank, round) else {
-            return Outcome::Denied(Denial::NoRoom);
+    fn attempt_job(&mut self, job: job::Id, rank: &Rank, round: &mut Round) -> Attempt {
+        let Some(query) = self.query(job, rank, round) else {
+            return Attempt::Denied(Denial::NoFreeCapacity);
         };
-        if self.is_held_back(&ask) {
-            return Outcome::Denied(Denial::Held);
+        if self.is_held_back(&query) {
+            return Attempt::Denied(Denial::HeldByPreset);
         }
-        let placed = match ask.kind {
-            Kind::Gang => self.place_gang(&ask, round),
-            Kind::Batch | Kind::LongRunning => self.place_each(&ask, round),
+        let placed = match query.kind {
+            Kind::Gang => self.place_gang(&query, round),
+            Kind::Batch | Kind::LongRunning => self.place_tasks(&query, round),
         };
         match placed {
             Ok(tasks) => {
-                round.left = round.left.saturating_sub(tasks.len());
-                self.queue.forget_tries(job);
+                round.remaining_starts = round.remaining_starts.saturating_sub(tasks.len());
+                self.queue.reset_attempts(job);
                 self.reservations.shrink(job, tasks.len(), &mut self.pool);
-                self.queue.advance(job, tasks.len(), &self.policy);
+                self.queue.remove_first_tasks(job, tasks.len(), &self.policy);
                 round.decisions.push(Decision::Start { job, tasks });
-                Outcome::Placed
+                Attempt::Placed
             }
-            Err(denial) => Outcome::Denied(self.make_room(&ask, denial, round)),
+            Err(denial) => Attempt::Denied(self.preempt_or_reserve(&query, denial, round)),
         }
     }
 
-    /// Whether the preset lets such work wait while much is in use.
-    fn is_held_back(&self, ask: &Ask) -> bool {
+    /// Whether the preset holds such a job back at the current utilization.
+    fn is_held_back(&self, query: &PlacementQuery) -> bool {
         let Some(above) = self.policy.hold_batch_above_permille else { return false };
-        let used = measure::share(&self.pool.used, &self.pool.capacity);
-        ask.plain && used >= above * (measure::WHOLE / 1_000)
+        let used = arithmetic::dominant_share(&self.pool.used, &self.pool.capacity);
+        query.deferrable && used >= above * (arithmetic::ONE_MILLION / 1_000)
     }
 
-    fn place_each(&mut self, ask: &Ask, round: &mut Round) -> Result<Vec<Assignment>, Denial> {
-        let mut found = Some(self.find(ask, round)?);
-        let Some(waiting) = self.queue.get(ask.job).cloned() else { return Ok(Vec::new()) };
+    fn place_tasks(
+        &mut self,
+        query: &PlacementQuery,
+        round: &mut Round,
+    ) -> Result<Vec<Assignment>, Denial> {
+        let mut found = Some(self.find_worker(query, round)?);
+        let Some(waiting) = self.queue.get(query.job).cloned() else { return Ok(Vec::new()) };
         let mut placed = Vec::new();
-        for &task in waiting.tasks.iter().take(round.left) {
-            let Some(node) = found.take().or_else(|| self.find(ask, round).ok()) else { break };
-            placed.push(self.assign(task, &waiting, node, ask, round.now));
-            if self.teams.get(waiting.team).exceeds(&ask.demand) != ask.above_quota {
+        for &task in waiting.tasks.iter().take(round.remaining_starts) {
+            let Some(node) = found.take().or_else(|| self.find_worker(query, round).ok()) else {
+                break;
+            };
+            placed.push(self.assign(task, &waiting, node, query, round.now));
+            if self.teams.get(waiting.team).exceeds(&query.demand) != query.above_quota {
                 break;
             }
         }
         Ok(placed)
     }
 
-    fn place_gang(&mut self, ask: &Ask, round: &mut Round) -> Result<Vec<Assignment>, Denial> {
-        let slots = self.find_all(ask, ask.tasks, round)?;
-        let Some(waiting) = self.queue.get(ask.job).cloned() else { return Ok(Vec::new()) };
+    fn place_gang(
+        &mut self,
+        query: &PlacementQuery,
+        round: &mut Round,
+    ) -> Result<Vec<Assignment>, Denial> {
+        let slots = self.find_gang_workers(query, query.tasks, round)?;
+        let Some(waiting) = self.queue.get(query.job).cloned() else { return Ok(Vec::new()) };
         let nodes = slots.iter().flat_map(|&(node, count)| std::iter::repeat_n(node, count));
         let pairs: Vec<(task::Id, usize)> = waiting.tasks.iter().copied().zip(nodes).collect();
-        let assign = |(task, node)| self.assign(task, &waiting, node, ask, round.now);
+        let assign = |(task, node)| self.assign(task, &waiting, node, query, round.now);
         Ok(pairs.into_iter().map(assign).collect())
     }
 
     fn assign(
         &mut self,
         task: task::Id,
-        waiting: &Waiting,
+        waiting: &WaitingJob,
         node: usize,
-        ask: &Ask,
+        query: &PlacementQuery,
         now: Instant,
     ) -> Assignment {
         self.start(task, waiting, node, now);
-        self.reservations.charge(ask.job, node, &ask.demand, ask.ends);
+        self.reservations.charge(query.job, node, &query.demand, query.expected_end);
         Assignment { task, worker: self.pool.get(node).name.clone() }
     }
 
-    /// After a try found no room: preempts for urgent work, reserves for gangs and for work
-    /// that is overdue.
-    fn make_room(&mut self, ask: &Ask, denial: Denial, round: &mut Round) -> Denial {
-        if ask.above_quota || self.policy.strategy != Strategy::FairShare {
+    /// After a denial: preempts for urgent jobs and gangs that waited for long, or reserves
+    /// capacity for gangs and overdue jobs.
+    fn preempt_or_reserve(
+        &mut self,
+        query: &PlacementQuery,
+        denial: Denial,
+        round: &mut Round,
+    ) -> Denial {
+        if query.above_quota || self.policy.strategy != Strategy::FairShare {
             return denial;
         }
-        if self.may_preempt(ask, round.now) {
-            self.preempt(ask, round);
-            if self.pledges.count(ask.job) > 0 {
+        if self.may_preempt(query, round.now) {
+            self.preempt(query, round);
+            if self.claims.count(query.job) > 0 {
                 return Denial::Preempting;
             }
         }
-        if (ask.kind == Kind::Gang || ask.overdue) && denial != Denial::Quota {
-            self.reserve(ask, round.now);
+        if (query.kind == Kind::Gang || query.overdue) && denial != Denial::Quota {
+            self.reserve(query, round.now);
         }
         denial
     }
 
-    fn may_preempt(&self, ask: &Ask, now: Instant) -> bool {
-        let kept = self.reservations.get(ask.job).filter(|_| ask.kind == Kind::Gang);
-        let waited = kept.map(|kept| kept.age(now));
-        let ripe = self.policy.gang_preemption_after.is_some_and(|bound| waited >= Some(bound));
-        self.policy.preemption_enabled && (ask.urgency == Urgency::Urgent || ripe)
+    fn may_preempt(&self, query: &PlacementQuery, now: Instant) -> bool {
+        let reservation = self.reservations.get(query.job).filter(|_| query.kind == Kind::Gang);
+        let waited = reservation.map(|reservation| reservation.age(now));
+        let gang_waited_enough =
+            self.policy.gang_preemption_after.is_some_and(|bound| waited >= Some(bound));
+        self.policy.preemption_enabled && (query.urgency == Urgency::Urgent || gang_waited_enough)
     }
 
-    /// Keeps room for a job; one reservation is left to gangs.
-    fn reserve(&mut self, ask: &Ask, now: Instant) {
-        let most = match ask.kind {
+    /// Reserves capacity for a job; one reservation is only for gangs.
+    fn reserve(&mut self, query: &PlacementQuery, now: Instant) {
+        let most = match query.kind {
             Kind::Gang => self.policy.max_reservations,
             Kind::Batch | Kind::LongRunning => self.policy.max_reservations.saturating_sub(1),
         };
-        let known = self.reservations.get(ask.job).is_some();
-        let impossible = self.pool.slots(&ask.demand) < ask.tasks && ask.kind == Kind::Gang;
-        if known || impossible || self.reservations.len() >= most {
+        let reserved = self.reservations.get(query.job).is_some();
+        let infeasible = self.pool.slots(&query.demand) < query.tasks && query.kind == Kind::Gang;
+        if reserved || infeasible || self.reservations.len() >= most {
             return;
         }
-        let tasks = if ask.kind == Kind::Gang { ask.tasks } else { 1 };
-        self.reservations.add(ask.job, ask.demand, tasks, &self.pool, &self.ledger, now);
+        let tasks = if query.kind == Kind::Gang { query.tasks } else { 1 };
+        self.reservations.add(query.job, query.demand, tasks, &self.pool, &self.allocations, now);
     }
 
-    /// Needs of the jobs within quota that wait for room without a reservation.
-    pub(super) fn starved<'a>(&self, round: &'a mut Round) -> &'a [Amount] {
-        round.starved.get_or_insert_with(|| {
+    /// Demands of the jobs within quota that wait for capacity without a reservation.
+    pub(super) fn starved_demands<'a>(&self, round: &'a mut Round) -> &'a [Amount] {
+        round.starved_demands.get_or_insert_with(|| {
             let waits = self.queue.classes().filter(|(index, class)| {
-                matches!(class.state, State::Parked(_))
-                    && class.cause.is_some_and(Denial::is_for_room)
-                    && self.starves(*index)
+                matches!(class.state, ClassState::Parked(_))
+                    && class.last_denial.is_some_and(Denial::waits_for_capacity)
+                    && self.is_starved(*index)
             });
-            waits.map(|(_, class)| class.alike.demand).collect()
+            waits.map(|(_, class)| class.key.demand).collect()
         })
     }
 
-    fn starves(&self, index: usize) -> bool {
+    fn is_starved(&self, index: usize) -> bool {
         let first = self.queue.first(index, 1);
         first.first().is_some_and(|&job| {
             self.reservations.get(job).is_none() && self.waits_within_quota(job)
@@ -317,17 +344,25 @@
     }
 
     fn waits_within_quota(&self, job: job::Id) -> bool {
-        let within = |waiting: &Waiting| !self.teams.get(waiting.team).exceeds(&waiting.step());
+        let within =
+            |waiting: &WaitingJob| !self.teams.get(waiting.team).exceeds(&waiting.atomic_demand());
         self.queue.get(job).is_some_and(within)
     }
 }
 
 impl Round {
-    fn new(now: Instant, unix: Unix, left: usize) -> Self {
-        Self { now, unix, left, fruitless: 0, decisions: Vec::new(), starved: None }
+    fn new(now: Instant, unix: Unix, remaining_starts: usize) -> Self {
+        Self {
+            now,
+            unix,
+            remaining_starts,
+            failed_attempts: 0,
+            decisions: Vec::new(),
+            starved_demands: None,
+        }
     }
 
     fn is_over(&self) -> bool {
-        self.left == 0 || self.fruitless >= FRUITLESS
+        self.remaining_starts == 0 || self.failed_attempts >= MAX_FAILED_ATTEMPTS
     }
 }
--- a/src/placement/scorer.rs
+++ b/src/placement/scorer.rs
@@ -1,8 +1,8 @@
-//! Which of the workers with room is taken.
+//! Scoring of the workers on which a task fits.
 
 use std::fmt::Debug;
 
-use super::measure::{self, WHOLE};
+use super::arithmetic::{self, ONE_MILLION};
 use super::{FitMetric, Objective, Policy, Strategy};
 use crate::job::Kind;
 use crate::resource::Amount;
@@ -20,14 +20,14 @@
 }
 
 impl Dimension {
-    /// The dimension of which the largest part is in use.
+    /// The dimension, processors or memory, of which the larger share is in use.
     pub fn scarcest(used: &Amount, whole: &Amount) -> Self {
-        let cpu = measure::ratio(used.cpu_millis, whole.cpu_millis);
-        let memory = measure::ratio(used.memory_mib, whole.memory_mib);
+        let cpu = arithmetic::ratio_ppm(used.cpu_millis, whole.cpu_millis);
+        let memory = arithmetic::ratio_ppm(used.memory_mib, whole.memory_mib);
         if memory > cpu { Self::Memory } else { Self::Cpu }
     }
 
-    /// The part of `amount` in this dimension.
+    /// The value of `amount` in this dimension.
     pub fn of(self, amount: &Amount) -> u64 {
         match self {
             Self::Cpu => amount.cpu_millis,
@@ -42,33 +42,33 @@
 pub struct Candidate {
     /// How the task is placed.
     pub kind: Kind,
-    /// What it needs.
+    /// Its demand.
     pub demand: Amount,
-    /// What the worker has free.
+    /// Free capacity of the worker.
     pub free: Amount,
-    /// What the worker has in all.
+    /// Total capacity of the worker.
     pub capacity: Amount,
     /// Tasks of the same job in the worker's rack.
     pub in_rack: usize,
     /// Tasks of the same job on the worker.
     pub on_worker: usize,
-    /// The dimension scarcest in the whole failure domain.
+    /// The scarcest dimension in the failure domain.
     pub scarcest: Dimension,
 }
 
-/// Chooses among workers on which a task fits.
+/// Scores the workers on which a task fits.
 pub trait Scorer: Debug {
-    /// The cost of a candidate; the least wins, the first of equals.
+    /// The cost of a candidate. The lowest cost wins; of equals, the first.
     fn score(&self, candidate: &Candidate) -> u64;
 
-    /// Whether the first candidate is taken without looking at the others.
+    /// Whether the first candidate is taken without scoring the others.
     fn accepts_first(&self) -> bool {
         false
     }
 }
 
 /// The scorer of a policy.
-pub(super) fn of(policy: &Policy) -> Box<dyn Scorer> {
+pub(super) fn for_policy(policy: &Policy) -> Box<dyn Scorer> {
     match policy.strategy {
         Strategy::FirstFit => Box::new(FirstFit),
         Strategy::BestFit => Box::new(BestFit),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Takes the first worker with room.
+/// Chooses the first worker on which the task fits.
 #[derive(Debug)]
 pub struct FirstFit;
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// Takes the worker with the least processor time left over.
+/// Chooses the worker with the least processor time left.
 #[derive(Debug)]
 pub struct BestFit;
 
@@ -102,12 +102,12 @@
     }
 }
 
-/// Spreads long-running tasks over racks; packs the rest by the scarcest dimension.
+/// Spreads long-running tasks over racks and packs all others.
 #[derive(Debug)]
 pub struct PackOrSpread {
-    /// The deployment's leaning.
+    /// What the deployment favours.
     pub objective: Objective,
-    /// How the fit on a worker is rated.
+    /// How the fit on a worker is scored.
     pub fit: FitMetric,
 }
 
@@ -120,40 +120,40 @@
     }
 }
 
-/// Weight of a task of the same job in the same rack, above any cost of fit.
-const SAME_RACK: u64 = 1 << 40;
-/// Weight of a task of the same job on the same worker, below one in the same rack.
-const SAME_WORKER: u64 = 1 << 24;
+/// Cost of each task of the same job in the same rack; higher than any cost of fit.
+const SAME_RACK_COST: u64 = 1 << 40;
+/// Cost of each task of the same job on the same worker; lower than of one in the same rack.
+const SAME_WORKER_COST: u64 = 1 << 24;
 
 impl PackOrSpread {
     fn spread(&self, candidate: &Candidate) -> u64 {
         let fit = match self.objective {
             Objective::Packing => self.pack(candidate),
-            Objective::Waiting => 3 * WHOLE - self.pack(candidate).min(3 * WHOLE),
+            Objective::Waiting => 3 * ONE_MILLION - self.pack(candidate).min(3 * ONE_MILLION),
         };
-        let rack = (candidate.in_rack as u64).min(1 << 20) * SAME_RACK;
-        let worker = (candidate.on_worker as u64).min(1 << 14) * SAME_WORKER;
+        let rack = (candidate.in_rack as u64).min(1 << 20) * SAME_RACK_COST;
+        let worker = (candidate.on_worker as u64).min(1 << 14) * SAME_WORKER_COST;
         rack + worker + fit
     }
 }
 
 impl PackOrSpread {
     fn pack(&self, candidate: &Candidate) -> u64 {
-        let room = candidate.free.saturating_sub(&candidate.demand);
-        let cpu = measure::ratio(room.cpu_millis, candidate.capacity.cpu_millis);
-        let memory = measure::ratio(room.memory_mib, candidate.capacity.memory_mib);
+        let left = candidate.free.saturating_sub(&candidate.demand);
+        let cpu = arithmetic::ratio_ppm(left.cpu_millis, candidate.capacity.cpu_millis);
+        let memory = arithmetic::ratio_ppm(left.memory_mib, candidate.capacity.memory_mib);
         let cost = match (self.fit, candidate.scarcest) {
             (FitMetric::Scarcest, Dimension::Memory) => memory + cpu / 10,
             (FitMetric::Scarcest, _) => cpu + memory / 10,
             (FitMetric::Sum, _) => cpu + memory,
             (FitMetric::Balance, _) => cpu.abs_diff(memory) + (cpu + memory) / 10,
         };
-        cost + wasted(candidate)
+        cost + idle_accelerator_cost(candidate)
     }
 }
 
-/// Cost of a worker with accelerators that the task leaves idle.
-fn wasted(candidate: &Candidate) -> u64 {
+/// Cost of placing a task that needs no accelerator on a worker with free ones.
+fn idle_accelerator_cost(candidate: &Candidate) -> u64 {
     let idle = candidate.demand.accelerators == 0 && candidate.free.accelerators > 0;
-    if idle { WHOLE } else { 0 }
+    if idle { ONE_MILLION } else { 0 }
 }
--- a/src/placement/search.rs
+++ b/src/placement/search.rs
@@ -1,4 +1,4 @@
-//! The search for a worker with room that a task may use.
+//! The search for workers that can run a job's tasks.
 
 use std::time::Duration;
 
@@ -6,80 +6,80 @@
 use super::node::Node;
 use super::round::{Rank, Round};
 use super::scorer::{Candidate, Dimension};
-use super::{BackfillEstimate, Engine, measure};
+use super::{BackfillEstimate, Engine, arithmetic};
 use crate::clock::Instant;
 use crate::job::{self, Kind, Urgency};
 use crate::resource::Amount;
 
 /// Cost of a worker on which a task of the job failed.
-const FAILED_HERE: u64 = 1 << 62;
+const FAILED_ON_WORKER_COST: u64 = 1 << 62;
 /// Cost of a worker in a rack that is being drained.
-const SERVICED: u64 = 1 << 61;
+const DRAINING_RACK_COST: u64 = 1 << 61;
 
-/// A task that looks for room.
+/// A search for workers on behalf of a job.
 #[derive(Clone, Debug)]
-pub(super) struct Ask {
+pub(super) struct PlacementQuery {
     pub(super) job: job::Id,
     pub(super) kind: Kind,
     pub(super) urgency: Urgency,
     pub(super) demand: Amount,
     pub(super) tasks: usize,
     pub(super) above_quota: bool,
-    /// Whether it is batch work without urgency, deadline or long waiting.
-    pub(super) plain: bool,
-    /// Whether it has waited for long or is expected to miss its deadline.
+    /// Whether it is a batch job that is not urgent, has no deadline and has not aged.
+    pub(super) deferrable: bool,
+    /// Whether it has reached the aging threshold or is expected to miss its deadline.
     pub(super) overdue: bool,
-    /// When the task will surely have ended if it starts now, as far as that is known.
-    pub(super) ends: Option<Instant>,
-    avoided: Vec<usize>,
-    pledged: bool,
+    /// Estimated end of a task that starts now, as used for backfilling; `None` when unknown.
+    pub(super) expected_end: Option<Instant>,
+    failed_workers: Vec<usize>,
+    has_claims: bool,
 }
 
-impl Ask {
-    /// The same ask as if nothing were pledged to it.
-    pub(super) fn without_pledges(&self) -> Self {
-        Self { pledged: false, ..self.clone() }
+impl PlacementQuery {
+    /// The same query without access to the job's preemption claims.
+    pub(super) fn without_claims(&self) -> Self {
+        Self { has_claims: false, ..self.clone() }
     }
 }
 
-/// Why no worker was found.
+/// Why no task of a job was placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Denial {
-    /// None has room.
-    NoRoom,
-    /// Room is kept for teams within their quota.
+    /// No worker has enough free capacity.
+    NoFreeCapacity,
+    /// The free capacity is left to teams within their quota.
     Quota,
-    /// Room is kept for a gang.
+    /// The free capacity is reserved for another job.
     Reserved,
-    /// The preset holds the work back.
-    Held,
-    /// Victims have not stopped yet.
+    /// The preset holds the job back.
+    HeldByPreset,
+    /// Preempted tasks have not stopped yet.
     Preempting,
 }
 
 impl Denial {
-    /// Whether another job of the same class may fare better.
-    pub(super) fn is_of_one_job(self) -> bool {
+    /// Whether another job of the same class may still be placed.
+    pub(super) fn concerns_single_job(self) -> bool {
         matches!(self, Self::Reserved | Self::Preempting)
     }
 
-    /// Whether the work would run if there were more room.
-    pub(super) fn is_for_room(self) -> bool {
-        matches!(self, Self::NoRoom | Self::Reserved | Self::Preempting)
+    /// Whether the job would start if there were more free capacity.
+    pub(super) fn waits_for_capacity(self) -> bool {
+        matches!(self, Self::NoFreeCapacity | Self::Reserved | Self::Preempting)
     }
 }
 
 impl Engine {
-    /// The ask of each task of a waiting job.
-    pub(super) fn ask(&self, job: job::Id, rank: &Rank, round: &Round) -> Option<Ask> {
+    /// The query for a waiting job.
+    pub(super) fn query(&self, job: job::Id, rank: &Rank, round: &Round) -> Option<PlacementQuery> {
         let waiting = self.queue.get(job)?;
-        let ends = match waiting.kind {
+        let expected_end = match waiting.kind {
             Kind::LongRunning => None,
             Kind::Batch | Kind::Gang => {
-                waiting.estimate.map(|estimate| round.now.after(self.horizon(&estimate)))
+                waiting.estimate.map(|estimate| round.now.after(self.backfill_run_time(&estimate)))
             }
         };
-        Some(Ask {
+        Some(PlacementQuery {
             job,
             kind: waiting.kind,
             urgency: waiting.urgency,
@@ -87,35 +87,41 @@
             tasks: waiting.tasks.len(),
             above_quota: rank.above_quota,
             overdue: rank.is_overdue(),
-            plain: rank.is_plain() && waiting.kind == Kind::Batch && waiting.deadline.is_none(),
-            ends,
-            avoided: self.health.avoided(job).to_vec(),
-            pledged: self.pledges.count(job) > 0,
+            deferrable: rank.is_deferrable()
+                && waiting.kind == Kind::Batch
+                && waiting.deadline.is_none(),
+            expected_end,
+            failed_workers: self.failures.failed_workers(job).to_vec(),
+            has_claims: self.claims.count(job) > 0,
         })
     }
 
-    fn horizon(&self, estimate: &RunTimeEstimate) -> Duration {
+    fn backfill_run_time(&self, estimate: &RunTimeEstimate) -> Duration {
         match self.policy.backfill {
             BackfillEstimate::Typical => estimate.typical,
             BackfillEstimate::UpperBound => estimate.upper_bound,
         }
     }
 
-    /// The worker that costs least.
-    pub(super) fn find(&self, ask: &Ask, round: &mut Round) -> Result<usize, Denial> {
+    /// The worker with the lowest cost for one task.
+    pub(super) fn find_worker(
+        &self,
+        query: &PlacementQuery,
+        round: &mut Round,
+    ) -> Result<usize, Denial> {
         let mut best: Option<(u64, usize)> = None;
-        let mut denial = Denial::NoRoom;
+        let mut denial = Denial::NoFreeCapacity;
         let scarcest = Dimension::scarcest(&self.pool.used, &self.pool.capacity);
-        let spread = self.ledger.spread(ask.job);
+        let spread = self.allocations.spread(query.job);
         for (rack, members) in self.pool.racks.iter().enumerate() {
-            if !ask.demand.fits(&members.widest) {
+            if !query.demand.fits(&members.max_free) {
                 continue;
             }
             let in_rack = spread.map_or(0, |spread| spread.in_rack(rack));
-            let serviced = self.is_serviced(members.draining, ask, round.now);
+            let in_draining_rack = self.outlasts_drain(members.draining, query, round.now);
             for &index in &members.members {
                 let node = self.pool.get(index);
-                let free = match self.room(index, node, ask, round) {
+                let free = match self.usable(index, node, query, round) {
                     Ok(free) => free,
                     Err(reason) => {
                         denial = denial.max(reason);
@@ -124,15 +130,15 @@
                 };
                 let on_worker = spread.map_or(0, |spread| spread.on_node(index));
                 let candidate = Candidate {
-                    kind: ask.kind,
-                    demand: ask.demand,
+                    kind: query.kind,
+                    demand: query.demand,
                     free,
                     capacity: node.capacity,
                     in_rack,
                     on_worker,
                     scarcest,
                 };
-                let cost = self.cost(&candidate, index, ask, serviced);
+                let cost = self.cost(&candidate, index, query, in_draining_rack);
                 if best.is_none_or(|(least, _)| cost < least) {
                     best = Some((cost, index));
                 }
@@ -144,25 +150,27 @@
         best.map(|(_, index)| index).ok_or(denial)
     }
 
-    /// Workers for all tasks of a gang, with how many go to each.
+    /// Workers for all tasks of a gang, with the number of tasks for each.
     ///
-    /// The tightest rack that holds all of them is taken; else as few racks as possible.
-    pub(super) fn find_all(
+    /// Chooses the rack with the fewest slots that holds all tasks; else the racks with most slots.
+    pub(super) fn find_gang_workers(
         &self,
-        ask: &Ask,
+        query: &PlacementQuery,
         tasks: usize,
         round: &mut Round,
     ) -> Result<Vec<(usize, usize)>, Denial> {
-        let mut denial = Denial::NoRoom;
+        let mut denial = Denial::NoFreeCapacity;
         let mut racks: Vec<(usize, Vec<(usize, usize)>)> = Vec::new();
         for rack in &self.pool.racks {
-            if !ask.demand.fits(&rack.widest) {
+            if !query.demand.fits(&rack.max_free) {
                 continue;
             }
             let mut nodes = Vec::new();
             for &index in &rack.members {
-                match self.room(index, self.pool.get(index), ask, round) {
-                    Ok(room) => nodes.push((index, measure::slots(&ask.demand, &room).min(tasks))),
+                match self.usable(index, self.pool.get(index), query, round) {
+                    Ok(usable) => {
+                        nodes.push((index, arithmetic::slots(&query.demand, &usable).min(tasks)))
+                    }
                     Err(reason) => denial = denial.max(reason),
                 }
             }
@@ -176,62 +184,70 @@
         }
         let tightest = racks.iter().filter(|(slots, _)| *slots >= tasks).min_by_key(|rack| rack.0);
         if let Some((_, nodes)) = tightest {
-            return Ok(fill(nodes.iter().copied(), tasks));
+            return Ok(assign_slots(nodes.iter().copied(), tasks));
         }
         racks.sort_by_key(|(slots, _)| std::cmp::Reverse(*slots));
-        Ok(fill(racks.into_iter().flat_map(|(_, nodes)| nodes), tasks))
+        Ok(assign_slots(racks.into_iter().flat_map(|(_, nodes)| nodes), tasks))
     }
 
-    /// The part of a worker's room that a task may use, which is at least what it needs.
-    fn room(
+    /// The part of a worker's free capacity that a task may use, which is at least its demand.
+    fn usable(
         &self,
         index: usize,
         node: &Node,
-        ask: &Ask,
+        query: &PlacementQuery,
         round: &mut Round,
     ) -> Result<Amount, Denial> {
-        let mut room = node.free();
-        if ask.pledged {
-            let others = node.pledged.saturating_sub(&self.pledges.on(ask.job, index));
-            room = node.room().saturating_sub(&others);
+        let mut usable = node.unclaimed();
+        if query.has_claims {
+            let others = node.claimed.saturating_sub(&self.claims.claimed_on(query.job, index));
+            usable = node.free().saturating_sub(&others);
         }
-        if ask.plain && self.policy.headroom_permille > 0 {
-            room =
-                room.saturating_sub(&measure::part(&node.capacity, self.policy.headroom_permille));
+        if query.deferrable && self.policy.headroom_permille > 0 {
+            usable = usable.saturating_sub(&arithmetic::fraction(
+                &node.capacity,
+                self.policy.headroom_permille,
+            ));
         }
-        if !ask.demand.fits(&room) || !node.takes(ask.kind, ask.urgency) {
-            return Err(Denial::NoRoom);
+        if !query.demand.fits(&usable) || !node.accepts(query.kind, query.urgency) {
+            return Err(Denial::NoFreeCapacity);
         }
-        let backfills = ask.urgency == Urgency::Normal;
-        if backfills {
-            room = self.reservations.allowance(ask.job, index, room, ask.ends);
-            if !ask.demand.fits(&room) {
+        let respects_reservations = query.urgency == Urgency::Normal;
+        if respects_reservations {
+            usable = self.reservations.allowance(query.job, index, usable, query.expected_end);
+            if !query.demand.fits(&usable) {
                 return Err(Denial::Reserved);
             }
         }
-        let keeps = |demand: &Amount| demand.fits(&node.capacity);
-        if ask.above_quota && self.starved(round).iter().any(keeps) {
+        let fits_starved = |demand: &Amount| demand.fits(&node.capacity);
+        if query.above_quota && self.starved_demands(round).iter().any(fits_starved) {
             return Err(Denial::Quota);
         }
-        Ok(room)
+        Ok(usable)
     }
 
-    fn cost(&self, candidate: &Candidate, index: usize, ask: &Ask, serviced: bool) -> u64 {
-        let failed = if ask.avoided.contains(&index) { FAILED_HERE } else { 0 };
-        let serviced = if serviced { SERVICED } else { 0 };
-        failed + serviced + self.scorer.score(candidate)
+    fn cost(
+        &self,
+        candidate: &Candidate,
+        index: usize,
+        query: &PlacementQuery,
+        in_draining_rack: bool,
+    ) -> u64 {
+        let failed = if query.failed_workers.contains(&index) { FAILED_ON_WORKER_COST } else { 0 };
+        let in_draining_rack = if in_draining_rack { DRAINING_RACK_COST } else { 0 };
+        failed + in_draining_rack + self.scorer.score(candidate)
     }
 
-    /// Whether a rack is being drained and the task would outlast the preset's horizon.
-    fn is_serviced(&self, draining: usize, ask: &Ask, now: Instant) -> bool {
+    /// Whether workers of a rack drain and the task would outlast the preset's horizon.
+    fn outlasts_drain(&self, draining: usize, query: &PlacementQuery, now: Instant) -> bool {
         let Some(horizon) = self.policy.drain_horizon.filter(|_| draining > 0) else {
             return false;
         };
-        ask.ends.is_none_or(|ends| ends > now.after(horizon))
+        query.expected_end.is_none_or(|end| end > now.after(horizon))
     }
 }
 
-fn fill(nodes: impl Iterator<Item = (usize, usize)>, tasks: usize) -> Vec<(usize, usize)> {
+fn assign_slots(nodes: impl Iterator<Item = (usize, usize)>, tasks: usize) -> Vec<(usize, usize)> {
     let mut left = tasks;
     let take = |(node, slots): (usize, usize)| {
         let taken = slots.min(left);
--- a/src/placement/team.rs
+++ b/src/placement/team.rs
@@ -1,12 +1,12 @@
-//! What teams use and may use.
+//! Usage and quotas of teams.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use super::measure;
+use super::arithmetic;
 use crate::resource::Amount;
 
-/// A team's quota and use.
+/// A team's quota and usage.
 #[derive(Debug)]
 pub(super) struct Team {
     pub(super) name: Rc<str>,
@@ -15,27 +15,27 @@
 }
 
 impl Team {
-    /// Whether the team would be above its quota with `demand` in addition.
+    /// Whether `demand` in addition would exceed the team's quota.
     pub(super) fn exceeds(&self, demand: &Amount) -> bool {
         self.quota.is_some_and(|quota| !self.usage.saturating_add(demand).fits(&quota))
     }
 
-    /// The largest part of its quota that the team uses in any dimension, in millionths; a team
-    /// without a quota is measured against `whole`.
-    pub(super) fn share(&self, whole: &Amount) -> u64 {
-        measure::share(&self.usage, &self.quota.unwrap_or(*whole))
+    /// The team's dominant share: the largest share of its quota that it uses in any dimension, in
+    /// millionths. For a team without a quota, the share of `whole`.
+    pub(super) fn dominant_share(&self, whole: &Amount) -> u64 {
+        arithmetic::dominant_share(&self.usage, &self.quota.unwrap_or(*whole))
     }
 }
 
-/// All teams that were ever named.
+/// All teams that have appeared so far.
 #[derive(Debug, Default)]
-pub(super) struct Table {
+pub(super) struct TeamTable {
     teams: Vec<Team>,
     by_name: HashMap<Rc<str>, usize>,
 }
 
-impl Table {
-    /// The index of a team, which is created when it is new.
+impl TeamTable {
+    /// The index of a team; a new team is created.
     pub(super) fn intern(&mut self, name: &str) -> usize {
         if let Some(&index) = self.by_name.get(name) {
             return index;
--- a/src/placement/victim.rs
+++ b/src/placement/victim.rs
@@ -1,140 +1,154 @@
-//! Which running tasks make room for urgent work.
+//! Selection of tasks to preempt, and the claims on the capacity that they free.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::ledger::{Ledger, Running};
-use super::measure;
+use super::allocation::{Allocation, Allocations};
+use super::arithmetic;
 use super::node::Node;
 use super::pool::Pool;
-use super::search::Ask;
+use super::search::PlacementQuery;
 use crate::clock::{Instant, millis};
 use crate::job::{self, Urgency};
 use crate::resource::Amount;
 use crate::task;
 
-/// Workers whose tasks are looked at one by one; those that lack least come first.
-const LOOKED_AT: usize = 32;
-/// How long room stays pledged while its victims do not stop.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Workers whose tasks are examined one by one; those with the smallest shortfall are preferred.
+const MAX_EXAMINED: usize = 32;
+/// How long a claim stays valid.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Tasks to preempt on a worker.
+/// Tasks to preempt on one worker.
 #[derive(Debug)]
-pub(super) struct Choice {
+pub(super) struct VictimSet {
     pub(super) node: usize,
     pub(super) victims: Vec<task::Id>,
-    lost: u64,
+    lost_work: u64,
 }
 
-/// The choice that loses least work while making room for `demand`.
-pub(super) fn choose(pool: &Pool, ledger: &Ledger, ask: &Ask, now: Instant) -> Option<Choice> {
-    let demand = &ask.demand;
-    let spares_dated = ask.urgency == Urgency::Normal;
-    let mut near: Vec<_> = pool
+/// The victims that free enough capacity for the query's demand on one worker with the least lost
+/// work.
+///
+/// A query that is not urgent (a gang that waited for long) spares tasks with a deadline.
+pub(super) fn choose(
+    pool: &Pool,
+    allocations: &Allocations,
+    query: &PlacementQuery,
+    now: Instant,
+) -> Option<VictimSet> {
+    let demand = &query.demand;
+    let spare_deadlines = query.urgency == Urgency::Normal;
+    let mut candidates: Vec<_> = pool
         .nodes()
         .iter()
         .enumerate()
-        .filter(|(_, node)| node.takes(ask.kind, ask.urgency) && could_fit(node, demand))
-        .map(|(index, node)| (lack(node, demand), index))
+        .filter(|(_, node)| node.accepts(query.kind, query.urgency) && could_fit(node, demand))
+        .map(|(index, node)| (shortfall(node, demand), index))
         .collect();
-    if near.len() > LOOKED_AT {
-        near.select_nth_unstable(LOOKED_AT);
-        near.truncate(LOOKED_AT);
+    if candidates.len() > MAX_EXAMINED {
+        candidates.select_nth_unstable(MAX_EXAMINED);
+        candidates.truncate(MAX_EXAMINED);
     }
-    let choices =
-        near.iter().filter_map(|&(_, node)| victims(pool, ledger, node, demand, spares_dated, now));
-    choices.min_by_key(|choice| (choice.lost, choice.node))
+    let sets = candidates
+        .iter()
+        .filter_map(|&(_, node)| victims(pool, allocations, node, demand, spare_deadlines, now));
+    sets.min_by_key(|set| (set.lost_work, set.node))
 }
 
 fn could_fit(node: &Node, demand: &Amount) -> bool {
-    let kept = node.used().saturating_sub(&node.preemptible).saturating_add(&node.pledged);
-    demand.fits(&node.capacity.saturating_sub(&kept))
+    let used = node.used().saturating_sub(&node.preemptible).saturating_add(&node.claimed);
+    demand.fits(&node.capacity.saturating_sub(&used))
 }
 
-fn lack(node: &Node, demand: &Amount) -> u64 {
-    measure::share(&demand.saturating_sub(&node.free()), &node.capacity)
+fn shortfall(node: &Node, demand: &Amount) -> u64 {
+    arithmetic::dominant_share(&demand.saturating_sub(&node.unclaimed()), &node.capacity)
 }
 
 fn victims(
     pool: &Pool,
-    ledger: &Ledger,
+    allocations: &Allocations,
     index: usize,
     demand: &Amount,
-    spares_dated: bool,
+    spare_deadlines: bool,
     now: Instant,
-) -> Option<Choice> {
+) -> Option<VictimSet> {
     let node = pool.get(index);
     let mut tasks: Vec<(u64, task::Id, Amount)> = node
-        .ends
+        .expected_ends
         .iter()
-        .filter_map(|&(_, task)| ledger.get(task).map(|running| (task, running)))
-        .filter(|(_, running)| running.is_preemptible())
-        .filter(|(_, running)| !spares_dated || running.deadline.is_none())
-        .map(|(task, running)| (work(running, now), task, running.demand))
+        .filter_map(|&(_, task)| allocations.get(task).map(|allocation| (task, allocation)))
+        .filter(|(_, allocation)| allocation.is_preemptible())
+        .filter(|(_, allocation)| !spare_deadlines || allocation.deadline.is_none())
+        .map(|(task, allocation)| (lost_work(allocation, now), task, allocation.demand))
         .collect();
-    tasks.sort_unstable_by_key(|&(lost, task, _)| (lost, task));
-    let mut kept = node.used().saturating_add(&node.pledged);
-    let mut taken = Vec::new();
+    tasks.sort_unstable_by_key(|&(lost_work, task, _)| (lost_work, task));
+    let mut used = node.used().saturating_add(&node.claimed);
+    let mut chosen = Vec::new();
     for victim in tasks {
-        if demand.fits(&node.capacity.saturating_sub(&kept)) {
+        if demand.fits(&node.capacity.saturating_sub(&used)) {
             break;
         }
-        kept = kept.saturating_sub(&victim.2);
-        taken.push(victim);
+        used = used.saturating_sub(&victim.2);
+        chosen.push(victim);
     }
-    if !demand.fits(&node.capacity.saturating_sub(&kept)) {
+    if !demand.fits(&node.capacity.saturating_sub(&used)) {
         return None;
     }
-    spare(&mut taken, node, kept, demand);
-    let lost = taken.iter().map(|victim| victim.0).fold(0, u64::saturating_add);
-    let victims = taken.into_iter().map(|victim| victim.1).collect();
-    Some(Choice { node: index, victims, lost })
+    drop_unneeded(&mut chosen, node, used, demand);
+    let lost_work = chosen.iter().map(|victim| victim.0).fold(0, u64::saturating_add);
+    let victims = chosen.into_iter().map(|victim| victim.1).collect();
+    Some(VictimSet { node: index, victims, lost_work })
 }
 
-/// Lets go the costliest victims that turn out not to be needed.
-fn spare(taken: &mut Vec<(u64, task::Id, Amount)>, node: &Node, kept: Amount, demand: &Amount) {
-    let mut kept = kept;
-    taken.sort_unstable_by_key(|&(lost, task, _)| Reverse((lost, task)));
-    taken.retain(|victim| {
-        let with = kept.saturating_add(&victim.2);
+/// Removes victims that are not needed, those with the most lost work first.
+fn drop_unneeded(
+    chosen: &mut Vec<(u64, task::Id, Amount)>,
+    node: &Node,
+    used: Amount,
+    demand: &Amount,
+) {
+    let mut used = used;
+    chosen.sort_unstable_by_key(|&(lost_work, task, _)| Reverse((lost_work, task)));
+    chosen.retain(|victim| {
+        let with = used.saturating_add(&victim.2);
         let needed = !demand.fits(&node.capacity.saturating_sub(&with));
         if !needed {
-            kept = with;
+            used = with;
         }
         needed
     });
 }
 
-/// Work lost by stopping a task: what it has run, by the processors it holds.
-fn work(running: &Running, now: Instant) -> u64 {
-    millis(now.since(running.started)).saturating_mul(running.demand.cpu_millis.max(1))
+/// Work lost by stopping a task: its run time so far times its processors.
+fn lost_work(allocation: &Allocation, now: Instant) -> u64 {
+    millis(now.since(allocation.started)).saturating_mul(allocation.demand.cpu_millis.max(1))
 }
 
-/// Room on a worker promised to an urgent job.
+/// Capacity on a worker that is set aside for a job whose victims are being stopped.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Pledge {
+pub(super) struct PreemptionClaim {
     pub(super) node: usize,
     pub(super) demand: Amount,
     since: Instant,
 }
 
-/// Pledges by job.
+/// Claims by job.
 #[derive(Debug, Default)]
-pub(super) struct Pledges {
-    by_job: BTreeMap<job::Id, Vec<Pledge>>,
+pub(super) struct PreemptionClaims {
+    by_job: BTreeMap<job::Id, Vec<PreemptionClaim>>,
 }
 
-impl Pledges {
+impl PreemptionClaims {
     pub(super) fn count(&self, job: job::Id) -> usize {
         self.by_job.get(&job).map_or(0, Vec::len)
     }
 
-    /// What a job has been promised on a worker.
-    pub(super) fn on(&self, job: job::Id, node: usize) -> Amount {
-        let Some(pledges) = self.by_job.get(&job) else { return Amount::ZERO };
-        let here = pledges.iter().filter(|pledge| pledge.node == node);
-        here.fold(Amount::ZERO, |sum, pledge| sum.saturating_add(&pledge.demand))
+    /// Amount that a job has claimed on a worker.
+    pub(super) fn claimed_on(&self, job: job::Id, node: usize) -> Amount {
+        let Some(claims) = self.by_job.get(&job) else { return Amount::ZERO };
+        let here = claims.iter().filter(|claim| claim.node == node);
+        here.fold(Amount::ZERO, |sum, claim| sum.saturating_add(&claim.demand))
     }
 
     pub(super) fn add(
@@ -145,43 +159,43 @@
         demand: Amount,
         since: Instant,
     ) {
-        pool.update(node, |node| node.pledged = node.pledged.saturating_add(&demand));
-        self.by_job.entry(job).or_default().push(Pledge { node, demand, since });
+        pool.update(node, |node| node.claimed = node.claimed.saturating_add(&demand));
+        self.by_job.entry(job).or_default().push(PreemptionClaim { node, demand, since });
     }
 
-    /// Takes back one pledge of a job whose task starts on `node`, preferably the one there.
-    pub(super) fn redeem(&mut self, pool: &mut Pool, job: job::Id, node: usize) {
-        let Some(pledges) = self.by_job.get_mut(&job) else { return };
-        let here = pledges.iter().position(|pledge| pledge.node == node).unwrap_or(0);
-        let pledge = pledges.swap_remove(here);
-        if pledges.is_empty() {
+    /// Releases one claim of a job whose task starts on `node`, preferably one on that worker.
+    pub(super) fn release_one(&mut self, pool: &mut Pool, job: job::Id, node: usize) {
+        let Some(claims) = self.by_job.get_mut(&job) else { return };
+        let here = claims.iter().position(|claim| claim.node == node).unwrap_or(0);
+        let claim = claims.swap_remove(here);
+        if claims.is_empty() {
             self.by_job.remove(&job);
         }
-        give_back(pool, &pledge);
+        release(pool, &claim);
     }
 
-    pub(super) fn drop_job(&mut self, pool: &mut Pool, job: job::Id) {
-        for pledge in self.by_job.remove(&job).unwrap_or_default() {
-            give_back(pool, &pledge);
+    pub(super) fn remove_job(&mut self, pool: &mut Pool, job: job::Id) {
+        for claim in self.by_job.remove(&job).unwrap_or_default() {
+            release(pool, &claim);
         }
     }
 
-    /// Takes back pledges whose victims have not stopped for long.
+    /// Releases claims that are older than [`CLAIM_TIMEOUT`], as their victims did not stop.
     pub(super) fn expire(&mut self, pool: &mut Pool, now: Instant) {
-        self.by_job.retain(|_, pledges| {
-            pledges.retain(|pledge| {
-                let stands = pledge.since.after(PATIENCE) > now;
-                if !stands {
-                    give_back(pool, pledge);
+        self.by_job.retain(|_, claims| {
+            claims.retain(|claim| {
+                let is_valid = claim.since.after(CLAIM_TIMEOUT) > now;
+                if !is_valid {
+                    release(pool, claim);
                 }
-                stands
+                is_valid
             });
-            !pledges.is_empty()
+            !claims.is_empty()
         });
     }
 }
 
-fn give_back(pool: &mut Pool, pledge: &Pledge) {
-    pool.update(pledge.node, |node| node.pledged = node.pledged.saturating_sub(&pledge.demand));
-    pool.mark_grown(pledge.node);
+fn release(pool: &mut Pool, claim: &PreemptionClaim) {
+    pool.update(claim.node, |node| node.claimed = node.claimed.saturating_sub(&claim.demand));
+    pool.mark_grown(claim.node);
 }
--- a/tests/logic/placement/capacity.rs
+++ b/tests/logic/placement/capacity.rs
@@ -1,4 +1,4 @@
-//! Never more than a worker has, by declared and by measured use.
+//! Workers are never filled beyond their capacity, by demand or by measured usage.
 
 use oriolefork::job::Kind;
 use oriolefork::resource::Amount;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn observe_task_above_declared_takes_room() {
+fn observe_task_usage_above_demand_uses_room() {
     let mut engine = engine(1);
     engine.enqueue(request("greedy", Kind::Batch, 1, cores(1)));
     decide(&mut engine, 0);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn observe_usage_below_declared_gives_no_room() {
+fn observe_worker_usage_below_demand_frees_no_room() {
     let mut engine = engine(1);
     engine.enqueue(request("idle", Kind::Batch, 1, cores(4)));
     decide(&mut engine, 0);
--- a/tests/logic/placement/gang.rs
+++ b/tests/logic/placement/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs: all or nothing, and never starved.
+//! Gangs start all tasks or none, and gangs and large tasks do not starve.
 
 use oriolefork::clock::Unix;
 use oriolefork::job::Kind;
@@ -6,7 +6,8 @@
 use oriolefork::task::End;
 
 use super::{
-    at, cores, decide, engine, engine_with, job_of, lasting, preempted, request, started, task_of,
+    at, cores, decide, engine, engine_with, job_of, preempted, request, started, task_of,
+    with_run_time,
 };
 
 #[test]
@@ -21,18 +22,19 @@
     assert_eq!(started(&decide(&mut engine, 3), &["b"]).len(), 8);
 }
 
-// A gang needs both workers; one is busy until second 100. Short work may use the idle worker
-// meanwhile, work that would still run at second 100 may not, or the gang would start late.
+// A gang needs both workers, and one is busy until second 100. Tasks that end before may backfill
+// the idle worker. Tasks that would still run at second 100, or have no known run time, would delay
+// the gang.
 #[test]
 fn decide_backfill_leaves_reservation() {
     let mut engine = engine(2);
-    engine.enqueue(lasting(100, request("busy", Kind::Batch, 1, cores(4))));
+    engine.enqueue(with_run_time(100, request("busy", Kind::Batch, 1, cores(4))));
     decide(&mut engine, 0);
     engine.enqueue(request("gang", Kind::Gang, 2, cores(4)));
     assert!(decide(&mut engine, 1).is_empty());
-    engine.enqueue(lasting(500, request("long", Kind::Batch, 1, cores(1))));
+    engine.enqueue(with_run_time(500, request("long", Kind::Batch, 1, cores(1))));
     engine.enqueue(request("unknown", Kind::Batch, 1, cores(1)));
-    engine.enqueue(lasting(50, request("short", Kind::Batch, 1, cores(1))));
+    engine.enqueue(with_run_time(50, request("short", Kind::Batch, 1, cores(1))));
     let keys = ["long", "unknown", "short"];
     assert_eq!(started(&decide(&mut engine, 2), &keys), ["short"]);
     assert_eq!(
@@ -44,25 +46,25 @@
     assert_eq!(started(&decide(&mut engine, 100), &["gang"]).len(), 2);
 }
 
-// Declared run times are wrong: every short task claims ten seconds and runs for ever longer, so
-// soft reservations are delayed again and again. After the bound nothing new may enter, and the
-// gang starts as soon as the tasks that were there have ended.
+// Tasks declare one second and run for 400, so that backfilling delays a soft reservation again and
+// again. Once the reservation is hard, no task may backfill, and the gang starts when the running
+// tasks have ended.
 #[test]
 fn decide_wrong_estimates_do_not_starve() {
     let policy = Policy { gang_preemption_after: None, ..Policy::default() };
     let mut engine = engine_with(policy, 2);
-    engine.enqueue(lasting(10, request("busy", Kind::Batch, 1, cores(4))));
+    engine.enqueue(with_run_time(10, request("busy", Kind::Batch, 1, cores(4))));
     decide(&mut engine, 0);
     engine.enqueue(request("gang", Kind::Gang, 2, cores(4)));
     decide(&mut engine, 1);
     let mut gang_started = None;
     let mut running = vec![(task_of("busy", 0), 300)];
     for second in 2..3_000 {
-        let key = format!("liar{second}");
-        engine.enqueue(lasting(1, request(&key, Kind::Batch, 1, cores(1))));
-        let over: Vec<_> = running.iter().filter(|(_, end)| *end <= second).copied().collect();
+        let key = format!("underestimated{second}");
+        engine.enqueue(with_run_time(1, request(&key, Kind::Batch, 1, cores(1))));
+        let ended: Vec<_> = running.iter().filter(|(_, end)| *end <= second).copied().collect();
         running.retain(|(_, end)| *end > second);
-        over.iter().for_each(|(task, _)| engine.finish(*task, End::Succeeded, at(second)));
+        ended.iter().for_each(|(task, _)| engine.finish(*task, End::Succeeded, at(second)));
         for decision in decide(&mut engine, second) {
             let Decision::Start { job: started, tasks } = decision else {
                 continue;
@@ -83,7 +85,7 @@
 #[test]
 fn withdraw_gang_frees_room() {
     let mut engine = engine(2);
-    engine.enqueue(lasting(100, request("busy", Kind::Batch, 1, cores(4))));
+    engine.enqueue(with_run_time(100, request("busy", Kind::Batch, 1, cores(4))));
     decide(&mut engine, 0);
     engine.enqueue(request("gang", Kind::Gang, 2, cores(4)));
     assert!(decide(&mut engine, 1).is_empty());
@@ -93,13 +95,13 @@
     assert_eq!(started(&decide(&mut engine, 3), &["long"]), ["long"]);
 }
 
-// A task that was to end after ten seconds runs for ever. The gang would wait as long; after the
-// bound the task is checkpointed for it, but not one that has a deadline to meet.
+// Tasks that declare ten seconds never end, so that a gang would wait forever. After the time limit
+// they are preempted for it, except the task with a deadline.
 #[test]
 fn decide_gang_preempts_after_bound() {
     let mut engine = engine(3);
-    engine.enqueue(lasting(10, request("endless", Kind::Batch, 2, cores(4))));
-    let dated = lasting(10, request("dated", Kind::Batch, 1, cores(4)));
+    engine.enqueue(with_run_time(10, request("endless", Kind::Batch, 2, cores(4))));
+    let dated = with_run_time(10, request("dated", Kind::Batch, 1, cores(4)));
     let deadline = Some(Unix::from_millis(90_000_000));
     engine.enqueue(Request { deadline, ..dated });
     decide(&mut engine, 0);
@@ -112,8 +114,8 @@
     assert_eq!(started(&decide(&mut engine, 321), &["gang"]).len(), 2);
 }
 
-// Small tasks end one by one, and others take their place at once: a task that needs the whole
-// worker never finds room by itself. Once it has waited for the bound, room is kept for it.
+// Small tasks end one by one and are replaced at once, so that a task that needs the whole worker
+// never finds room. Once it has waited for the aging threshold, room is reserved for it.
 #[test]
 fn decide_large_task_is_not_starved() {
     let mut engine = engine(1);
@@ -121,14 +123,17 @@
     engine.enqueue(request("first", Kind::Batch, 1, cores(1)));
     decide(&mut engine, 0);
     engine.enqueue(request("large", Kind::Batch, 1, cores(4)));
-    let bound = Policy::default().aging_threshold.as_secs();
+    let threshold = Policy::default().aging_threshold.as_secs();
     let mut large_started = None;
     for round in 0..400 {
         let second = round * 20;
-        engine.enqueue(lasting(80, request(&format!("small{round}"), Kind::Batch, 1, cores(1))));
-        let over: Vec<_> = running.iter().filter(|(_, end)| *end <= second).copied().collect();
+        engine.enqueue(with_run_time(
+            80,
+            request(&format!("small{round}"), Kind::Batch, 1, cores(1)),
+        ));
+        let ended: Vec<_> = running.iter().filter(|(_, end)| *end <= second).copied().collect();
         running.retain(|(_, end)| *end > second);
-        over.iter().for_each(|(task, _)| engine.finish(*task, End::Succeeded, at(second)));
+        ended.iter().for_each(|(task, _)| engine.finish(*task, End::Succeeded, at(second)));
         for decision in decide(&mut engine, second) {
             let Decision::Start { job: started, tasks } = decision else { continue };
             if started == job_of("large") {
@@ -140,5 +145,5 @@
             break;
         }
     }
-    assert!(large_started.is_some_and(|second| second < bound + 600), "{large_started:?}");
+    assert!(large_started.is_some_and(|second| second < threshold + 600), "{large_started:?}");
 }
--- a/tests/logic/placement/health.rs
+++ b/tests/logic/placement/health.rs
@@ -9,7 +9,8 @@
 
 use super::{at, cores, decide, engine, request, set_worker, task_of, workers};
 
-/// Runs a job on the engine's only open worker, to the end given.
+/// Runs a job on the engine's only open worker until it ends with `end`; returns whether it was
+/// placed.
 fn run(engine: &mut Engine, key: &str, second: u64, end: End) -> bool {
     engine.enqueue(request(key, Kind::Batch, 1, cores(1)));
     let placed = !workers(&decide(engine, second)).is_empty();
@@ -43,8 +44,8 @@
     assert_eq!(engine.take_events(), []);
 }
 
-// A job fails wherever it runs. Each try goes to another worker, so that after three distinct
-// ones the job is known to be at fault, and none of the workers is.
+// A job fails on every worker. Each attempt goes to another worker, so that after three distinct
+// workers the job is considered faulty and none of the workers is.
 #[test]
 fn finish_job_fails_everywhere() {
     let mut engine = engine(5);
@@ -74,8 +75,8 @@
         engine.finish(task_of("d", index), End::Succeeded, at(71));
         decide(&mut engine, 71);
     }
-    let trusted = HealthEvent::Restored { worker: worker::Name::from("w0") };
-    assert_eq!(engine.take_events().last(), Some(&trusted));
+    let restored = HealthEvent::Restored { worker: worker::Name::from("w0") };
+    assert_eq!(engine.take_events().last(), Some(&restored));
     assert_eq!(engine.explain(super::job_of("web")), None);
 }
 
@@ -91,10 +92,10 @@
     assert_eq!(engine.take_events().last(), Some(&HealthEvent::Quarantined { worker, span }));
 }
 
-// A rack of bad workers: one job name fails on three of them before they are found out. Once
-// they are quarantined, their failures no longer speak against the job.
+// A job name fails on two faulty workers and on one healthy one. Failures on the faulty workers no
+// longer count against the job once these are quarantined.
 #[test]
-fn finish_quarantine_exculpates_jobs() {
+fn finish_quarantine_discards_failures_of_jobs() {
     let mut engine = engine(4);
     for bad in 0..2 {
         for other in 0..4 {
@@ -110,6 +111,6 @@
         set_worker(&mut engine, good, SchedulingState::Open);
         run(&mut engine, "nightly", 2, End::Failed);
     }
-    let blamed = |event: &HealthEvent| matches!(event, HealthEvent::FailsEverywhere { .. });
-    assert!(!engine.take_events().iter().any(blamed));
+    let job_at_fault = |event: &HealthEvent| matches!(event, HealthEvent::FailsEverywhere { .. });
+    assert!(!engine.take_events().iter().any(job_at_fault));
 }
--- a/tests/logic/placement/history.rs
+++ b/tests/logic/placement/history.rs
@@ -1,4 +1,5 @@
-//! Any order of calls: never more than a worker has, nothing twice, nothing waits for ever.
+//! Property test over random sequences of calls: no worker is filled beyond its capacity, no task
+//! is placed twice, and no task that fits waits forever.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,7 +23,7 @@
 const JOBS: usize = 10;
 const TEAMS: [&str; 3] = ["shop", "mail", "museum"];
 
-/// A call on the engine.
+/// A call to the engine.
 #[derive(Clone, Debug)]
 enum Step {
     Worker(usize, Amount, SchedulingState),
@@ -39,9 +40,9 @@
     Decide(u64, usize),
 }
 
-/// What a job asks for, the same in all its requests.
+/// Properties of a job, the same in all its requests.
 #[derive(Clone, Debug)]
-struct Shape {
+struct JobTemplate {
     team: usize,
     kind: Kind,
     urgency: Urgency,
@@ -58,12 +59,12 @@
     })
 }
 
-fn shape() -> impl Strategy<Value = Shape> {
+fn template() -> impl Strategy<Value = JobTemplate> {
     let kind = prop_oneof![Just(Kind::Batch), Just(Kind::LongRunning), Just(Kind::Gang)];
     let urgency = prop_oneof![3 => Just(Urgency::Normal), 1 => Just(Urgency::Urgent)];
     let times = (any::<Option<u16>>(), any::<Option<u16>>());
     (0..TEAMS.len(), kind, urgency, times, amount(6)).prop_map(
-        |(team, kind, urgency, (deadline, run_time), demand)| Shape {
+        |(team, kind, urgency, (deadline, run_time), demand)| JobTemplate {
             team,
             kind,
             urgency,
@@ -107,20 +108,20 @@
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct Allocated {
     worker: usize,
     demand: Amount,
     usage: Amount,
     preemptible: bool,
 }
 
-/// The engine beside a plain account of what it was told and what it decided.
-struct Account {
+/// The engine together with a simple model of its inputs and decisions.
+struct Model {
     engine: Engine,
-    shapes: Vec<Shape>,
+    templates: Vec<JobTemplate>,
     now: u64,
     workers: BTreeMap<usize, (Amount, SchedulingState)>,
-    held: BTreeMap<task::Id, Held>,
+    allocated: BTreeMap<task::Id, Allocated>,
     waiting: BTreeMap<usize, BTreeSet<task::Id>>,
 }
 
@@ -132,20 +133,20 @@
     worker::Name::from(format!("w{worker}"))
 }
 
-impl Account {
-    fn new(shapes: Vec<Shape>) -> Self {
-        let mut account = Self {
+impl Model {
+    fn new(templates: Vec<JobTemplate>) -> Self {
+        let mut model = Self {
             engine: Engine::new(Policy::default()),
-            shapes,
+            templates,
             now: 0,
             workers: BTreeMap::new(),
-            held: BTreeMap::new(),
+            allocated: BTreeMap::new(),
             waiting: BTreeMap::new(),
         };
         for worker in 0..WORKERS {
-            account.set_worker(worker, cores(6), SchedulingState::Open);
+            model.set_worker(worker, cores(6), SchedulingState::Open);
         }
-        account
+        model
     }
 
     fn set_worker(&mut self, worker: usize, capacity: Amount, scheduling_state: SchedulingState) {
@@ -155,8 +156,8 @@
     }
 
     fn nth(&self, choice: usize) -> Option<task::Id> {
-        let count = self.held.len();
-        self.held.keys().nth(choice.checked_rem(count)?).copied()
+        let count = self.allocated.len();
+        self.allocated.keys().nth(choice.checked_rem(count)?).copied()
     }
 
     fn apply(&mut self, step: &Step) -> Result<(), TestCaseError> {
@@ -177,20 +178,20 @@
             Step::Release(choice) => {
                 if let Some(task) = self.nth(choice) {
                     self.engine.release(task);
-                    self.held.remove(&task);
+                    self.allocated.remove(&task);
                 }
             }
             Step::Finish(choice, end) => {
                 if let Some(task) = self.nth(choice) {
                     self.engine.finish(task, end, Instant::from_millis(self.now));
-                    self.held.remove(&task);
+                    self.allocated.remove(&task);
                 }
             }
             Step::Usage(worker, usage) => self.engine.observe_worker_usage(&name(worker), usage),
             Step::TaskUsage(choice, usage) => {
                 if let Some(task) = self.nth(choice) {
                     self.engine.observe_task_usage(task, usage);
-                    self.held.get_mut(&task).unwrap().usage = usage;
+                    self.allocated.get_mut(&task).unwrap().usage = usage;
                 }
             }
             Step::Quota(team, quota) => self.engine.set_quota(TEAMS[team], quota),
@@ -206,42 +207,42 @@
     }
 
     fn enqueue(&mut self, job: usize, tasks: u32) {
-        let shape = &self.shapes[job];
+        let template = &self.templates[job];
         let tasks: Vec<_> = (0..tasks).map(|index| id(job, index)).collect();
         let waiting = self.waiting.entry(job).or_default();
-        waiting.extend(tasks.iter().filter(|task| !self.held.contains_key(task)));
+        waiting.extend(tasks.iter().filter(|task| !self.allocated.contains_key(task)));
         self.engine.enqueue(Request {
             job: job::Id::from_raw(job as u64),
-            team: TEAMS[shape.team].into(),
+            team: TEAMS[template.team].into(),
             name: format!("n{job}"),
-            kind: shape.kind,
-            urgency: shape.urgency,
-            deadline: shape.deadline.map(Unix::from_millis),
-            run_time: shape.run_time.map(Duration::from_millis),
-            demand: shape.demand,
+            kind: template.kind,
+            urgency: template.urgency,
+            deadline: template.deadline.map(Unix::from_millis),
+            run_time: template.run_time.map(Duration::from_millis),
+            demand: template.demand,
             tasks,
             queued: Instant::from_millis(self.now),
         });
     }
 
     fn adopt(&mut self, job: usize, index: u32, worker: usize, demand: Amount) {
-        let shape = &self.shapes[job];
+        let template = &self.templates[job];
         let task = id(job, index);
         let running_task = RunningTask {
             demand,
-            team: TEAMS[shape.team].into(),
+            team: TEAMS[template.team].into(),
             name: format!("n{job}"),
-            kind: shape.kind,
-            urgency: shape.urgency,
+            kind: template.kind,
+            urgency: template.urgency,
             started: Instant::from_millis(self.now),
             run_time: None,
             deadline: None,
         };
         self.engine.adopt(task, &name(worker), &running_task);
         self.waiting.entry(job).or_default().remove(&task);
-        let preemptible = shape.kind == Kind::Batch && shape.urgency == Urgency::Normal;
-        let held = Held { worker, demand, usage: Amount::ZERO, preemptible };
-        self.held.insert(task, held);
+        let preemptible = template.kind == Kind::Batch && template.urgency == Urgency::Normal;
+        let allocated = Allocated { worker, demand, usage: Amount::ZERO, preemptible };
+        self.allocated.insert(task, allocated);
     }
 
     fn decide(&mut self, limit: usize) -> Result<(), TestCaseError> {
@@ -251,10 +252,11 @@
             match decision {
                 Decision::Start { job, tasks } => self.check_start(job, &tasks)?,
                 Decision::Preempt { task, worker, .. } => {
-                    let held = self.held.get(&task);
-                    let held = held.ok_or_else(|| TestCaseError::fail("victim does not run"))?;
-                    proptest::prop_assert!(held.preemptible);
-                    proptest::prop_assert_eq!(name(held.worker), worker);
+                    let allocated = self.allocated.get(&task);
+                    let allocated =
+                        allocated.ok_or_else(|| TestCaseError::fail("victim does not run"))?;
+                    proptest::prop_assert!(allocated.preemptible);
+                    proptest::prop_assert_eq!(name(allocated.worker), worker);
                 }
             }
         }
@@ -263,40 +265,41 @@
 
     fn check_start(&mut self, job: job::Id, tasks: &[Assignment]) -> Result<(), TestCaseError> {
         let index = usize::try_from(job.raw()).unwrap();
-        let shape = self.shapes[index].clone();
+        let template = self.templates[index].clone();
         let waiting = self.waiting.entry(index).or_default();
-        if shape.kind == Kind::Gang {
+        if template.kind == Kind::Gang {
             proptest::prop_assert_eq!(waiting.len(), tasks.len(), "gang in part");
         }
         for assignment in tasks {
             proptest::prop_assert!(waiting.remove(&assignment.task), "not waiting");
             let worker = assignment.worker.as_str()[1..].parse().unwrap();
-            let preemptible = shape.kind == Kind::Batch && shape.urgency == Urgency::Normal;
-            let held = Held { worker, demand: shape.demand, usage: Amount::ZERO, preemptible };
-            proptest::prop_assert!(self.held.insert(assignment.task, held).is_none());
+            let preemptible = template.kind == Kind::Batch && template.urgency == Urgency::Normal;
+            let allocated =
+                Allocated { worker, demand: template.demand, usage: Amount::ZERO, preemptible };
+            proptest::prop_assert!(self.allocated.insert(assignment.task, allocated).is_none());
         }
         for assignment in tasks {
-            self.check_worker(assignment.worker.as_str()[1..].parse().unwrap(), &shape.demand)?;
+            self.check_worker(assignment.worker.as_str()[1..].parse().unwrap(), &template.demand)?;
         }
         Ok(())
     }
 
-    /// Nothing may have been placed on a worker beyond what it has by declared or measured use.
+    /// Checks that a worker is not filled beyond its capacity, by demand or by measured usage.
     fn check_worker(&self, worker: usize, demand: &Amount) -> Result<(), TestCaseError> {
         let known = self.workers.get(&worker);
         let (capacity, scheduling_state) =
             known.ok_or_else(|| TestCaseError::fail("unknown worker"))?;
         proptest::prop_assert_eq!(*scheduling_state, SchedulingState::Open);
-        let larger = |held: &Held| Amount {
-            cpu_millis: held.demand.cpu_millis.max(held.usage.cpu_millis),
-            memory_mib: held.demand.memory_mib.max(held.usage.memory_mib),
-            accelerators: held.demand.accelerators.max(held.usage.accelerators),
+        let larger = |allocated: &Allocated| Amount {
+            cpu_millis: allocated.demand.cpu_millis.max(allocated.usage.cpu_millis),
+            memory_mib: allocated.demand.memory_mib.max(allocated.usage.memory_mib),
+            accelerators: allocated.demand.accelerators.max(allocated.usage.accelerators),
         };
-        // An adopted task may hold more of a dimension than there is; work that needs nothing of
-        // that dimension does not add to it.
+        // An adopted task may hold more of a dimension than the worker has. Such a dimension only
+        // counts if the new task needs some of it.
         let counted = |need: u64, sum: u64| if need > 0 { sum } else { 0 };
-        let here = self.held.values().filter(|held| held.worker == worker);
-        let sum = here.fold(Amount::ZERO, |sum, held| sum.saturating_add(&larger(held)));
+        let here = self.allocated.values().filter(|allocated| allocated.worker == worker);
+        let sum = here.fold(Amount::ZERO, |sum, allocated| sum.saturating_add(&larger(allocated)));
         let added = Amount {
             cpu_millis: counted(demand.cpu_millis, sum.cpu_millis),
             memory_mib: counted(demand.memory_mib, sum.memory_mib),
@@ -306,7 +309,8 @@
         Ok(())
     }
 
-    /// With every worker open and every task released in time, all that fits must run at last.
+    /// Checks that every task that fits is placed in the end, when all workers are open and all
+    /// running tasks are released again and again.
     fn drain(&mut self) -> Result<(), TestCaseError> {
         self.engine.set_policy(Policy::default());
         for worker in 0..WORKERS {
@@ -314,18 +318,19 @@
             self.engine.observe_worker_usage(&name(worker), Amount::ZERO);
         }
         for _ in 0..8 * JOBS {
-            let running: Vec<_> = self.held.keys().copied().collect();
+            let running: Vec<_> = self.allocated.keys().copied().collect();
             for task in running {
                 self.engine.release(task);
-                self.held.remove(&task);
+                self.allocated.remove(&task);
             }
             self.now += 3_600_000;
             self.decide(100)?;
         }
         for (job, tasks) in self.waiting.iter().filter(|(_, tasks)| !tasks.is_empty()) {
-            let shape = &self.shapes[*job];
-            let impossible = self.engine.infeasible_reason(&shape.demand, shape.kind, tasks.len());
-            proptest::prop_assert!(impossible.is_some(), "{:?} waits for ever", shape);
+            let template = &self.templates[*job];
+            let infeasible =
+                self.engine.infeasible_reason(&template.demand, template.kind, tasks.len());
+            proptest::prop_assert!(infeasible.is_some(), "{:?} waits forever", template);
         }
         Ok(())
     }
@@ -336,13 +341,13 @@
     let config = Config { cases: 500, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let history = (vec(shape(), JOBS), vec(step(), 1..120));
-    let verdict = runner.run(&history, |(shapes, steps)| {
-        let mut account = Account::new(shapes);
+    let history = (vec(template(), JOBS), vec(step(), 1..120));
+    let result = runner.run(&history, |(templates, steps)| {
+        let mut model = Model::new(templates);
         for step in &steps {
-            account.apply(step)?;
+            model.apply(step)?;
         }
-        account.drain()
+        model.drain()
     });
-    assert!(verdict.is_ok(), "{}", verdict.unwrap_err());
+    assert!(result.is_ok(), "{}", result.unwrap_err());
 }
--- a/tests/logic/placement/mod.rs
+++ b/tests/logic/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Placement decisions.
+//! Tests of the placement engine.
 
 mod capacity;
 mod fairness;
@@ -58,7 +58,7 @@
     }
 }
 
-fn lasting(seconds: u64, request: Request) -> Request {
+fn with_run_time(seconds: u64, request: Request) -> Request {
     Request { run_time: Some(Duration::from_secs(seconds)), ..request }
 }
 
@@ -66,7 +66,7 @@
     Request { urgency: Urgency::Urgent, ..request }
 }
 
-/// Workers of four cores, two to a rack.
+/// An engine with open workers of four cores, two in each rack.
 fn engine(workers: u64) -> Engine {
     engine_with(Policy::default(), workers)
 }
@@ -93,12 +93,12 @@
     Instant::from_millis(seconds * 1_000)
 }
 
-/// Decides `seconds` after the start of both clocks.
+/// Calls `decide` at `seconds` on both clocks.
 fn decide(engine: &mut Engine, seconds: u64) -> Vec<Decision> {
     engine.decide(at(seconds), Unix::from_millis(seconds * 1_000), 1_000)
 }
 
-/// Keys of `keys` whose jobs started, one for each task.
+/// The keys, out of `keys`, of the jobs that started, once for each task.
 fn started<'a>(decisions: &[Decision], keys: &[&'a str]) -> Vec<&'a str> {
     let mut found = Vec::new();
     for decision in decisions {
@@ -110,7 +110,7 @@
     found
 }
 
-/// Workers of all starts, in order.
+/// Workers of all started tasks, in order.
 fn workers(decisions: &[Decision]) -> Vec<&str> {
     let mut names = Vec::new();
     for decision in decisions {
--- a/tests/logic/placement/preset.rs
+++ b/tests/logic/placement/preset.rs
@@ -1,11 +1,12 @@
-//! What presets change.
+//! Effects of the presets.
 
 use oriolefork::clock::Unix;
 use oriolefork::job::Kind;
 use oriolefork::placement::{Objective, PendingReason, Policy, Preset, Request, SchedulingState};
 
 use super::{
-    cores, decide, engine_with, job_of, lasting, request, set_worker, started, urgent, workers,
+    cores, decide, engine_with, job_of, request, set_worker, started, urgent, with_run_time,
+    workers,
 };
 
 fn preset(preset: Preset) -> Policy {
@@ -13,7 +14,7 @@
 }
 
 #[test]
-fn decide_peak_holds_plain_batch() {
+fn decide_peak_holds_batch_without_deadline() {
     let mut engine = engine_with(preset(Preset::Peak), 2);
     engine.enqueue(request("web", Kind::LongRunning, 7, cores(1)));
     decide(&mut engine, 1);
@@ -28,11 +29,11 @@
 }
 
 #[test]
-fn decide_peak_lets_pressing_batch_run() {
+fn decide_peak_runs_batch_near_deadline() {
     let mut engine = engine_with(preset(Preset::Peak), 2);
     engine.enqueue(request("web", Kind::LongRunning, 6, cores(1)));
     decide(&mut engine, 1);
-    let rebuild = lasting(60, request("rebuild", Kind::Batch, 1, cores(1)));
+    let rebuild = with_run_time(60, request("rebuild", Kind::Batch, 1, cores(1)));
     engine.enqueue(Request { deadline: Some(Unix::from_millis(300_000)), ..rebuild });
     assert_eq!(started(&decide(&mut engine, 2), &["rebuild"]), ["rebuild"]);
 }
@@ -46,16 +47,16 @@
     assert_eq!(started(&decide(&mut engine, 2), &["renewal"]), ["renewal"]);
 }
 
-// One worker of rack r0 drains for service; the other is likely to be next. Work that would
-// outlast the horizon goes to the other rack, short work may still use the worker.
+// One worker of rack r0 drains, and the other is likely to be drained next. Tasks that would
+// outlast the drain horizon go to the other rack; short tasks may still use the worker.
 #[test]
-fn decide_maintenance_avoids_serviced_rack() {
+fn decide_maintenance_avoids_draining_rack() {
     let mut engine = engine_with(preset(Preset::Maintenance), 4);
     set_worker(&mut engine, 0, SchedulingState::Draining);
     engine.enqueue(request("web", Kind::LongRunning, 2, cores(1)));
     let decisions = decide(&mut engine, 1);
     assert!(workers(&decisions).iter().all(|name| matches!(*name, "w2" | "w3")));
-    engine.enqueue(lasting(60, request("short", Kind::Batch, 1, cores(4))));
+    engine.enqueue(with_run_time(60, request("short", Kind::Batch, 1, cores(4))));
     assert_eq!(workers(&decide(&mut engine, 2)), ["w1"]);
 }
 
--- a/tests/logic/placement/risk.rs
+++ b/tests/logic/placement/risk.rs
@@ -1,4 +1,4 @@
-//! Run times and the deadlines they put at risk.
+//! Run-time estimates and deadlines at risk.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use oriolefork::placement::{Request, RunTimeEstimator};
 use oriolefork::task::End;
 
-use super::{at, cores, decide, engine, job_of, lasting, request, task_of};
+use super::{at, cores, decide, engine, job_of, request, task_of, with_run_time};
 
 fn secs(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
 #[test]
-fn guess_declared_until_measured() {
+fn estimate_declared_until_measured() {
     let mut estimator = RunTimeEstimator::default();
     let declared = Some(secs(10));
     assert_eq!(estimator.estimate("t", "n", declared).unwrap().typical, secs(10));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn guess_withstands_outlier() {
+fn estimate_tolerates_outlier() {
     let mut estimator = RunTimeEstimator::default();
     for seconds in [100, 100, 101, 99, 100_000] {
         estimator.record_run("t", "n", secs(seconds));
@@ -35,21 +35,21 @@
 }
 
 #[test]
-fn guess_follows_change() {
+fn estimate_follows_change() {
     let mut estimator = RunTimeEstimator::default();
     (0..20).for_each(|_| estimator.record_run("t", "n", secs(10)));
     (0..8).for_each(|_| estimator.record_run("t", "n", secs(50)));
     assert_eq!(estimator.estimate("t", "n", None).unwrap().typical, secs(50));
 }
 
-// The rebuild must end at second 1,000 and takes 600; no worker has room. It is reported a while
-// before second 400, when it must start, not when the deadline has passed.
+// A job with a run time of 600 seconds must end by second 1,000, and no worker has room. It is
+// reported shortly before second 400, its latest start, not only after the deadline.
 #[test]
 fn at_risk_waiting_before_missed() {
     let mut engine = engine(1);
     engine.enqueue(request("web", Kind::LongRunning, 1, cores(4)));
     decide(&mut engine, 0);
-    let rebuild = lasting(600, request("rebuild", Kind::Batch, 1, cores(1)));
+    let rebuild = with_run_time(600, request("rebuild", Kind::Batch, 1, cores(1)));
     engine.enqueue(Request { deadline: Some(Unix::from_millis(1_000_000)), ..rebuild });
     assert!(engine.at_risk(at(300), Unix::from_millis(300_000)).is_empty());
     let risks = engine.at_risk(at(350), Unix::from_millis(350_000));
@@ -59,7 +59,7 @@
 #[test]
 fn at_risk_running_longer_than_expected() {
     let mut engine = engine(1);
-    let rebuild = lasting(100, request("rebuild", Kind::Batch, 1, cores(1)));
+    let rebuild = with_run_time(100, request("rebuild", Kind::Batch, 1, cores(1)));
     engine.enqueue(Request { deadline: Some(Unix::from_millis(1_000_000)), ..rebuild });
     decide(&mut engine, 0);
     assert!(engine.at_risk(at(90), Unix::from_millis(90_000)).is_empty());
@@ -71,10 +71,10 @@
 }
 
 #[test]
-fn finish_teaches_run_time() {
+fn finish_records_run_time() {
     let mut engine = engine(1);
     for index in 0..3 {
-        let each = lasting(10, request("rebuild", Kind::Batch, 1, cores(1)));
+        let each = with_run_time(10, request("rebuild", Kind::Batch, 1, cores(1)));
         let tasks = vec![task_of("rebuild", index)];
         engine.enqueue(Request { tasks, ..each });
         decide(&mut engine, 1_000 * u64::from(index));
@@ -84,7 +84,7 @@
             at(1_000 * u64::from(index) + 500),
         );
     }
-    let next = lasting(10, request("rebuild", Kind::Batch, 1, cores(1)));
+    let next = with_run_time(10, request("rebuild", Kind::Batch, 1, cores(1)));
     let deadline = Some(Unix::from_millis(4_100_000));
     engine.enqueue(Request { deadline, tasks: vec![task_of("rebuild", 9)], ..next });
     assert_eq!(engine.at_risk(at(3_700), Unix::from_millis(3_700_000)).len(), 1);
--- a/tests/logic/placement/spread.rs
+++ b/tests/logic/placement/spread.rs
@@ -1,4 +1,4 @@
-//! Which worker a task gets.
+//! Choice of the worker for a task.
 
 use std::collections::BTreeSet;
 
@@ -28,8 +28,8 @@
     assert_eq!(names.len(), 1);
 }
 
-// Memory is scarcer than processors. The task goes where it leaves the least memory over, not
-// where it leaves the least processor time.
+// Memory is scarcer than processors: the task goes to the worker with the least memory left, not to
+// the one with the least processor time left.
 #[test]
 fn decide_scarcest_dimension() {
     let amount = |cores: u64, gib: u64| Amount {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn decide_leaves_accelerators_to_those_who_need_them() {
+fn decide_leaves_accelerators_free() {
     let mut engine = Engine::new(Policy::default());
     let with = Amount { accelerators: 1, ..cores(4) };
     engine.upsert_worker(&worker::Name::from("a"), "r", with, SchedulingState::Open);
@@ -72,21 +72,21 @@
 }
 
 #[test]
-fn impossible_larger_than_every_worker() {
+fn infeasible_larger_than_every_worker() {
     let engine = engine(2);
     let reason = engine.infeasible_reason(&cores(5), Kind::Batch, 1);
     assert_eq!(reason, Some(PendingReason::TooLarge { demand: cores(5), largest: cores(4) }));
 }
 
 #[test]
-fn impossible_gang_larger_than_all_workers() {
+fn infeasible_gang_larger_than_all_workers() {
     let engine = engine(2);
     let reason = engine.infeasible_reason(&cores(4), Kind::Gang, 3);
     assert_eq!(reason, Some(PendingReason::TooManyTasks { tasks: 3, slots: 2 }));
 }
 
 #[test]
-fn impossible_unknown_without_workers() {
+fn infeasible_unknown_without_workers() {
     let mut engine = Engine::new(Policy::default());
     assert_eq!(engine.infeasible_reason(&cores(4), Kind::Gang, 3), None);
     engine.enqueue(request("a", Kind::Batch, 1, cores(1)));
--- a/tests/logic/placement/urgent.rs
+++ b/tests/logic/placement/urgent.rs
@@ -1,4 +1,4 @@
-//! Urgent work and the batch tasks that make room for it.
+//! Urgent jobs and the preemption of batch tasks for them.
 
 use oriolefork::job::Kind;
 use oriolefork::placement::{Decision, Objective, PendingReason, Policy, Preset};
@@ -29,10 +29,9 @@
     assert_eq!(engine.explain(job_of("renewal")), Some(PendingReason::Preempting { tasks: 1 }));
 }
 
-// The victim has stopped, and work that waited longer would take its room before the urgent job
-// it was stopped for: the room is pledged, so only the urgent job gets it.
+// Once the victim has stopped, another job must not get its room: the urgent job has a claim on it.
 #[test]
-fn decide_pledged_room_goes_to_urgent() {
+fn decide_claimed_room_goes_to_urgent() {
     let mut engine = engine(1);
     engine.enqueue(request("batch", Kind::Batch, 1, cores(4)));
     decide(&mut engine, 0);
@@ -81,9 +80,9 @@
     assert!(decide(&mut engine, 1).is_empty());
 }
 
-// The victim's worker never answers: the pledge lapses, and the urgent job makes room elsewhere.
+// The victim never stops: the claim expires, and the urgent job preempts a task on another worker.
 #[test]
-fn decide_pledge_lapses() {
+fn decide_claim_expires() {
     let mut engine = engine(2);
     engine.enqueue(request("batch", Kind::Batch, 2, cores(4)));
     decide(&mut engine, 0);
@@ -96,7 +95,7 @@
 }
 
 #[test]
-fn withdraw_urgent_gives_room_back() {
+fn withdraw_urgent_releases_claim() {
     let mut engine = engine(1);
     engine.enqueue(request("batch", Kind::Batch, 1, cores(4)));
     decide(&mut engine, 0);
