--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -1,7 +1,7 @@
-//! Speed of placement decisions at the size of today and at the size planned for.
+//! Latency of placement decisions at the present and at the planned size of a failure domain.
 //!
-//! `cargo bench --bench placement` prints the percentiles of one decision in each situation, then
-//! criterion's figures. Every state is drawn from one seed.
+//! `cargo bench --bench placement` prints percentiles of one decision in each scenario, then
+//! criterion's results. All random choices come from one seed.
 
 // criterion's macro makes a public function without documentation.
 #![allow(missing_docs)]
@@ -26,10 +26,10 @@
 const TEAMS: u64 = 27;
 const RACK: usize = 8;
 const NAMES: u64 = 40;
-/// Decisions measured in each situation.
+/// Decisions measured in each scenario.
 const DECISIONS: usize = 20_000;
 
-/// A failure domain of a size.
+/// Size of a failure domain.
 #[derive(Clone, Copy)]
 struct Size {
     label: &'static str,
@@ -48,7 +48,7 @@
     cores: 64,
     gib: 128,
 };
-const TODAY: Size = Size {
+const PRESENT: Size = Size {
     label: "50 workers, 1,450 tasks",
     workers: 50,
     tasks: 1_450,
@@ -57,8 +57,8 @@
     gib: 128,
 };
 
-/// An engine with tasks, and what is needed to go on.
-struct Bed {
+/// An engine with its running tasks and the state of the generator of jobs.
+struct Fixture {
     engine: Engine,
     rng: SmallRng,
     tasks: usize,
@@ -67,7 +67,7 @@
     millis: u64,
 }
 
-impl Bed {
+impl Fixture {
     fn empty(size: Size) -> Self {
         let mut engine = Engine::new(Policy::for_preset(Preset::Ordinary, Objective::Packing));
         for index in 0..size.workers {
@@ -85,33 +85,33 @@
         Self { engine, rng, tasks: size.tasks, running: Vec::new(), jobs: 0, millis: 0 }
     }
 
-    /// Runs the size's number of tasks.
+    /// An engine on which the size's number of tasks runs.
     fn loaded(size: Size) -> Self {
-        let mut bed = Self::empty(size);
-        while bed.running.len() < size.tasks {
+        let mut fixture = Self::empty(size);
+        while fixture.running.len() < size.tasks {
             for _ in 0..200 {
-                let request = bed.request();
-                bed.engine.enqueue(request);
+                let request = fixture.request();
+                fixture.engine.enqueue(request);
             }
-            if bed.decide(usize::MAX) == 0 {
+            if fixture.decide(usize::MAX) == 0 {
                 break;
             }
         }
-        bed
+        fixture
     }
 
-    /// Has workers that are full, and jobs that wait.
+    /// An engine with full workers and `waiting` waiting jobs.
     fn backlogged(size: Size, waiting: usize) -> Self {
-        let mut bed = Self::loaded(size);
+        let mut fixture = Self::loaded(size);
         for _ in 0..waiting {
-            let request = Request { demand: bed.large(), ..bed.request() };
-            bed.engine.enqueue(request);
+            let request = Request { demand: fixture.large(), ..fixture.request() };
+            fixture.engine.enqueue(request);
         }
-        while bed.decide(usize::MAX) > 0 {}
+        while fixture.decide(usize::MAX) > 0 {}
         for _ in 0..200 {
-            bed.decide(usize::MAX);
+            fixture.decide(usize::MAX);
         }
-        bed
+        fixture
     }
 
     fn large(&mut self) -> Amount {
@@ -145,15 +145,15 @@
         }
     }
 
-    /// Decides once; returns the tasks started.
+    /// Calls `decide` once; returns the number of started tasks.
     fn decide(&mut self, limit: usize) -> usize {
         self.millis += 10;
         let (now, unix) = (Instant::from_millis(self.millis), Unix::from_millis(self.millis));
         let decisions = self.engine.decide(now, unix, limit);
-        self.note(&decisions)
+        self.record(&decisions)
     }
 
-    fn note(&mut self, decisions: &[Decision]) -> usize {
+    fn record(&mut self, decisions: &[Decision]) -> usize {
         let before = self.running.len();
         for decision in decisions {
             if let Decision::Start { tasks, .. } = decision {
@@ -163,7 +163,7 @@
         self.running.len() - before
     }
 
-    /// Ends tasks until the size's number runs, then submits a job.
+    /// Ends tasks down to the size's number, then submits a job.
     fn replace_one(&mut self) {
         while self.running.len() > self.tasks {
             self.end_one();
@@ -172,7 +172,7 @@
         self.engine.enqueue(request);
     }
 
-    /// Ends a running task drawn at random.
+    /// Ends a random running task.
     fn end_one(&mut self) {
         let index = self.rng.random_range(0..self.running.len());
         let task = self.running.swap_remove(index);
@@ -180,18 +180,19 @@
     }
 }
 
-/// Measures decisions, each after `before`.
+/// Measures `count` decisions, with a call of `before` ahead of each; returns their latencies and
+/// the number of started tasks.
 fn measure(
-    bed: &mut Bed,
+    fixture: &mut Fixture,
     count: usize,
-    mut before: impl FnMut(&mut Bed),
+    mut before: impl FnMut(&mut Fixture),
 ) -> (Histogram<u64>, usize) {
     let mut histogram = Histogram::new(3).expect("three digits are allowed");
     let mut started = 0;
     for _ in 0..count {
-        before(bed);
+        before(fixture);
         let stopwatch = Stopwatch::now();
-        let tasks = bed.decide(usize::MAX);
+        let tasks = fixture.decide(usize::MAX);
         let nanos = u64::try_from(stopwatch.elapsed().as_nanos()).unwrap_or(u64::MAX);
         histogram.record(nanos.max(1)).expect("the histogram grows by itself");
         started += tasks;
@@ -212,67 +213,71 @@
 
 fn percentiles(size: Size) {
     println!("{}", size.label);
-    let mut bed = Bed::loaded(size);
-    println!("  {} tasks run", bed.engine.allocated_tasks());
-    let (histogram, started) = measure(&mut bed, DECISIONS, Bed::replace_one);
+    let mut fixture = Fixture::loaded(size);
+    println!("  {} tasks run", fixture.engine.allocated_tasks());
+    let (histogram, started) = measure(&mut fixture, DECISIONS, Fixture::replace_one);
     print("  one job a decision", &histogram, started);
 
-    let mut bed = Bed::backlogged(size, 10_000);
-    let (histogram, started) = measure(&mut bed, DECISIONS / 4, Bed::end_one);
+    let mut fixture = Fixture::backlogged(size, 10_000);
+    let (histogram, started) = measure(&mut fixture, DECISIONS / 4, Fixture::end_one);
     print("  10,000 jobs wait, one task ends", &histogram, started);
 
-    let mut bed = Bed::backlogged(size, 1_000);
-    let (histogram, started) = measure(&mut bed, 1_000, |bed| {
-        let demand = bed.large();
-        let request = bed.request();
+    let mut fixture = Fixture::backlogged(size, 1_000);
+    let (histogram, started) = measure(&mut fixture, 1_000, |fixture| {
+        let demand = fixture.large();
+        let request = fixture.request();
         let urgent = Request { urgency: Urgency::Urgent, kind: Kind::Batch, demand, ..request };
-        bed.engine.enqueue(urgent);
+        fixture.engine.enqueue(urgent);
     });
     print("  urgent job on full workers", &histogram, started);
 
-    let mut bed = Bed::backlogged(size, 10_000);
+    let mut fixture = Fixture::backlogged(size, 10_000);
     let stopwatch = Stopwatch::now();
-    (1..=bed.jobs).for_each(|job| bed.engine.withdraw(job::Id::from_raw(job)));
-    let nanos = stopwatch.elapsed().as_nanos() as f64 / bed.jobs as f64;
+    (1..=fixture.jobs).for_each(|job| fixture.engine.withdraw(job::Id::from_raw(job)));
+    let nanos = stopwatch.elapsed().as_nanos() as f64 / fixture.jobs as f64;
     println!("  withdraw in a wave                 mean {nanos:.0} ns a job");
     burst(size);
 }
 
-/// Places the size's tasks from nothing, a thousand tasks a decision.
+/// Places the size's tasks on empty workers, at most a thousand in each decision.
 fn burst(size: Size) {
-    let mut bed = Bed::empty(size);
+    let mut fixture = Fixture::empty(size);
     for _ in 0..size.tasks / 2 {
-        let request = bed.request();
-        bed.engine.enqueue(request);
+        let request = fixture.request();
+        fixture.engine.enqueue(request);
     }
     let stopwatch = Stopwatch::now();
-    while bed.running.len() < size.tasks && bed.decide(1_000) > 0 {}
+    while fixture.running.len() < size.tasks && fixture.decide(1_000) > 0 {}
     let seconds = stopwatch.elapsed().as_secs_f64();
-    let tasks = bed.running.len();
+    let tasks = fixture.running.len();
     println!("  burst of {tasks} tasks: {:.0} placements a second", tasks as f64 / seconds);
 }
 
 fn decisions(criterion: &mut Criterion) {
     percentiles(PLANNED);
-    percentiles(TODAY);
-    for size in [PLANNED, TODAY] {
-        let mut bed = Bed::loaded(size);
+    percentiles(PRESENT);
+    for size in [PLANNED, PRESENT] {
+        let mut fixture = Fixture::loaded(size);
         criterion.bench_function(&format!("decide one job, {}", size.label), |bencher| {
             bencher.iter(|| {
-                bed.replace_one();
-                black_box(bed.decide(usize::MAX))
+                fixture.replace_one();
+                black_box(fixture.decide(usize::MAX))
             });
         });
         criterion.bench_function(&format!("place 1,000 tasks, {}", size.label), |bencher| {
             let filled = || {
-                let mut bed = Bed::empty(size);
+                let mut fixture = Fixture::empty(size);
                 for _ in 0..600 {
-                    let request = bed.request();
-                    bed.engine.enqueue(request);
+                    let request = fixture.request();
+                    fixture.engine.enqueue(request);
                 }
-                bed
+                fixture
             };
-            bencher.iter_batched(filled, |mut bed| bed.decide(1_000), BatchSize::LargeInput);
+            bencher.iter_batched(
+                filled,
+                |mut fixture| fixture.decide(1_000),
+                BatchSize::LargeInput,
+            );
         });
     }
 }
--- a/benches/policies/main.rs
+++ b/benches/policies/main.rs
@@ -1,7 +1,8 @@
-//! Compares first fit, best fit and the chosen policy on the same job mix, for both deployments.
+//! Compares first fit, best fit and variants of the default policy on the same job mix, for both
+//! deployments.
 //!
-//! `cargo bench --bench policies` replays each seed's mix once for each policy and prints waiting
-//! time, packing and missed deadlines. The replay is a queue of events around the engine.
+//! `cargo bench --bench policies` replays the mix of each seed once for each policy and prints
+//! waiting times, utilization and missed deadlines. The replay is a discrete event simulation.
 
 mod mix;
 mod replay;
@@ -16,25 +17,25 @@
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 const WAITAKI: Site = Site {
-    label: "Waitaki-like: 50 workers of 64 cores, 128 GiB; weighs packing",
+    label: "Waitaki-like: 50 workers of 64 cores, 128 GiB; favours packing",
     cores: 64,
     gib: 128,
     objective: Objective::Packing,
 };
 const LAKESHORE: Site = Site {
-    label: "Lakeshore-like: 50 workers of 16 cores, 64 GiB; weighs waiting",
+    label: "Lakeshore-like: 50 workers of 16 cores, 64 GiB; favours waiting",
     cores: 16,
     gib: 64,
     objective: Objective::Waiting,
 };
 
-/// The policies compared, by name.
+/// The compared policies, by name.
 fn policies(objective: Objective) -> Vec<(String, Policy)> {
     let ordinary = Policy::for_preset(Preset::Ordinary, objective);
     let with = |strategy| Policy { strategy, ..ordinary };
-    let gangs = |hard, preempts| Policy {
+    let gangs = |hard, preemption| Policy {
         hard_reservation_after: secs(hard),
-        gang_preemption_after: Some(secs(preempts)),
+        gang_preemption_after: Some(secs(preemption)),
         ..ordinary
     };
     let mut policies = vec![
@@ -77,7 +78,6 @@
     }
 }
 
-/// Seconds as a duration.
 fn secs(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
--- a/benches/policies/mix.rs
+++ b/benches/policies/mix.rs
@@ -1,4 +1,4 @@
-//! A day of jobs, drawn from a seed.
+//! Random job mix of twelve hours, generated from a seed.
 
 use std::time::Duration;
 
@@ -12,23 +12,23 @@
 
 pub const WORKERS: usize = 50;
 pub const RACK: usize = 8;
-/// Length of the replay.
-pub const DAY: u64 = 12 * 3_600;
+/// Length of the replay in seconds; all times in this module are seconds from its start.
+pub const DURATION: u64 = 12 * 3_600;
 const TEAMS: usize = 6;
 const NAMES: usize = 40;
-/// Start and deadline of the nightly wave.
-pub const NIGHT: u64 = 2 * 3_600;
-pub const MORNING: u64 = 5 * 3_600;
-/// Start of the hours in which more arrives than can run.
+/// Start and deadline of the nightly batch.
+pub const NIGHT_START: u64 = 2 * 3_600;
+pub const NIGHT_DEADLINE: u64 = 5 * 3_600;
+/// The hours in which more work arrives than the workers can run.
 pub const PEAK: std::ops::Range<u64> = 6 * 3_600..8 * 3_600;
-/// A wave that is cancelled before most of it has run.
-const WAVE: u64 = 9 * 3_600;
-pub const CANCEL: u64 = WAVE + 600;
-/// When some workers begin to fail everything, and when they stop to.
+/// Start of a burst of jobs that is cancelled before most of them have run.
+const BURST: u64 = 9 * 3_600;
+pub const CANCEL: u64 = BURST + 600;
+/// The period in which some workers fail every task.
 pub const BROKEN: std::ops::Range<u64> = 3_600..4 * 3_600;
 pub const BROKEN_WORKERS: [usize; 2] = [7, 23];
 
-/// A deployment.
+/// Size and objective of a deployment.
 pub struct Site {
     pub label: &'static str,
     pub cores: u64,
@@ -36,7 +36,7 @@
     pub objective: Objective,
 }
 
-/// A job as it is and as it is declared.
+/// A job, with its declared and its actual properties.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub at: u64,
@@ -54,39 +54,39 @@
     pub cancelled: bool,
 }
 
-/// What runs of one job name have in common.
-struct Recipe {
+/// Common properties of all jobs of a name.
+struct JobProfile {
     cores: u64,
     memory: u64,
     seconds: u64,
-    wrong_time: Option<f64>,
-    wrong_size: f64,
+    run_time_error: Option<f64>,
+    memory_error: f64,
 }
 
-/// All jobs of a day in the order of their arrival.
-pub fn draw(site: &Site, seed: u64) -> Vec<Job> {
-    let mut draw = Draw::new(site, seed);
-    draw.services();
-    draw.nightly();
-    draw.trickle();
-    draw.gangs();
-    draw.wave();
-    draw.jobs.sort_by_key(|job| job.at);
-    draw.jobs
+/// All jobs of the replay in the order of arrival.
+pub fn generate(site: &Site, seed: u64) -> Vec<Job> {
+    let mut generator = Generator::new(site, seed);
+    generator.services();
+    generator.nightly();
+    generator.background_batch();
+    generator.gangs();
+    generator.burst();
+    generator.jobs.sort_by_key(|job| job.at);
+    generator.jobs
 }
 
-struct Draw<'a> {
+struct Generator<'a> {
     site: &'a Site,
     rng: SmallRng,
-    recipes: Vec<Recipe>,
+    profiles: Vec<JobProfile>,
     jobs: Vec<Job>,
 }
 
-impl<'a> Draw<'a> {
+impl<'a> Generator<'a> {
     fn new(site: &'a Site, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let recipes = (0..NAMES).map(|name| Recipe::draw(site, name, &mut rng)).collect();
-        Self { site, rng, recipes, jobs: Vec::new() }
+        let profiles = (0..NAMES).map(|name| JobProfile::random(site, name, &mut rng)).collect();
+        Self { site, rng, profiles, jobs: Vec::new() }
     }
 
     fn capacity(&self) -> u64 {
@@ -102,27 +102,27 @@
             cores += each * u64::from(tasks);
             let demand = self.amount(each, each * 2);
             let at = self.rng.random_range(0..600);
-            self.push(at, Kind::LongRunning, tasks, demand, secs(2 * DAY));
+            self.push(at, Kind::LongRunning, tasks, demand, secs(2 * DURATION));
         }
     }
 
-    /// Backups and rebuilds that arrive at once and must end by the morning.
+    /// Backups and rebuilds that arrive within half an hour and must end by the morning.
     fn nightly(&mut self) {
-        let budget = self.capacity() * (MORNING - NIGHT) * 40 / 100;
+        let budget = self.capacity() * (NIGHT_DEADLINE - NIGHT_START) * 40 / 100;
         let mut work = 0;
         while work < budget {
             let name = self.rng.random_range(0..NAMES / 2);
-            let at = NIGHT + self.rng.random_range(0..1_800);
+            let at = NIGHT_START + self.rng.random_range(0..1_800);
             work += self.batch(at, name);
             let job = self.jobs.last_mut().expect("a job was just added");
-            job.deadline = Some(MORNING);
+            job.deadline = Some(NIGHT_DEADLINE);
         }
     }
 
-    /// Batch work through the day, at the peak more than can run.
-    fn trickle(&mut self) {
+    /// Batch jobs throughout the replay; at the peak more than the workers can run.
+    fn background_batch(&mut self) {
         let mut at = 0.0f64;
-        while at < DAY as f64 {
+        while at < DURATION as f64 {
             let second = at as u64;
             let load = if PEAK.contains(&second) { 0.80 } else { 0.35 };
             let name = self.rng.random_range(0..NAMES);
@@ -139,7 +139,7 @@
     }
 
     fn gangs(&mut self) {
-        for at in (900..DAY).step_by(900) {
+        for at in (900..DURATION).step_by(900) {
             let tasks = [4, 8, 16][self.rng.random_range(0..3)];
             let cores = self.rng.random_range(self.site.cores / 4..=self.site.cores / 2);
             let demand = self.amount(cores, cores * 2);
@@ -148,30 +148,31 @@
         }
     }
 
-    fn wave(&mut self) {
+    fn burst(&mut self) {
         for _ in 0..3_000 {
             let name = self.rng.random_range(0..NAMES);
-            self.batch(WAVE, name);
+            self.batch(BURST, name);
             self.jobs.last_mut().expect("a job was just added").cancelled = true;
         }
     }
 
-    /// Adds a batch job; returns its core seconds.
+    /// Adds a batch job; returns its work in core seconds.
     fn batch(&mut self, at: u64, name: usize) -> u64 {
-        let recipe = &self.recipes[name];
+        let profile = &self.profiles[name];
         let spread = (self.rng.random::<f64>() + self.rng.random::<f64>()).powi(2);
-        let seconds = (recipe.seconds as f64 * spread.max(0.05)) as u64 + 1;
-        let demand = self.amount(recipe.cores, recipe.memory);
-        let wrong_size = recipe.wrong_size;
+        let seconds = (profile.seconds as f64 * spread.max(0.05)) as u64 + 1;
+        let demand = self.amount(profile.cores, profile.memory);
+        let memory_error = profile.memory_error;
         let declared =
-            recipe.wrong_time.map(|wrong| secs((recipe.seconds as f64 * wrong) as u64 + 1));
+            profile.run_time_error.map(|error| secs((profile.seconds as f64 * error) as u64 + 1));
         let tasks = self.rng.random_range(1..4);
         self.push(at, Kind::Batch, tasks, demand, secs(seconds));
         let job = self.jobs.last_mut().expect("a job was just added");
         job.name = name;
         job.team = name % TEAMS;
         job.declared = declared;
-        job.usage = Amount { memory_mib: (demand.memory_mib as f64 * wrong_size) as u64, ..demand };
+        job.usage =
+            Amount { memory_mib: (demand.memory_mib as f64 * memory_error) as u64, ..demand };
         job.fails = name == NAMES - 1;
         demand.cpu_millis / 1_000 * seconds * u64::from(tasks)
     }
@@ -199,9 +200,10 @@
     }
 }
 
-impl Recipe {
-    /// Some names need much memory, some much processor time; half declare false run times.
-    fn draw(site: &Site, name: usize, rng: &mut SmallRng) -> Self {
+impl JobProfile {
+    /// Some names need much memory, some much processor time. Of every five names, one declares no
+    /// run time, one too short and one too long a time.
+    fn random(site: &Site, name: usize, rng: &mut SmallRng) -> Self {
         let cores = rng.random_range(1..=site.cores / 4);
         let per_core = site.gib / site.cores;
         let memory = match name % 3 {
@@ -210,13 +212,13 @@
             _ => cores * per_core * 2,
         };
         let seconds = [20, 60, 180, 600, 1_500][rng.random_range(0..5)];
-        let wrong_time = match name % 5 {
+        let run_time_error = match name % 5 {
             0 => None,
             1 => Some(0.2),
             2 => Some(4.0),
             _ => Some(1.0),
         };
-        let wrong_size = if name.is_multiple_of(10) { 1.4 } else { 1.0 };
-        Self { cores, memory, seconds, wrong_time, wrong_size }
+        let memory_error = if name.is_multiple_of(10) { 1.4 } else { 1.0 };
+        Self { cores, memory, seconds, run_time_error, memory_error }
     }
 }
--- a/benches/policies/replay.rs
+++ b/benches/policies/replay.rs
@@ -1,4 +1,4 @@
-//! Replays a day of jobs through the engine.
+//! Replay of a job mix through the engine, as a discrete event simulation.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -13,33 +13,34 @@
 use oriolefork::worker;
 
 use super::mix::{
-    self, BROKEN, BROKEN_WORKERS, CANCEL, DAY, Job, MORNING, NIGHT, PEAK, RACK, Site, WORKERS,
+    self, BROKEN, BROKEN_WORKERS, CANCEL, DURATION, Job, NIGHT_DEADLINE, NIGHT_START, PEAK, RACK,
+    Site, WORKERS,
 };
 
-/// Lag of reports on measured use.
-const LAG: u64 = 30;
-/// Time in which a broken worker fails a task.
-const FAIL: u64 = 5;
-/// Time a checkpoint takes.
-const CHECKPOINT: u64 = 5;
-/// Tries of a task that fails.
-const TRIES: u32 = 5;
+/// Delay of reports of measured usage, in seconds.
+const REPORT_DELAY: u64 = 30;
+/// Time until a task fails on a broken worker, in seconds.
+const FAILURE_DELAY: u64 = 5;
+/// Duration of a checkpoint, in seconds.
+const CHECKPOINT_DURATION: u64 = 5;
+/// Most attempts to run a task.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// Measures of one or more replays.
+/// Measurements of one or more replays.
 #[derive(Default)]
 pub struct Outcome {
     batch: Waits,
     gang: Waits,
     urgent: Waits,
-    dated_waits: Waits,
-    dated: usize,
+    deadline_waits: Waits,
+    with_deadline: usize,
     missed: usize,
     refused: usize,
     lost: usize,
     unstarted: usize,
     preempted: usize,
     quarantined: usize,
-    packing: Vec<f64>,
+    utilization: Vec<f64>,
     decide_nanos: Vec<f64>,
 }
 
@@ -83,9 +84,9 @@
             pair(&self.batch),
             pair(&self.gang),
             pair(&self.urgent),
-            pair(&self.dated_waits),
-            mean(&self.packing) * 100.0,
-            format!("{}/{}", self.missed, self.dated),
+            pair(&self.deadline_waits),
+            mean(&self.utilization) * 100.0,
+            format!("{}/{}", self.missed, self.with_deadline),
             self.unstarted,
             self.lost,
             self.preempted,
@@ -98,15 +99,15 @@
         self.batch.0.extend(&other.batch.0);
         self.gang.0.extend(&other.gang.0);
         self.urgent.0.extend(&other.urgent.0);
-        self.dated_waits.0.extend(&other.dated_waits.0);
-        self.dated += other.dated;
+        self.deadline_waits.0.extend(&other.deadline_waits.0);
+        self.with_deadline += other.with_deadline;
         self.missed += other.missed;
         self.refused += other.refused;
         self.lost += other.lost;
         self.unstarted += other.unstarted;
         self.preempted += other.preempted;
         self.quarantined += other.quarantined;
-        self.packing.extend(&other.packing);
+        self.utilization.extend(&other.utilization);
         self.decide_nanos.extend(&other.decide_nanos);
     }
 }
@@ -149,8 +150,8 @@
     jobs: Vec<Job>,
     states: Vec<State>,
     running: HashMap<task::Id, Run>,
-    /// Run time left of tasks that were checkpointed.
-    rest: HashMap<(job::Id, u32), u64>,
+    /// Remaining run time of checkpointed tasks, in seconds.
+    remaining: HashMap<(job::Id, u32), u64>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
     outcome: Outcome,
@@ -159,11 +160,11 @@
     calls: u64,
 }
 
-/// Replays the mix of a seed.
+/// Replays the job mix of a seed.
 pub fn run(site: &Site, policy: Policy, seed: u64) -> Outcome {
-    let mut replay = Replay::new(site, policy, mix::draw(site, seed));
-    replay.play();
-    replay.sum_up()
+    let mut replay = Replay::new(site, policy, mix::generate(site, seed));
+    replay.simulate();
+    replay.into_outcome()
 }
 
 impl Replay {
@@ -184,7 +185,7 @@
             engine,
             states,
             running: HashMap::new(),
-            rest: HashMap::new(),
+            remaining: HashMap::new(),
             events: BinaryHeap::new(),
             sequence: 0,
             outcome: Outcome::default(),
@@ -196,7 +197,7 @@
         for index in 0..replay.jobs.len() {
             replay.schedule(replay.jobs[index].at, Event::Arrive(index));
         }
-        (0..DAY).for_each(|second| replay.schedule(second, Event::Tick));
+        (0..DURATION).for_each(|second| replay.schedule(second, Event::Tick));
         replay.schedule(CANCEL, Event::Cancel);
         replay
     }
@@ -206,9 +207,9 @@
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn play(&mut self) {
+    fn simulate(&mut self) {
         while let Some(Reverse((now, _, event))) = self.events.pop() {
-            if now >= DAY {
+            if now >= DURATION {
                 break;
             }
             self.handle(now, event);
@@ -292,10 +293,10 @@
         let next = task::Id { attempt: task.attempt + 1, ..task };
         match ending {
             Ending::Succeeded => self.succeed(now, index_of(task)),
-            Ending::Failed if next.attempt >= TRIES => self.lose(index_of(task)),
+            Ending::Failed if next.attempt >= MAX_ATTEMPTS => self.give_up(index_of(task)),
             Ending::Failed => self.schedule(now + (10 << task.attempt), Event::Retry(next)),
             Ending::Checkpointed => {
-                self.rest.insert((task.job, task.index), run.ends.saturating_sub(now).max(1));
+                self.remaining.insert((task.job, task.index), run.ends.saturating_sub(now).max(1));
                 self.schedule(now, Event::Retry(next));
             }
         }
@@ -313,7 +314,7 @@
         }
     }
 
-    fn lose(&mut self, index: usize) {
+    fn give_up(&mut self, index: usize) {
         if !self.states[index].done {
             self.states[index].done = true;
             self.outcome.lost += usize::from(!self.jobs[index].fails);
@@ -348,16 +349,16 @@
         if self.states[index].first_start.is_none() {
             self.states[index].first_start = Some(now);
         }
-        let rest = self.rest.remove(&(task.job, task.index));
-        let run = rest.unwrap_or(job.run.as_secs().max(1));
+        let remaining = self.remaining.remove(&(task.job, task.index));
+        let run = remaining.unwrap_or(job.run.as_secs().max(1));
         let broken = BROKEN.contains(&now)
             && BROKEN_WORKERS.iter().any(|w| worker_name(*w).as_str() == worker);
         let (after, ending) = match broken || job.fails {
-            true => (FAIL, Ending::Failed),
+            true => (FAILURE_DELAY, Ending::Failed),
             false => (run, Ending::Succeeded),
         };
         if job.usage != job.demand {
-            self.schedule(now + LAG, Event::Report(task));
+            self.schedule(now + REPORT_DELAY, Event::Report(task));
         }
         self.running.insert(task, Run { started: now, ends: now + after, stopping: false });
         self.schedule(now + after, Event::End(task, ending));
@@ -368,11 +369,11 @@
         if let Some(run) = self.running.get_mut(&task) {
             run.stopping = true;
             run.ends = run.ends.max(run.started);
-            self.schedule(now + CHECKPOINT, Event::End(task, Ending::Checkpointed));
+            self.schedule(now + CHECKPOINT_DURATION, Event::End(task, Ending::Checkpointed));
         }
     }
 
-    fn sum_up(mut self) -> Outcome {
+    fn into_outcome(mut self) -> Outcome {
         for (job, state) in self.jobs.iter().zip(&self.states) {
             let wait = state.first_start.map(|start| start - job.at);
             let counts = job.demand.cpu_millis > 0 && !job.cancelled && !job.fails;
@@ -386,27 +387,27 @@
             if wait.is_none() && state.done {
                 continue;
             }
-            waits.0.push(wait.unwrap_or(DAY - job.at));
+            waits.0.push(wait.unwrap_or(DURATION - job.at));
             if job.deadline.is_some() {
-                self.outcome.dated_waits.0.push(wait.unwrap_or(DAY - job.at));
+                self.outcome.deadline_waits.0.push(wait.unwrap_or(DURATION - job.at));
             }
             self.outcome.unstarted += usize::from(wait.is_none());
-            if job.deadline.is_some_and(|deadline| deadline < DAY) {
-                self.outcome.dated += 1;
+            if job.deadline.is_some_and(|deadline| deadline < DURATION) {
+                self.outcome.with_deadline += 1;
                 self.outcome.missed += usize::from(!state.done);
             }
         }
         self.outcome
-            .packing
-            .push(self.used / (0..DAY).filter(|second| is_busy(*second)).count() as f64);
+            .utilization
+            .push(self.used / (0..DURATION).filter(|second| is_busy(*second)).count() as f64);
         self.outcome.decide_nanos.push(self.nanos as f64 / self.calls.max(1) as f64);
         self.outcome
     }
 }
 
-/// Whether packing counts: the nightly wave and the peak.
+/// Whether utilization is measured at this time: during the nightly batch and the peak.
 fn is_busy(second: u64) -> bool {
-    (NIGHT..MORNING).contains(&second) || PEAK.contains(&second)
+    (NIGHT_START..NIGHT_DEADLINE).contains(&second) || PEAK.contains(&second)
 }
 
 fn index_of(task: task::Id) -> usize {
