--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,7 +1,6 @@
-//! Time as the scheduler sees it: a monotonic clock for leases and timeouts, and a wall clock for
-//! deadlines that people and callers name.
+//! A monotonic clock for leases and timeouts, and a wall clock for deadlines given by callers.
 //!
-//! Decision logic takes the present time as an argument. Tasks that wait take a [`Clock`], so that
+//! Decision logic takes the current time as an argument. Code that waits takes a [`Clock`], so that
 //! tests can pause and advance time.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -17,7 +16,7 @@
 pub struct Instant(u64);
 
 impl Instant {
-    /// Builds an instant from milliseconds since the clock's start.
+    /// Creates an instant from milliseconds since the clock's start.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis)
     }
@@ -39,12 +38,12 @@
         Self(self.0.saturating_add(millis(span)))
     }
 
-    /// The instant `span` earlier, or the clock's start.
+    /// The instant `span` earlier, but not before the clock's start.
     pub fn before(self, span: Duration) -> Self {
         Self(self.0.saturating_sub(millis(span)))
     }
 
-    /// Time passed since `earlier`, or zero when `earlier` lies ahead.
+    /// Time elapsed since `earlier`; zero when `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
@@ -58,7 +57,7 @@
 pub struct Unix(u64);
 
 impl Unix {
-    /// Builds a wall-clock point from milliseconds since the Unix epoch.
+    /// Creates a point from milliseconds since the Unix epoch.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis)
     }
@@ -73,37 +72,37 @@
         Self(self.0.saturating_add(millis(span)))
     }
 
-    /// Time passed since `earlier`, or zero when `earlier` lies ahead.
+    /// Time elapsed since `earlier`; zero when `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// Whole milliseconds of a span, capped at `u64::MAX`.
+/// The number of whole milliseconds in a span, limited to `u64::MAX`.
 pub fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Source of time and of timers.
+/// Source of the current time and of timers.
 pub trait Clock {
-    /// The present on the monotonic clock.
+    /// The current time of the monotonic clock.
     fn now(&self) -> Instant;
 
-    /// The present on the wall clock.
+    /// The current time of the wall clock.
     fn unix(&self) -> Unix;
 
-    /// Completes once `span` has passed on the monotonic clock.
+    /// Completes after `span`.
     fn sleep(&self, span: Duration) -> LocalBoxFuture<'static, ()>;
 }
 
-/// The clock of the runtime.
+/// The monotonic clock of the async runtime, which stops while the machine is suspended.
 #[derive(Clone, Debug)]
 pub struct System {
     start: monoio::time::Instant,
 }
 
 impl System {
-    /// Starts a clock at zero.
+    /// Creates a clock that starts at zero.
     pub fn start() -> Self {
         Self { start: monoio::time::Instant::now() }
     }
@@ -123,19 +122,18 @@
     }
 }
 
-/// The clock of the runtime's timers, with a monotonic reading that also counts the time for which
-/// the instance was suspended.
+/// A monotonic clock that also counts time while the machine is suspended; its timers are those of
+/// the async runtime.
 ///
-/// Guards against an owner that wakes in the past: after a suspension the common monotonic clock
-/// says that no time has passed, and the owner would go on granting leases that its successor has
-/// waited out.
+/// With the common monotonic clock, an owner that resumes after a suspension would see no time pass
+/// and continue to grant leases, although its successor has already waited for them to expire.
 #[derive(Clone, Debug)]
 pub struct Boot {
     start: Duration,
 }
 
 impl Boot {
-    /// Starts a clock at zero.
+    /// Creates a clock that starts at zero.
     pub fn start() -> Self {
         Self { start: since_boot() }
     }
@@ -160,14 +158,14 @@
     Unix(millis(since_epoch))
 }
 
-/// Processor time that the process has used; zero where the system does not tell.
+/// Processor time used by the process; zero if the system does not report it.
 pub fn processor_time() -> Duration {
     let used = nix::time::clock_gettime(nix::time::ClockId::CLOCK_PROCESS_CPUTIME_ID);
     used.map_or(Duration::ZERO, Duration::from)
 }
 
 fn since_boot() -> Duration {
-    // Linux has had this clock since 2.6.39; a failure would mean a broken build.
+    // Linux supports this clock since 2.6.39, so the call fails only on an unsupported system.
     let now = nix::time::clock_gettime(nix::time::ClockId::CLOCK_BOOTTIME);
     now.map_or(Duration::ZERO, Duration::from)
 }
--- a/src/codec.rs
+++ b/src/codec.rs
@@ -1,8 +1,8 @@
-//! Binary form of messages between instances and of records in the log: one version byte, then
+//! Binary encoding of messages between instances and of records in the log: a version byte, then
 //! `bincode`.
 //!
-//! Both ways are bounded, so that neither a hostile peer nor a damaged record can make the process
-//! allocate without end.
+//! Encoding and decoding are limited in size, so that neither a hostile peer nor a damaged record
+//! can make the process allocate unbounded memory.
 
 use bincode::config::{Configuration, Limit, LittleEndian, Varint};
 use bytes::Bytes;
@@ -10,10 +10,10 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Version of the form, the first byte of each message.
+/// Version of the encoding, the first byte of each message.
 pub const VERSION: u8 = 1;
 
-/// Largest encoded message, version byte included, in bytes.
+/// Largest size of an encoded message with its version byte, in bytes.
 pub const MAX_BYTES: usize = 16 * 1024 * 1024;
 
 const CONFIG: Configuration<LittleEndian, Varint, Limit<MAX_BYTES>> =
@@ -25,13 +25,13 @@
     /// The message is larger than [`MAX_BYTES`].
     #[display("message of {bytes} bytes, {MAX_BYTES} allowed")]
     TooLarge {
-        /// Its size.
+        /// Size of the message.
         bytes: usize,
     },
-    /// The bytes end before the version.
+    /// The input is empty, without a version byte.
     #[display("empty message")]
     Empty,
-    /// The message is of a version that this program does not know.
+    /// The encoding has a version that this program does not support.
     #[display("message of version {version}, {VERSION} expected")]
     Version {
         /// The version found.
@@ -40,19 +40,19 @@
     /// The value cannot be encoded.
     #[display("cannot encode: {cause}")]
     Encode {
-        /// What the encoder says.
+        /// Error message of the encoder.
         cause: String,
     },
     /// The bytes are not a message of the expected type.
     #[display("cannot decode: {cause}")]
     Decode {
-        /// What the decoder says.
+        /// Error message of the decoder.
         cause: String,
     },
-    /// The message is followed by bytes that belong to nothing.
+    /// The message is followed by more bytes.
     #[display("{bytes} bytes after the message")]
     Trailing {
-        /// How many.
+        /// Number of bytes after the message.
         bytes: usize,
     },
 }
@@ -60,7 +60,7 @@
 /// Encodes `value`.
 ///
 /// # Errors
-/// When the result is larger than [`MAX_BYTES`], or `value` has no binary form.
+/// If the result is larger than [`MAX_BYTES`], or `value` cannot be encoded.
 ///
 /// ```
 /// use oriolefork::codec;
@@ -77,10 +77,11 @@
     Ok(Bytes::from(bytes))
 }
 
-/// Decodes a whole message.
+/// Decodes one message that takes all of `bytes`.
 ///
 /// # Errors
-/// When `bytes` are too many, of another version, cut short, followed by others, or not a `T`.
+/// If `bytes` is larger than [`MAX_BYTES`], has another version, is truncated, continues after the
+/// message, or is not an encoded `T`.
 ///
 /// ```
 /// use oriolefork::codec::{self, Error};
--- a/src/domain.rs
+++ b/src/domain.rs
@@ -1,4 +1,4 @@
-//! Failure domains, instances and the epoch of a failure domain's owner.
+//! Names of failure domains, identities of instances, and the epochs of a failure domain's owner.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -32,17 +32,17 @@
     }
 }
 
-/// Identity of one run of an entry instance's process.
+/// Identity of one process of an entry instance.
 ///
-/// A restarted process has the name of the earlier one and another `run`, so that a peer can tell
-/// that the memory of the earlier process is gone.
+/// A restarted process has the same name and a different `run`, by which peers detect that the
+/// state in the memory of the earlier process is lost.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Instance {
     /// Name from the settings, unique in the failure domain.
     pub name: String,
     /// Random number drawn at start.
     pub run: u64,
-    /// Address at which peers reach the process.
+    /// Address for connections from peers.
     pub peer: SocketAddr,
 }
 
@@ -54,8 +54,8 @@
 
 /// Fencing token of a failure domain's owner; a larger one supersedes every smaller one.
 ///
-/// `term` counts the claims in the log. `sub` counts takeovers made while the log was away, which
-/// the next claim in the log supersedes.
+/// `term` counts the ownership claims in the log. `sub` orders takeovers made while the log was
+/// unreachable; the next claim in the log supersedes them.
 #[derive(
     Clone,
     Copy,
@@ -72,37 +72,37 @@
 )]
 #[display("{term}.{sub}")]
 pub struct Epoch {
-    /// Count of claims in the log.
+    /// Number of claims in the log.
     pub term: u64,
-    /// Count of takeovers without the log since then.
+    /// Increases with each takeover without the log since that claim; zero if there was none.
     pub sub: u32,
 }
 
 impl Epoch {
-    /// The epoch of the first claim in a stream.
+    /// The epoch of the first claim in a log.
     pub const FIRST: Self = Self { term: 1, sub: 0 };
 
-    /// The epoch that a claim in the log after this one takes.
+    /// The epoch of the next claim in the log.
     pub const fn next_term(self) -> Self {
         Self { term: self.term + 1, sub: 0 }
     }
 
-    /// The epoch that the instance of `rank` takes when it takes over without the log.
+    /// The epoch of the instance with `rank` after a takeover without the log.
     ///
-    /// Ranks differ among the instances of a failure domain, so that two of them which cannot hear
-    /// each other never take the same epoch, and workers tell them apart.
+    /// Each instance of a failure domain has its own rank. Two instances that cannot reach each
+    /// other therefore never use the same epoch, and workers can tell them apart.
     pub const fn next_sub(self, rank: u8) -> Self {
         let round = self.sub / Self::RANKS + 1;
         Self { term: self.term, sub: round * Self::RANKS + rank as u32 }
     }
 
-    /// Whether a claim of this epoch holds where `current` is in force.
+    /// Whether an owner with this epoch may supersede the owner with epoch `current`.
     pub const fn follows(self, current: Self) -> bool {
         let next_term = self.term == current.term + 1 && self.sub == 0;
         let later_sub = self.term == current.term && self.sub > current.sub;
         next_term || later_sub
     }
 
-    /// Takeovers without the log that one round has room for.
+    /// Number of ranks, and thus of epochs in each round of takeovers without the log.
     const RANKS: u32 = 256;
 }
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as operators and services describe them.
+//! Identities and specifications of jobs.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use crate::clock::Unix;
 use crate::resource::Amount;
 
-/// Identity of a job, derived from its team and idempotency key, so that a repeated submission
-/// names the same job whichever instance receives it.
+/// Identity of a job, derived from its team and idempotency key, so that a repeated submission gets
+/// the same identity on every instance.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -32,42 +32,42 @@
         Self(hasher.digest())
     }
 
-    /// Rebuilds an identity from its number.
+    /// Creates an identity from its numeric value.
     pub const fn from_raw(raw: u64) -> Self {
         Self(raw)
     }
 
-    /// The identity's number.
+    /// The numeric value of the identity.
     pub const fn raw(self) -> u64 {
         self.0
     }
 
-    /// Reads the form that `Display` writes; `None` when `text` is not such a form.
+    /// Parses the output of `Display`: 16 hexadecimal digits. `None` for any other text.
     pub fn parse(text: &str) -> Option<Self> {
-        // `from_str_radix` also reads a leading sign, which `Display` never writes.
+        // `from_str_radix` also accepts a leading sign, which `Display` never writes.
         let is_id = text.len() == 16 && text.bytes().all(|digit| digit.is_ascii_hexdigit());
         is_id.then(|| u64::from_str_radix(text, 16).ok().map(Self)).flatten()
     }
 }
 
-/// How the tasks of a job are placed and how long they live.
+/// How the tasks of a job are placed and when they end.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize, schemars::JsonSchema,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Runs until stopped; replaced when it ends by itself.
+    /// Each task runs until it is stopped, and is restarted when it ends by itself.
     #[display("long-running")]
     LongRunning,
-    /// Each task runs to its end on its own.
+    /// Each task is placed on its own and runs to completion.
     #[display("batch")]
     Batch,
-    /// All tasks start together or none does.
+    /// All tasks start at once or none does.
     #[display("gang")]
     Gang,
 }
 
-/// Whether a task that may have run can be started again.
+/// Whether a task may be started again when an earlier attempt may have run.
 #[derive(
     Clone,
     Copy,
@@ -83,16 +83,16 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// A second run does no harm once the first has surely ended.
+    /// The task may be started again once the earlier attempt has certainly ended.
     #[default]
     #[display("idempotent")]
     Idempotent,
-    /// At most one run is ever started.
+    /// The task is started at most once.
     #[display("at-most-once")]
     AtMostOnce,
 }
 
-/// How soon a job should start.
+/// Priority of a job over others.
 #[derive(
     Clone,
     Copy,
@@ -110,19 +110,19 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// Starts when its turn comes.
+    /// Starts in the order of the placement policy.
     #[default]
     #[display("normal")]
     Normal,
-    /// Goes before all normal work and may preempt batch tasks.
+    /// Starts before all normal jobs and may preempt batch tasks.
     #[display("urgent")]
     Urgent,
 }
 
-/// What a job asks for.
+/// Specification of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spec {
-    /// Name under which run times are learned, the same each night.
+    /// Name by which run times are estimated; the same for each run of a recurring job.
     pub name: String,
     /// Team whose quota the job counts against.
     pub team: String,
@@ -130,16 +130,16 @@
     pub kind: Kind,
     /// Number of tasks, at least one.
     pub tasks: u32,
-    /// What each task needs.
+    /// Resources that each task needs.
     pub demand: Amount,
     /// Whether a task may be started again.
     pub effect: Effect,
-    /// How soon it should start.
+    /// Whether it goes before normal jobs.
     pub urgency: Urgency,
-    /// Expected run time of a task, when the submitter knows it.
+    /// Expected run time of a task, if the submitter declares one.
     pub run_time: Option<Duration>,
     /// Time by which every task must have ended.
     pub deadline: Option<Unix>,
-    /// Opaque instruction for the worker.
+    /// Instruction for the worker, opaque to the scheduler.
     pub payload: String,
 }
--- a/src/listener.rs
+++ b/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket whose end resets nobody.
+//! A listening socket that shuts down without resetting connections in its backlog.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,32 +10,32 @@
 
 use crate::shutdown::Shutdown;
 
-/// Rest after a failed accept, so that a process out of descriptors does not spin.
+/// Delay after a failed accept, so that a process without free descriptors does not busy-loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Time after the trigger in which connections are still accepted.
+/// Time after the shutdown request for which connections are still accepted.
 const BACKLOG_LINGER: Duration = Duration::from_millis(50);
 
-/// A listening socket on an address of its own.
+/// A listening socket whose address is not shared with other processes.
 pub(crate) struct Listener {
     socket: TcpListener,
 }
 
 impl Listener {
-    /// Binds `addr`; port 0 takes a free one.
+    /// Binds `addr`; port 0 selects a free port.
     pub(crate) fn bind(addr: SocketAddr) -> io::Result<Self> {
-        // By default the runtime shares a port among processes. Two daemons set to one address by
-        // mistake would then each get some of the connections instead of an error.
+        // By default the runtime sets SO_REUSEPORT. Two daemons configured with the same address by
+        // mistake would then each receive some of the connections instead of an error.
         let options = ListenerOpts::new().reuse_port(false);
         Ok(Self { socket: TcpListener::bind_with_config(addr, &options)? })
     }
 
-    /// The address that is bound.
+    /// The bound address.
     pub(crate) fn local_addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Hands each connection to `admit` until `stop` is triggered, and closes.
+    /// Passes each connection to `admit` until `stop` is triggered, then closes the socket.
     pub(crate) async fn accept_until(self, stop: &Shutdown, admit: impl Fn(TcpStream, SocketAddr)) {
         let mut stopped = Box::pin(stop.wait().fuse());
         loop {
@@ -55,11 +55,12 @@
         self.accept_backlog(admit).await;
     }
 
-    /// Takes the connections that are already on their way when the trigger comes.
+    /// Accepts the connections that are pending when the shutdown is requested.
     ///
-    /// The system sets up connections before the process accepts them, and callers may have sent
-    /// requests on them. Closing the socket would reset them all. The runtime learns of them only
-    /// by waiting, so that trying once is not enough.
+    /// The kernel establishes connections before the process accepts them, and clients may already
+    /// have sent requests on them; closing the socket would reset these connections. The runtime
+    /// detects pending connections only while it waits, so a single attempt to accept is not
+    /// enough.
     async fn accept_backlog(&self, admit: impl Fn(TcpStream, SocketAddr)) {
         let deadline = Instant::now() + BACKLOG_LINGER;
         while let Ok(Ok((stream, peer))) =
--- a/src/permit.rs
+++ b/src/permit.rs
@@ -1,4 +1,4 @@
-//! A bounded number of permits for things that may exist at once, such as connections and calls.
+//! A semaphore that limits how many things, such as connections or calls, exist at once.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -6,14 +6,14 @@
 
 use local_sync::oneshot;
 
-/// Waiters at which the first search for abandoned ones takes place.
+/// Number of waiters from which on abandoned ones are removed.
 const FIRST_PRUNE: usize = 32;
 
-/// Hands out permits, to waiters in the order in which they came.
+/// A pool of permits, given to waiters in first-in, first-out order.
 ///
-/// The channels' crate has a semaphore, but it panics when a wait is dropped between the grant and
-/// the next poll, as happens whenever a caller is cancelled at the wrong moment. Here each grant
-/// travels through a channel of its own, and a grant that nobody takes returns by itself.
+/// The semaphore of `local_sync` panics when a wait is dropped between the grant and the next poll,
+/// which happens when a caller is cancelled at that moment. Here each permit is sent through a
+/// channel of its own, and returns to the pool if the receiver is gone.
 ///
 /// ```
 /// use oriolefork::permit::Pool;
@@ -29,7 +29,7 @@
     size: usize,
 }
 
-/// The right to one of the things that the pool counts; returns to the pool when dropped.
+/// A permit, which returns to the pool when dropped.
 #[derive(Debug)]
 pub struct Permit {
     pool: Option<Rc<Shared>>,
@@ -48,21 +48,21 @@
 }
 
 impl Pool {
-    /// Builds a pool of `size` permits.
+    /// Creates a pool of `size` permits.
     pub fn new(size: usize) -> Self {
         let waiting = Waiting { queue: VecDeque::new(), prune_at: FIRST_PRUNE };
         let shared = Shared { free: Cell::new(size), waiting: RefCell::new(waiting) };
         Self { shared: Rc::new(shared), size }
     }
 
-    /// A permit, when one is free at once.
+    /// Takes a permit; `None` if none is free now.
     pub fn try_take(&self) -> Option<Permit> {
         let rest = self.shared.free.get().checked_sub(1)?;
         self.shared.free.set(rest);
         Some(Permit { pool: Some(self.shared.clone()) })
     }
 
-    /// A permit, once one is free.
+    /// Takes a permit, waiting until one is free.
     pub async fn take(&self) -> Permit {
         loop {
             if let Some(permit) = self.try_take() {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Completes once every permit is back; no new one is handed out meanwhile.
+    /// Waits until all permits are free at once. Collects them one by one and returns them all when
+    /// it completes, so that later callers wait meanwhile.
     pub async fn all(&self) {
         let mut held = Vec::with_capacity(self.size);
         while held.len() < self.size {
@@ -84,20 +85,21 @@
         }
     }
 
-    /// Permits that are out.
+    /// Number of permits in use.
     pub fn used(&self) -> usize {
         self.size - self.shared.free.get()
     }
 
-    /// Whether any permit is out.
+    /// Whether any permit is in use.
     pub fn is_used(&self) -> bool {
         self.used() > 0
     }
 }
 
 impl Waiting {
-    /// Callers that gave up leave their place behind. Places are cleared whenever their number has
-    /// doubled, so that they stay bounded by the callers even while no permit returns.
+    /// Adds a waiter. Cancelled callers leave their entries in the queue, so entries of such
+    /// callers are removed whenever the queue has doubled. Its length thus stays in proportion to
+    /// the number of live waiters even while no permit returns.
     fn push(&mut self, sender: oneshot::Sender<Permit>) {
         if self.queue.len() >= self.prune_at {
             self.queue.retain(|waiter| !waiter.is_closed());
--- a/src/resource.rs
+++ b/src/resource.rs
@@ -1,9 +1,9 @@
-//! What workers have and tasks need: processors, memory and accelerators.
+//! Amounts of resources: processors, memory and accelerators.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// An amount of each resource.
+/// Capacity, demand or usage in each dimension.
 #[derive(
     Clone,
     Copy,
@@ -24,7 +24,7 @@
     pub cpu_millis: u64,
     /// Memory in MiB.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u64,
 }
@@ -33,19 +33,19 @@
     /// No resources at all.
     pub const ZERO: Self = Self { cpu_millis: 0, memory_mib: 0, accelerators: 0 };
 
-    /// Whether this amount fits into `room` in every dimension.
+    /// Whether this amount is at most `free` in every dimension.
     ///
     /// ```
     /// use oriolefork::resource::Amount;
     /// let need = Amount { cpu_millis: 500, memory_mib: 64, accelerators: 0 };
-    /// let room = Amount { cpu_millis: 1_000, memory_mib: 64, accelerators: 0 };
-    /// assert!(need.fits(&room));
-    /// assert!(!room.fits(&need));
+    /// let free = Amount { cpu_millis: 1_000, memory_mib: 64, accelerators: 0 };
+    /// assert!(need.fits(&free));
+    /// assert!(!free.fits(&need));
     /// ```
-    pub fn fits(&self, room: &Self) -> bool {
-        self.cpu_millis <= room.cpu_millis
-            && self.memory_mib <= room.memory_mib
-            && self.accelerators <= room.accelerators
+    pub fn fits(&self, free: &Self) -> bool {
+        self.cpu_millis <= free.cpu_millis
+            && self.memory_mib <= free.memory_mib
+            && self.accelerators <= free.accelerators
     }
 
     /// The sum, or `None` on overflow.
@@ -84,7 +84,7 @@
         }
     }
 
-    /// This amount `count` times, or `None` on overflow.
+    /// The product with `count`, or `None` on overflow.
     pub fn checked_mul(&self, count: u64) -> Option<Self> {
         Some(Self {
             cpu_millis: self.cpu_millis.checked_mul(count)?,
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The request to stop, as one flag that any number of tasks can watch.
+//! A shutdown flag that any number of tasks can wait for, and the process's signal handlers.
 
 use std::io;
 use std::os::unix::net::UnixStream;
@@ -9,9 +9,9 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::low_level::pipe;
 
-/// A flag that is raised once and wakes every task that waits for it.
+/// A shutdown flag that can be set once and wakes all tasks that wait for it.
 ///
-/// Clones share the flag.
+/// All clones share the same flag.
 ///
 /// ```
 /// use oriolefork::shutdown::Shutdown;
@@ -22,37 +22,37 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Shutdown {
-    // Holds no permits; closing it wakes every waiter, at present and later.
+    // Has no permits. Closing it wakes all present waiters and lets later ones return at once.
     gate: Rc<Semaphore>,
 }
 
 impl Shutdown {
-    /// Builds a flag that is not raised.
+    /// Creates a flag that is not set.
     pub fn new() -> Self {
         Self { gate: Rc::new(Semaphore::new(0)) }
     }
 
-    /// Raises the flag; raising it again changes nothing.
+    /// Sets the flag. Further calls have no effect.
     pub fn trigger(&self) {
         self.gate.close();
     }
 
-    /// Whether the flag is raised.
+    /// Whether the flag is set.
     pub fn is_triggered(&self) -> bool {
         self.gate.is_closed()
     }
 
-    /// Completes once the flag is raised.
+    /// Waits until the flag is set.
     pub async fn wait(&self) {
         let _ = self.gate.acquire().await;
     }
 
-    /// Raises the flag when the process receives SIGTERM or SIGINT.
+    /// Sets the flag when the process receives SIGTERM or SIGINT.
     ///
-    /// Needs a running runtime on this thread.
+    /// Requires a running async runtime on the current thread.
     ///
     /// # Errors
-    /// When the handlers cannot be installed.
+    /// If the signal handlers cannot be installed.
     pub fn trigger_on_signals(&self) -> io::Result<()> {
         let (receiver, sender) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
@@ -72,12 +72,12 @@
     }
 }
 
-/// Calls `reload` each time the process receives SIGHUP, which would end it otherwise.
+/// Calls `reload` each time the process receives SIGHUP, which terminates a process by default.
 ///
-/// Needs a running runtime on this thread.
+/// Requires a running async runtime on the current thread.
 ///
 /// # Errors
-/// When the handler cannot be installed.
+/// If the signal handler cannot be installed.
 pub fn on_hangup(reload: impl Fn() + 'static) -> io::Result<()> {
     let (receiver, sender) = UnixStream::pair()?;
     receiver.set_nonblocking(true)?;
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// Runs a task to its end or to the stop, whichever comes first.
+/// Runs `task` until it completes or `stop` is triggered, whichever comes first.
 pub(crate) async fn until(stop: Shutdown, task: impl Future<Output = ()>) {
     monoio::select! {
         () = task => {}
--- a/src/task.rs
+++ b/src/task.rs
@@ -1,13 +1,13 @@
-//! Tasks, the units that run on workers.
+//! Tasks, the units of work that run on workers.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::job;
 
-/// Identity of one try at running one task.
+/// Identity of one attempt to run a task.
 ///
-/// A worker treats two starts with the same identity as one.
+/// A worker treats repeated starts with the same identity as one start.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,40 +17,40 @@
     pub job: job::Id,
     /// Position among the job's tasks, from zero.
     pub index: u32,
-    /// Count of earlier tries.
+    /// Number of earlier attempts.
     pub attempt: u32,
 }
 
-/// How a task's run ended.
+/// How an attempt to run a task ended.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum End {
-    /// It finished its work.
+    /// The task completed its work.
     #[display("succeeded")]
     Succeeded,
-    /// It reported a failure.
+    /// The task reported a failure.
     #[display("failed")]
     Failed,
-    /// It was stopped on request.
+    /// The task was stopped on request.
     #[display("stopped")]
     Stopped,
-    /// It was checkpointed on request and can resume.
+    /// The task was checkpointed on request and can be resumed.
     #[display("checkpointed")]
     Checkpointed,
-    /// The worker stopped it because its lease lapsed.
+    /// The worker stopped the task because its lease expired.
     #[display("lapsed")]
     Lapsed,
-    /// The worker could not start it; it never ran.
+    /// The worker could not start the task, so it never ran.
     #[display("rejected")]
     Rejected,
 }
 
-/// What a worker says of one task.
+/// State of a task as reported by its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Holds its resources.
+    /// The task runs and holds its resources.
     Running,
-    /// Holds its resources while a stop or checkpoint is under way.
+    /// The task is being stopped or checkpointed and still holds its resources.
     Stopping,
-    /// Holds nothing any more.
+    /// The task has ended and holds no resources.
     Ended(End),
 }
--- a/tests/logic/codec.rs
+++ b/tests/logic/codec.rs
@@ -1,4 +1,4 @@
-//! Round trips and damaged input of the binary form.
+//! Round trips and malformed input of the binary encoding.
 
 use std::collections::BTreeMap;
 
@@ -56,8 +56,8 @@
         prop_assert_eq!(codec::decode::<u64>(&bytes), Err(Error::Version { version }));
     }
 
-    // Whatever decodes must be a value that encodes again: no input panics, and none allocates what
-    // its declared lengths ask for before the bytes are there.
+    // Arbitrary input must not panic, and must not make the decoder allocate a declared length
+    // ahead of the data. Every decoded value can be encoded again.
     #[test]
     fn decode_arbitrary(mut bytes: Vec<u8>) {
         bytes.insert(0, codec::VERSION);
--- a/tests/logic/job.rs
+++ b/tests/logic/job.rs
@@ -1,4 +1,4 @@
-//! Job identities.
+//! Tests of job identities.
 
 use oriolefork::job::Id;
 use test_case::test_case;
--- a/tests/logic/permit.rs
+++ b/tests/logic/permit.rs
@@ -1,4 +1,4 @@
-//! Permits under waiting, cancellation and return.
+//! Waiting for, cancelling and returning permits.
 
 use std::pin::pin;
 
@@ -23,8 +23,8 @@
     assert!(second.poll_unpin(&mut context).is_ready());
 }
 
-// A caller is cancelled just after it was granted a permit and before it could take it. The process
-// must not end over it, and the permit must go to the next caller.
+// A caller is cancelled after it was granted a permit and before it polled again. This must not
+// panic, and the permit must go to the next waiter.
 #[test]
 fn take_dropped_after_grant() {
     let pool = Pool::new(1);
@@ -52,8 +52,8 @@
 }
 
 proptest! {
-    // Whatever is taken, waited for, cancelled and returned: never more are out than there are, and
-    // none is lost.
+    // For random sequences of taking, waiting, cancelling and returning, no more permits are in use
+    // than the pool has, and none is lost.
     #[test]
     fn pool_conserves(size in 1..4_usize, steps in proptest::collection::vec(any::<u8>(), 1..80)) {
         let pool = Pool::new(size);
