--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -79,7 +79,7 @@
         prepare(&mut request, peer);
         let identity = greeting.as_ref().map(|greeting| greeting.identity);
         let pool = self.pools.of(peer);
-        let Some(_permit) = before(deadline, pool.permits().take()).await else {
+        let Some(_permit) = before(deadline, pool.permits().acquire()).await else {
             return Err(unsent(Step::Timeout, peer, "no free connection in time"));
         };
         if let Some(connection) = pool.take(self.pools.max_rest(), identity) {
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -167,7 +167,7 @@
 
 /// The connections to one peer.
 pub(super) struct Pool {
-    permits: permit::Pool,
+    permits: permit::Semaphore,
     resting: RefCell<Vec<Connection>>,
     /// Most connections that the log has told of.
     noted: Cell<usize>,
@@ -177,7 +177,7 @@
 impl Pool {
     pub(super) fn new(connections: usize) -> Self {
         Self {
-            permits: permit::Pool::new(connections),
+            permits: permit::Semaphore::new(connections),
             resting: RefCell::new(Vec::new()),
             noted: Cell::new(0),
             next_note: Cell::new(Instant::now()),
@@ -185,7 +185,7 @@
     }
 
     /// The right to use one connection; waits while all are in use.
-    pub(super) fn permits(&self) -> &permit::Pool {
+    pub(super) fn permits(&self) -> &permit::Semaphore {
         &self.permits
     }
 
@@ -204,7 +204,7 @@
 
     /// Connections in use or at rest.
     fn open(&self) -> usize {
-        self.permits.used() + self.resting.borrow().len()
+        self.permits.in_use() + self.resting.borrow().len()
     }
 
     /// Tells the log when the peer has many connections of this process: it may bound their number.
@@ -224,7 +224,7 @@
             return;
         }
         self.next_note.set(now + NOTE_REST);
-        let (used, resting) = (self.permits.used(), self.resting.borrow().len());
+        let (used, resting) = (self.permits.in_use(), self.resting.borrow().len());
         log::info!(
             "event=http.connection_lost peer={peer} fresh={fresh} used={used} resting={resting} \
              cause={cause:?}"
@@ -242,6 +242,6 @@
     pub(super) fn sweep(&self, max_rest: Duration) -> bool {
         let mut resting = self.resting.borrow_mut();
         resting.retain(|connection| connection.rested.elapsed() < max_rest);
-        !resting.is_empty() || self.permits.is_used()
+        !resting.is_empty() || self.permits.is_in_use()
     }
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -15,7 +15,7 @@
 use super::connection::Connection;
 use super::{Handler, Limits, Response};
 use crate::listener::Listener;
-use crate::permit::{Permit, Pool};
+use crate::permit::{Semaphore, SemaphorePermit};
 use crate::shutdown::Shutdown;
 
 /// Refusals that are told to their callers at once; beyond, connections are closed untold.
@@ -61,11 +61,11 @@
             limits: self.limits,
             stop: stop.clone(),
             abort: abort.clone(),
-            permits: Pool::new(self.limits.connections),
-            refusals: Pool::new(REFUSALS),
+            permits: Semaphore::new(self.limits.connections),
+            refusals: Semaphore::new(REFUSALS),
         };
         self.listener.accept_until(&stop, |stream, peer| acceptor.admit(stream, peer)).await;
-        let ended = monoio::time::timeout(grace, acceptor.permits.all()).await;
+        let ended = monoio::time::timeout(grace, acceptor.permits.wait_until_unused()).await;
         if ended.is_err() {
             log::warn!("event=http.stop_cut grace_ms={}", grace.as_millis());
         }
@@ -78,20 +78,20 @@
     limits: Limits,
     stop: Shutdown,
     abort: Shutdown,
-    permits: Pool,
-    refusals: Pool,
+    permits: Semaphore,
+    refusals: Semaphore,
 }
 
 impl Acceptor {
     fn admit(&self, stream: TcpStream, peer: SocketAddr) {
         let _ = stream.set_nodelay(true);
-        match self.permits.try_take() {
+        match self.permits.try_acquire() {
             Some(permit) => self.spawn(stream, peer, permit),
             None => self.refuse(stream, peer),
         }
     }
 
-    fn spawn(&self, stream: TcpStream, peer: SocketAddr, permit: Permit) {
+    fn spawn(&self, stream: TcpStream, peer: SocketAddr, permit: SemaphorePermit) {
         let connection = Connection::new(stream, peer, self.limits, self.stop.clone());
         let handler = self.handler.clone();
         let abort = self.abort.clone();
@@ -107,7 +107,7 @@
     }
 
     fn refuse(&self, stream: TcpStream, peer: SocketAddr) {
-        let Some(permit) = self.refusals.try_take() else { return };
+        let Some(permit) = self.refusals.try_acquire() else { return };
         let connection = Connection::new(stream, peer, self.limits, self.stop.clone());
         monoio::spawn(async move {
             connection.refuse(overload()).await;
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -73,7 +73,7 @@
         let request = request(peer, method).map_err(|cause| unsent(Step::Encode, peer, cause))?;
         self.sweep();
         let link = self.link(peer);
-        let Some(_permit) = before(deadline, link.calls().take()).await else {
+        let Some(_permit) = before(deadline, link.calls().acquire()).await else {
             return Err(unsent(Step::Timeout, peer, "too many calls are out"));
         };
         let Some(ready) = before(deadline, link.sender(peer)).await else {
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -14,15 +14,15 @@
 
 use super::Limits;
 use super::stream::{CONNECTION_WINDOW, HEADER_BYTES, STREAM_WINDOW};
-use crate::permit::Pool;
+use crate::permit::Semaphore;
 use crate::shutdown::Shutdown;
 
 /// The connection to one peer.
 pub(super) struct Link {
     limits: Limits,
-    calls: Pool,
+    calls: Semaphore,
     // Held by the one caller that opens the connection while the others wait for it.
-    opening: Pool,
+    opening: Semaphore,
     live: RefCell<Option<Live>>,
     used: Cell<Instant>,
 }
@@ -72,15 +72,15 @@
     pub(super) fn new(limits: Limits) -> Self {
         Self {
             limits,
-            calls: Pool::new(limits.calls),
-            opening: Pool::new(1),
+            calls: Semaphore::new(limits.calls),
+            opening: Semaphore::new(1),
             live: RefCell::new(None),
             used: Cell::new(Instant::now()),
         }
     }
 
     /// The right to have one call out; waits while too many are.
-    pub(super) fn calls(&self) -> &Pool {
+    pub(super) fn calls(&self) -> &Semaphore {
         &self.calls
     }
 
@@ -114,7 +114,7 @@
         if let Some(live) = self.open_live() {
             return Ok((live, false));
         }
-        let _opening = self.opening.take().await;
+        let _opening = self.opening.acquire().await;
         if let Some(live) = self.open_live() {
             return Ok((live, false));
         }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -17,7 +17,7 @@
 use super::stream::{CONNECTION_WINDOW, HEADER_BYTES, REASON_BYTES, STREAM_WINDOW};
 use super::{Code, Handler, Limits, Refusal};
 use crate::listener::Listener;
-use crate::permit::{Permit, Pool};
+use crate::permit::{Semaphore, SemaphorePermit};
 use crate::shutdown::Shutdown;
 
 /// Calls whose peers gave them up and whose streams are remembered, to tell late frames apart.
@@ -55,17 +55,17 @@
     pub async fn serve(self, handler: Rc<dyn Handler>, stop: Shutdown, grace: Duration) {
         let abort = Shutdown::new();
         let acceptor = Acceptor {
-            connections: Pool::new(self.limits.connections),
+            connections: Semaphore::new(self.limits.connections),
             stop: stop.clone(),
             calls: Rc::new(Calls {
                 handler,
                 limits: self.limits,
-                permits: Pool::new(self.limits.calls),
+                permits: Semaphore::new(self.limits.calls),
                 abort: abort.clone(),
             }),
         };
         self.listener.accept_until(&stop, |stream, peer| acceptor.admit(stream, peer)).await;
-        let ended = monoio::time::timeout(grace, acceptor.connections.all()).await;
+        let ended = monoio::time::timeout(grace, acceptor.connections.wait_until_unused()).await;
         if ended.is_err() {
             log::warn!("event=peer.stop_cut grace_ms={}", grace.as_millis());
         }
@@ -74,14 +74,14 @@
 }
 
 struct Acceptor {
-    connections: Pool,
+    connections: Semaphore,
     stop: Shutdown,
     calls: Rc<Calls>,
 }
 
 impl Acceptor {
     fn admit(&self, stream: TcpStream, peer: SocketAddr) {
-        let Some(permit) = self.connections.try_take() else {
+        let Some(permit) = self.connections.try_acquire() else {
             log::warn!("event=peer.refused peer={peer} cause=connections");
             return;
         };
@@ -174,7 +174,7 @@
 struct Calls {
     handler: Rc<dyn Handler>,
     limits: Limits,
-    permits: Pool,
+    permits: Semaphore,
     abort: Shutdown,
 }
 
@@ -184,7 +184,7 @@
     /// A peer that resets streams at once may open new ones while their handlers still run. The
     /// permits bound the handlers, where the protocol bounds only the open streams.
     fn start(self: &Rc<Self>, (request, mut respond): Call, peer: SocketAddr, open: Rc<()>) {
-        let Some(permit) = self.permits.try_take() else {
+        let Some(permit) = self.permits.try_acquire() else {
             respond.send_reset(Reason::REFUSED_STREAM);
             return;
         };
@@ -205,7 +205,7 @@
         request: http::Request<RecvStream>,
         mut respond: SendResponse<Bytes>,
         peer: SocketAddr,
-        _permit: Permit,
+        _permit: SemaphorePermit,
     ) {
         let (head, mut stream) = request.into_parts();
         let read = body::read(&mut stream, self.limits.body_bytes);
--- a/src/placement/health.rs
+++ b/src/placement/health.rs
@@ -109,7 +109,7 @@
         true
     }
 
-    /// Records a failure on a worker; returns what is newly considered faulty.
+    /// Records a failure on a worker; returns what it shows to be faulty.
     pub(super) fn record_failure(
         &mut self,
         job: job::Id,
