--- a/tests/logic/placement/health.rs
+++ b/tests/logic/placement/health.rs
@@ -92,8 +92,9 @@
     assert_eq!(engine.take_events().last(), Some(&HealthEvent::Quarantined { worker, span }));
 }
 
-// A job name fails on two faulty workers and on one healthy one. Failures on the faulty workers no
-// longer count against the job once these are quarantined.
+// A job name fails on two faulty workers and on two healthy ones. Once the faulty workers are
+// quarantined, failures on them no longer count against the job, and two failures are too few to
+// consider it faulty.
 #[test]
 fn finish_quarantine_discards_failures_of_jobs() {
     let mut engine = engine(4);
