--- a/src/dev/jobs.rs
+++ b/src/dev/jobs.rs
@@ -159,7 +159,7 @@
     let client = http::Client::new(http::Limits::default());
     let mut whole = 0;
     for caller in callers {
-        // A new keeper of the runners' slots first waits out what an earlier one may have granted.
+        // A new instance uses the runners' slots only after grants of an earlier one have expired.
         let began = Instant::now();
         while !send_request(&client, *caller, "first").await && began.elapsed() < RUNNERS {
             monoio::time::sleep(POLL).await;
--- a/src/membership/follow.rs
+++ b/src/membership/follow.rs
@@ -1,5 +1,5 @@
-//! The task that keeps the view of the instances: it fetches the list, tries doubtful instances
-//! and passes on what changes.
+//! Task that maintains the view of the instances: it fetches the list, probes suspected instances
+//! and publishes changes.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,36 +14,36 @@
 use crate::clock::{Clock, Instant};
 use crate::shutdown::{Shutdown, until};
 
-/// Rest between two fetches of the list.
+/// Pause between two fetches of the list.
 pub const INTERVAL: Duration = Duration::from_secs(1);
-/// Most instances that are tried at once.
+/// Most instances probed per fetch of the list.
 const MAX_PROBES: usize = 64;
 
-/// Changes of the view, the whole view each time.
+/// Receives the whole roster after every change.
 pub type Changes = unbounded::Rx<Rc<Roster>>;
 
-/// The instances at one moment.
+/// The instances at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Roster {
-    /// Instances in use; those in the state `Leaving` take no new work.
+    /// Known instances; those in the state `Leaving` receive no new work.
     pub members: Vec<Member>,
-    /// Classes of which the list lost suspiciously many, with their number.
+    /// Classes of which suspiciously many instances vanished from the list, with their number.
     pub suspects: Vec<(Class, usize)>,
 }
 
-/// What the task reaches.
+/// Dependencies and configuration of the tasks.
 pub struct Setup {
-    /// The list.
+    /// Source of the list.
     pub source: Rc<dyn Source>,
-    /// Own connections.
+    /// Probe for suspected instances.
     pub probe: Rc<dyn Probe>,
-    /// When the list is believed.
+    /// Limits for trusting the list.
     pub policy: ViewPolicy,
-    /// Rest between two fetches, commonly [`INTERVAL`].
+    /// Pause between two fetches, commonly [`INTERVAL`].
     pub interval: Duration,
-    /// Time.
+    /// Clock.
     pub clock: Rc<dyn Clock>,
-    /// Ends the tasks when triggered.
+    /// Stops the tasks when triggered.
     pub stop: Shutdown,
 }
 
@@ -55,33 +55,34 @@
     Roster(oneshot::Sender<(Rc<Roster>, Option<Duration>)>),
 }
 
-/// Reaches the task that holds the view.
+/// Handle to the task that holds the view.
 #[derive(Clone)]
 pub struct Handle {
     commands: unbounded::Tx<Command>,
 }
 
 impl Handle {
-    /// Reports whether an own call to an instance was answered.
+    /// Reports whether an instance answered a call of this process.
     pub fn report_call(&self, key: Key, answered: bool) {
-        // A task that has stopped needs no evidence.
+        // The send fails only when the task has stopped.
         let _ = self.commands.send(Command::CallEnded(key, answered));
     }
 
-    /// Reports what a peer says of an instance.
+    /// Reports what a peer reported about an instance.
     pub fn report_peer(&self, key: Key, report: PeerReport) {
         let _ = self.commands.send(Command::PeerReport(key, report));
     }
 
-    /// The present roster, then a new one whenever it changes.
+    /// Returns a channel that receives the current roster, then every changed one.
     pub fn subscribe(&self) -> Changes {
         let (sender, receiver) = unbounded::channel();
-        // The receiver ends at once when the task has stopped.
+        // When the task has stopped, the receiver ends at once.
         let _ = self.commands.send(Command::Subscribe(sender));
         receiver
     }
 
-    /// The present roster and the age of the list behind it; `None` once the task has stopped.
+    /// Returns the current roster and the age of the list behind it; `None` once the task has
+    /// stopped.
     pub async fn roster(&self) -> Option<(Rc<Roster>, Option<Duration>)> {
         let (sender, receiver) = oneshot::channel();
         self.commands.send(Command::Roster(sender)).ok()?;
@@ -89,7 +90,7 @@
     }
 }
 
-/// Starts the tasks on the present runtime.
+/// Starts the tasks on the current runtime.
 pub fn start(setup: Setup) -> Handle {
     let (sender, inbox) = unbounded::channel();
     let fetching =
@@ -107,7 +108,7 @@
     Handle { commands: sender }
 }
 
-/// Fetches the list again and again. A failed fetch says nothing of the instances on it.
+/// Fetches the list periodically. A failed fetch changes the state of no instance.
 async fn fetch_loop(
     source: Rc<dyn Source>,
     clock: Rc<dyn Clock>,
@@ -120,7 +121,7 @@
         if commands.send(Command::Listed(listed, sender)).is_err() || receiver.await.is_err() {
             return;
         }
-        // Spread by up to a quarter, so that instances started together do not ask together.
+        // Jitter of up to a quarter keeps instances that started together from fetching together.
         clock.sleep(interval.mul_f64(1.0 + rand::random::<f64>() / 4.0)).await;
     }
 }
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Answers one request. Whoever no longer waits for the answer does not get it.
+    /// Handles one command. A reply is dropped when its receiver has gone.
     fn handle(&mut self, now: Instant, command: Command) {
         match command {
             Command::Listed(listed, sender) => {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Passes the roster on if it has changed.
+    /// Publishes the roster to the subscribers if it has changed.
     fn publish(&mut self, now: Instant) {
         let members = self.view.members(now);
         let suspects: Vec<(Class, usize)> = self.view.suspects().into_iter().collect();
--- a/src/membership/http.rs
+++ b/src/membership/http.rs
@@ -1,7 +1,7 @@
 //! The list of instances over HTTP/1.1 and JSON.
 //!
-//! The list is asked for every second and seldom changes, so the request names the version that is
-//! known already, and a server that keeps versions answers without a body.
+//! The list is fetched every second and seldom changes, so the request carries the version that is
+//! cached, and a server that supports versions answers without a body.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use super::{Error, Member, Source, wire};
 use crate::http;
 
-/// Reaches the list at one address.
+/// Fetches the list from one address.
 pub struct Client {
     peer: SocketAddr,
     http: Rc<http::Client>,
@@ -25,14 +25,14 @@
     cached: RefCell<Option<CachedList>>,
 }
 
-/// The last list with its version.
+/// The last list received, with its version.
 struct CachedList {
     version: HeaderValue,
     members: Vec<Member>,
 }
 
 impl Client {
-    /// Reaches the list at `peer`, giving each call `timeout`.
+    /// Creates a client of the list at `peer` with `timeout` for each call.
     pub fn new(peer: SocketAddr, http: Rc<http::Client>, timeout: Duration) -> Self {
         Self { peer, http, timeout, cached: RefCell::default() }
     }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! The border to the platform's lagging list of instances, entry and upstream alike.
+//! The platform's list of instances, which may lag: entry instances and upstreams.
 
 use std::net::SocketAddr;
 
@@ -15,36 +15,36 @@
 pub mod view;
 pub mod wire;
 
-/// What an instance on the list does.
+/// Role of an instance on the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", rename_all_fields = "kebab-case", deny_unknown_fields)]
 pub enum Role {
-    /// An entry instance of the scheduler; the address is the one for peers.
+    /// An entry instance of the scheduler; its address is the one for peers.
     Entry,
     /// An upstream that answers the quick requests of one service.
     Runner {
-        /// Service whose requests it takes.
+        /// Service whose requests it answers.
         service: String,
-        /// Requests it works on at once.
+        /// Number of requests it runs concurrently.
         slots: u32,
-        /// Connections it accepts.
+        /// Number of connections it accepts.
         connections: u32,
     },
     /// An upstream that runs tasks under leases.
     Worker {
-        /// Rack it stands in.
+        /// Rack of the worker.
         rack: String,
     },
 }
 
-/// What the list says of an instance.
+/// State of an instance on the list.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// In use.
+    /// Receives new work.
     #[display("live")]
     Live,
-    /// About to go; takes no new work.
+    /// Shutting down; receives no new work.
     #[display("leaving")]
     Leaving,
 }
@@ -55,17 +55,17 @@
 pub struct Member {
     /// Name, unique within its role and failure domain.
     pub name: String,
-    /// What it does.
+    /// Role of the instance.
     pub role: Role,
-    /// Failure domain it stands in.
+    /// Its failure domain.
     pub domain: domain::Name,
-    /// Where it is reached.
+    /// Address at which it is reached.
     pub address: SocketAddr,
-    /// Whether it stays.
+    /// Its state on the list.
     pub state: State,
 }
 
-/// A list that could not be fetched.
+/// Failure to fetch the list.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("step=membership.list peer={peer} cause={cause}")]
 pub struct Error {
@@ -75,12 +75,12 @@
     pub cause: String,
 }
 
-/// Way to fetch the list.
+/// Source of the list.
 pub trait Source {
-    /// Fetches the list as it stands.
+    /// Fetches the current list.
     ///
     /// # Errors
     ///
-    /// Fails when the server does not answer in time or answers with something else than a list.
+    /// Fails when the server does not answer in time or its answer is not a valid list.
     fn list(&self) -> LocalBoxFuture<'_, Result<Vec<Member>, Error>>;
 }
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Finding out by an own connection whether an instance is there.
+//! Probing an instance by connecting to it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,16 +7,16 @@
 use futures_util::future::LocalBoxFuture;
 use monoio::net::TcpStream;
 
-/// Way to try an instance.
+/// Checks whether an instance can be reached.
 pub trait Probe {
     /// Whether the instance at `address` could be reached.
     fn reaches(&self, address: SocketAddr) -> LocalBoxFuture<'_, bool>;
 }
 
-/// Opens a TCP connection and closes it.
+/// Probe that opens a TCP connection and closes it.
 #[derive(Clone, Copy, Debug)]
 pub struct TcpProbe {
-    /// How long that may take.
+    /// Timeout of the connection attempt.
     pub timeout: Duration,
 }
 
--- a/src/membership/seed.rs
+++ b/src/membership/seed.rs
@@ -1,4 +1,4 @@
-//! Entry instances that the settings name, used until the list has named them.
+//! Entry instances from the settings, used until the list contains them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,11 +9,11 @@
 use super::view::Key;
 use super::{Error, Member, Source};
 
-/// A list completed by instances that are known before it is.
+/// A list completed with instances from the settings.
 ///
-/// An instance that starts while the list is down would otherwise know no peer, and could learn
-/// neither the settings in force nor who owns its failure domain. Once the list has named an
-/// instance, the list alone speaks for it, so that one that is gone does not come back.
+/// An instance that starts while the list is unavailable would otherwise have no peers, and could
+/// learn neither the settings in force nor the owner of its failure domain. A seed is dropped once
+/// the list has contained it, so that an instance that is gone does not reappear.
 pub struct SeededSource {
     source: Rc<dyn Source>,
     unlisted: RefCell<Vec<Member>>,
@@ -21,7 +21,7 @@
 }
 
 impl SeededSource {
-    /// Completes `source` by `seeds`.
+    /// Completes the list of `source` with `seeds`.
     pub fn new(source: Rc<dyn Source>, seeds: Vec<Member>) -> Self {
         Self { source, unlisted: RefCell::new(seeds), fetched: Cell::new(false) }
     }
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -1,5 +1,5 @@
-//! Which instances to use: the lagging list as a hint, checked against own connections and what
-//! peers say.
+//! View of which instances to use: the list, which may lag, combined with own calls and reports of
+//! peers.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use crate::clock::Instant;
 use crate::domain;
 
-/// Instances that are alike: if many of one class vanish at once, the list is suspect.
+/// Instances of the same kind; if many of one class vanish at once, the list is suspect.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
     /// Entry instances of a failure domain.
@@ -30,7 +30,7 @@
     Worker(domain::Name),
 }
 
-/// Names one instance.
+/// Identifies one instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     /// Its class.
@@ -51,22 +51,24 @@
     }
 }
 
-/// When the list is believed.
+/// Limits for trusting the list.
 #[derive(Clone, Debug)]
 pub struct ViewPolicy {
-    /// Share of a class, in percent, that may vanish within `removal_window` and be believed.
+    /// Percentage of a class that may vanish from the list within `removal_window` before the class
+    /// is suspect.
     pub removable_percent: usize,
-    /// Number that may vanish within `removal_window` and be believed, however small the class is.
+    /// Number of instances of a class that may vanish within `removal_window`, however small the
+    /// class is.
     pub removable_minimum: usize,
-    /// Span over which vanished instances add up.
+    /// Time over which vanished instances are counted together.
     pub removal_window: Duration,
     /// How long a vanished instance is kept as leaving before it is removed.
     pub removal_grace: Duration,
-    /// Failed calls in a row after which an instance counts as down.
+    /// Consecutive failed calls after which an instance counts as down.
     pub failure_threshold: u32,
-    /// Age up to which an answer is proof that an instance lives.
+    /// Age up to which an answer is current; an instance in doubt is probed again after this time.
     pub freshness: Duration,
-    /// How long a vanished instance of a suspect class is kept that nobody could reach.
+    /// How long a vanished instance of a suspect class is kept after its last answer.
     pub suspect_timeout: Duration,
 }
 
@@ -84,27 +86,28 @@
     }
 }
 
-/// What an instance is good for.
+/// Whether an instance receives new work, and why not.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Availability {
-    /// In use.
+    /// Receives new work.
     #[display("live")]
     Live,
-    /// Takes no new work.
+    /// Leaving or vanished from the list; receives no new work.
     #[display("leaving")]
     Leaving,
-    /// Vanished from the list together with many others; in use until proved dead.
+    /// Vanished from the list together with many others; receives new work until it proves to be
+    /// down.
     #[display("doubted")]
     Suspected,
-    /// Does not answer; takes no new work.
+    /// Does not answer; receives no new work.
     #[display("down")]
     Down,
 }
 
-/// What a peer says of an instance.
+/// Report of a peer about an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerReport {
-    /// It answered that long ago.
+    /// It answered the peer this long ago.
     Answered(Duration),
     /// It is leaving.
     Leaving,
@@ -115,13 +118,13 @@
 #[derive(Clone, Debug)]
 struct Entry {
     member: Member,
-    /// Since when the list has lacked it; `None` while it is listed.
+    /// Time since which it is missing from the list; `None` while it is listed.
     missing_since: Option<Instant>,
-    /// Until when a peer's word that it leaves holds against a list that lags.
+    /// Time until which a peer's report that it is leaving overrides the list, which may lag.
     leaving_until: Option<Instant>,
     failures: u32,
     last_answer: Option<Instant>,
-    /// When it was last tried, with or without an answer.
+    /// Time of the last call or probe, answered or not.
     last_probe: Option<Instant>,
 }
 
@@ -138,23 +141,23 @@
     }
 }
 
-/// The instances known, with what is thought of each.
+/// The known instances and what was observed of each.
 #[derive(Debug)]
 pub struct View {
     policy: ViewPolicy,
     entries: BTreeMap<Key, Entry>,
-    /// When instances of a class were removed on the list's word alone.
+    /// Times at which instances of a class were removed only because they vanished from the list.
     removals: BTreeMap<Class, VecDeque<Instant>>,
     last_list: Option<Instant>,
 }
 
 impl View {
-    /// A view that knows no instance.
+    /// Creates a view without instances.
     pub fn new(policy: ViewPolicy) -> Self {
         Self { policy, entries: BTreeMap::new(), removals: BTreeMap::new(), last_list: None }
     }
 
-    /// Takes a list that was fetched.
+    /// Applies a fetched list.
     pub fn apply_list(&mut self, now: Instant, members: &[Member]) {
         self.last_list = Some(now);
         for entry in self.entries.values_mut() {
@@ -166,7 +169,7 @@
         self.tick(now);
     }
 
-    /// Takes an own call that was answered.
+    /// Records that an instance answered a call of this process.
     pub fn record_answer(&mut self, now: Instant, key: &Key) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.failures = 0;
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Takes an own call that was not answered.
+    /// Records that an instance did not answer a call of this process.
     pub fn record_failure(&mut self, now: Instant, key: &Key) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.failures = entry.failures.saturating_add(1);
@@ -183,10 +186,11 @@
         }
     }
 
-    /// Takes a peer's word.
+    /// Applies a report of a peer.
     ///
-    /// A peer may be cut off where this instance is not, so that its word that an instance is down
-    /// only asks for an own try. Its word that one leaves is final: nobody takes that back.
+    /// A peer may be partitioned from an instance that this process can reach, so a report that the
+    /// instance is down only causes a probe. A report that it is leaving is applied, because
+    /// leaving is never revoked.
     pub fn apply_peer_report(&mut self, now: Instant, key: &Key, report: PeerReport) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         match report {
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Forgets instances that are surely gone.
+    /// Removes instances that have been gone for long enough.
     pub fn tick(&mut self, now: Instant) {
         for times in self.removals.values_mut() {
             times.retain(|at| now.since(*at) < self.policy.removal_window);
@@ -219,7 +223,7 @@
         }
     }
 
-    /// Every instance with its standing.
+    /// Every instance with its availability.
     pub fn availabilities(&self, now: Instant) -> Vec<(&Member, Availability)> {
         let suspects = self.suspects();
         let entry_availability = |(key, entry): (&Key, &Entry)| {
@@ -228,7 +232,7 @@
         self.entries.iter().map(|pair| (&pair.1.member, entry_availability(pair))).collect()
     }
 
-    /// The instances as the rest of the system should see them: live ones take new work, leaving
+    /// The instances as published to the rest of the system: live ones receive new work, leaving
     /// ones do not.
     pub fn members(&self, now: Instant) -> Vec<Member> {
         let state = |availability| match availability {
@@ -241,7 +245,8 @@
             .collect()
     }
 
-    /// Instances to try now, since what is known of them is in doubt and too old.
+    /// Instances to probe now: suspected or failing ones whose last call is older than the policy's
+    /// `freshness`.
     pub fn probes(&self, now: Instant) -> Vec<(Key, SocketAddr)> {
         let suspects = self.suspects();
         let wanted = |(key, entry): &(&Key, &Entry)| {
@@ -253,10 +258,12 @@
         entries.map(|(key, entry)| (key.clone(), entry.member.address)).collect()
     }
 
-    /// Classes of which so many vanished that the list is not believed, with their number.
+    /// Classes of which so many instances vanished that the list is not trusted, with the number
+    /// vanished.
     ///
-    /// An outage of whatever feeds the list shows as many instances vanishing together. To drop
-    /// them all would stop work that runs well. What is proved dead or was leaving does not count.
+    /// An outage of the list's data source appears as many instances vanishing together, and
+    /// dropping them all would stop healthy work. Instances that are down or were listed as leaving
+    /// are not counted.
     pub fn suspects(&self) -> BTreeMap<Class, usize> {
         let mut known: BTreeMap<&Class, (usize, usize)> = BTreeMap::new();
         for (key, entry) in &self.entries {
@@ -278,7 +285,7 @@
             .collect()
     }
 
-    /// How long ago the list was last fetched; `None` before it ever was.
+    /// Time since the list was last fetched; `None` before the first fetch.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.last_list.map(|at| now.since(at))
     }
@@ -286,7 +293,7 @@
     fn upsert_listed(&mut self, member: &Member) {
         let entry =
             self.entries.entry(Key::from(member)).or_insert_with(|| Entry::new(member.clone()));
-        // Another address is another process: what was known of the earlier one is void.
+        // A new address means a new process, to which earlier observations do not apply.
         if entry.member.address != member.address {
             *entry = Entry::new(member.clone());
         }
@@ -312,7 +319,7 @@
         entry.failures >= self.policy.failure_threshold
     }
 
-    /// Whether nothing but its absence from the list says that the instance goes.
+    /// Whether the instance's absence from the list is the only sign that it is gone.
     fn is_unexpected(&self, entry: &Entry) -> bool {
         entry.member.state == State::Live && !self.is_down(entry)
     }
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -14,23 +14,23 @@
 pub struct Member {
     /// Name, unique within its role and failure domain.
     pub name: String,
-    /// What it does.
+    /// Role of the instance.
     pub role: Role,
-    /// Failure domain it stands in.
+    /// Its failure domain.
     pub domain: domain::Name,
-    /// Where it is reached.
+    /// Address at which it is reached.
     pub address: SocketAddr,
-    /// Whether it stays.
+    /// Its state on the list.
     pub state: State,
 }
 
-/// An entry of the list that cannot be used.
+/// An invalid entry of the list.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
-    /// An entry without a name.
+    /// The entry has no name.
     #[display("the instance at {_0} has no name")]
     Unnamed(#[error(not(source))] SocketAddr),
-    /// A runner that could never serve a request.
+    /// A runner without slots or connections, which cannot serve a request.
     #[display("runner `{_0}` has no slots or no connections")]
     NoCapacity(#[error(not(source))] String),
 }
--- a/src/runner/attempt.rs
+++ b/src/runner/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one upstream.
+//! One attempt to run a request at one upstream.
 
 use std::time::Duration;
 
@@ -25,52 +25,52 @@
     }
 }
 
-/// Where an attempt went.
+/// Destination of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A runner of the own failure domain.
     Runner {
         /// The runner.
         name: Name,
-        /// Whose slot it holds.
+        /// Handle of the runner's slots, one of which the attempt holds.
         slots: Handle,
     },
     /// An entry instance of another failure domain.
     Domain(domain::Name),
 }
 
-/// An attempt that has not ended.
+/// An attempt that has not ended or still holds a slot.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// Its request.
     pub request: request::Id,
     /// Service of the request.
     pub service: String,
-    /// Where it went.
+    /// Destination.
     pub target: Target,
     /// When it started.
     pub started: Instant,
-    /// Whether it failed while the runner may still work on it.
+    /// Whether the call failed after it was sent, so that the runner may still be working on it.
     pub outcome_unknown: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer to this very request came; `failed` when it reports a fault of the server.
+    /// A complete response to this request arrived.
     Complete {
-        /// Whether the status is one of a server's faults.
+        /// Whether the status is 500 or above.
         failed: bool,
     },
     /// Nothing was sent.
     NotSent,
-    /// Another entry instance refused it before anything reached a runner.
+    /// Another entry instance refused the request before anything reached a runner.
     Refused {
-        /// When that instance wants to be asked again.
+        /// Delay before the next attempt, as requested by that instance.
         retry_after: Duration,
     },
-    /// Bytes were sent, and no whole answer came.
+    /// Bytes were sent, but no complete response arrived.
     Broken,
-    /// A whole answer came that belongs to something else.
+    /// A complete response arrived, but with the identity of another request.
     Mismatched,
 }
--- a/src/runner/budget.rs
+++ b/src/runner/budget.rs
@@ -1,7 +1,7 @@
-//! Token buckets that keep retries and hedges to a part of the traffic.
+//! Token buckets that limit retries and hedges to a fraction of the traffic.
 
-/// A bucket that fills with requests, not with time, so that a failure of everything cannot
-/// multiply the load.
+/// A token bucket that refills with each request instead of with time, so that retries cannot
+/// multiply the load when every attempt fails.
 #[derive(Clone, Debug)]
 pub struct Budget {
     tokens: f64,
@@ -10,7 +10,7 @@
 }
 
 impl Budget {
-    /// Creates a full bucket that gains `ratio` tokens a request and holds at most `burst`.
+    /// Creates a full bucket that gains `ratio` tokens per request and holds at most `burst`.
     ///
     /// ```
     /// use oriolefork::runner::budget::Budget;
@@ -25,12 +25,12 @@
         Self { tokens: burst, ratio, burst }
     }
 
-    /// Counts one request.
+    /// Adds the tokens for one request.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// Takes one token; false when there is none.
+    /// Takes one token; returns false when less than one is left.
     pub fn spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/src/runner/handler.rs
+++ b/src/runner/handler.rs
@@ -1,4 +1,4 @@
-//! The callers' interface to request routing: HTTP in, HTTP out.
+//! HTTP interface of request routing for callers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,32 +19,31 @@
 use crate::job::Effect;
 use crate::settings::{self, Secret};
 
-/// Says whether a second run of the request does harm.
+/// Request header that states whether the request is `idempotent` or must run `at-most-once`.
 pub const EFFECT: &str = "x-effect";
-/// Says how the request ended: `complete`, `not-run` or `unknown`.
+/// Response header with the outcome of the request: `whole`, `not-run` or `unknown`.
 pub const RESULT: &str = "x-result";
-/// Identity of the request, for questions about it.
+/// Response header with the identity of a request whose outcome is unknown.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// When to come back after at-most-once work could not be recorded.
+/// Retry delay when at-most-once work could not be recorded.
 const UNRECORDED_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Part of the caller's time that may be spent on the record of at-most-once work.
+/// Divisor of the caller's timeout that gives the time for recording at-most-once work.
 const RECORD_TIME_DIVISOR: u32 = 2;
 
-/// Services whose requests are taken, each with what its callers must present, if anything.
+/// Services whose requests are accepted, each with the token that its callers must present, if any.
 pub struct Access {
     services: Option<BTreeMap<String, Option<Secret>>>,
     timeout: Duration,
 }
 
 impl Access {
-    /// Takes the requests of every service from anyone, for tests.
+    /// Accepts requests to every service without a token, for tests.
     pub const fn open() -> Self {
         Self { services: None, timeout: header::DEFAULT_TIMEOUT }
     }
 
-    /// Takes the requests of these services and of no other; `timeout` is the time of a caller
-    /// that names none.
+    /// Accepts requests to these services only; `timeout` applies to requests that set none.
     pub fn of(services: &[settings::Service], timeout: Duration) -> Self {
         let named = services.iter().map(|service| (service.name.clone(), service.token.clone()));
         Self { services: Some(named.collect()), timeout }
@@ -53,7 +52,7 @@
     fn check(&self, service: &str, headers: &HeaderMap) -> Result<(), api::Refusal> {
         let Some(services) = &self.services else { return Ok(()) };
         let Some(token) = services.get(service) else {
-            let message = "the settings name no such service";
+            let message = "this service is not configured";
             return Err(api::Refusal::not_run(Reason::NotFound, message));
         };
         let is_token = |token: &Secret| header::bearer(headers).is_some_and(|it| token.matches(it));
@@ -65,7 +64,7 @@
     }
 }
 
-/// What a request's headers say.
+/// Options read from a request's headers.
 struct RequestOptions {
     effect: Effect,
     key: Option<String>,
@@ -75,9 +74,9 @@
 impl Proxy {
     /// Answers `POST /v1/services/{service}/requests`.
     ///
-    /// A whole answer of a runner keeps its status, media type and body. Everything else is a
-    /// refusal in the form of [`api::Refusal`] with status 503 when the request surely did not run
-    /// and 502 or 504 when that is unknown; `x-result` says which of the three it is.
+    /// A runner's complete response keeps its status, media type and body. Every other outcome is
+    /// an [`api::Refusal`], with status 503 when the request did not run and 502 or 504 when that
+    /// is unknown. The header `x-result` holds the outcome.
     pub async fn handle(&self, request: Request) -> Response {
         match self.answer(request).await {
             Ok(reply) => respond(reply),
@@ -100,7 +99,7 @@
         }
     }
 
-    /// Runs a request at most once among all that carry its key.
+    /// Runs at most one of all requests that carry the same key.
     async fn run_once(&self, call: Call, key: &str) -> Result<Reply, api::Refusal> {
         let Some(guard) = self.guard() else { return Ok(unrecorded()) };
         let started = self.clock().now();
@@ -130,8 +129,9 @@
 }
 
 impl RequestOptions {
-    /// Reads the headers. A request that does not say it is idempotent is sent once at most; only
-    /// with a key are several requests known to be the same. `timeout` stands for one not named.
+    /// Reads the headers. A request without the effect header is at-most-once; duplicates are
+    /// detected only when the request carries an idempotency key. `timeout` applies when the
+    /// headers set none.
     fn read(headers: &HeaderMap, timeout: Duration) -> Result<Self, api::Refusal> {
         let effect = match headers.get(EFFECT).map(HeaderValue::as_bytes) {
             None => Effect::AtMostOnce,
@@ -155,7 +155,7 @@
     let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     match segments[..] {
         ["v1", "services", service, "requests"] if !service.is_empty() => Ok(service.to_owned()),
-        _ => Err(api::Refusal::not_run(Reason::NotFound, "nothing has this path")),
+        _ => Err(api::Refusal::not_run(Reason::NotFound, "no resource has this path")),
     }
 }
 
@@ -170,7 +170,7 @@
     Ok(intent::Request { key, created, fingerprint, domain: None })
 }
 
-/// The answer to a request whose key an earlier one has won: its recorded end, never a second run.
+/// Reply to a request whose key was used before: the recorded outcome of the first request.
 fn duplicate_reply(state: &State) -> Result<Reply, api::Refusal> {
     let unknown = |message: &str| Err(api::Refusal::unknown(Reason::AnswerLost, message));
     match &state.progress {
@@ -181,12 +181,16 @@
                 body: body.clone(),
             })),
             Body::Digest { length, .. } => unknown(&format!(
-                "it ran once with status {}; its answer of {length} bytes is not kept",
+                "the request ran once with status {}; its answer of {length} bytes was too long to record",
                 answer.status
             )),
         },
-        Progress::Done(_) => unknown("it was sent once and its answer was lost; it is not rerun"),
-        Progress::Unknown => unknown("it is under way or its answer was lost; it is not rerun"),
+        Progress::Done(_) => {
+            unknown("the request was sent once and its answer was lost; it is not run again")
+        }
+        Progress::Unknown => {
+            unknown("the request is in progress or its answer was lost; it is not run again")
+        }
     }
 }
 
@@ -208,7 +212,7 @@
             };
             let refusal = api::Refusal::unknown(reason, cause.to_string()).after(retry_after);
             let mut response = refuse(refusal);
-            set(&mut response, REQUEST_ID, &id.to_string());
+            set_header(&mut response, REQUEST_ID, &id.to_string());
             response
         }
     }
@@ -218,9 +222,9 @@
     let mut response = Response::new(answer.body);
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Some(content_type) = &answer.content_type {
-        set(&mut response, CONTENT_TYPE.as_str(), content_type);
+        set_header(&mut response, CONTENT_TYPE.as_str(), content_type);
     }
-    set(&mut response, RESULT, "whole");
+    set_header(&mut response, RESULT, "whole");
     response
 }
 
@@ -228,12 +232,12 @@
     let ran = refusal.ran;
     let for_load = matches!(refusal.reason, Reason::Deadline | Reason::Overloaded);
     let mut response: ::http::Response<Bytes> = reply::refusal(refusal);
-    // A request refused for load is to come back later, whichever limit it met. Status 504 would
-    // read as unknown to a caller that looks at the status alone.
+    // A request refused for load may be retried, whichever limit it met, so it gets status 503. A
+    // caller that reads only the status would take 504 for an unknown outcome.
     if for_load && ran == api::Ran::NotRun {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
-    set(&mut response, RESULT, &ran.to_string());
+    set_header(&mut response, RESULT, &ran.to_string());
     response
 }
 
@@ -247,7 +251,7 @@
     }
 }
 
-fn set(response: &mut Response, name: &'static str, text: &str) {
+fn set_header(response: &mut Response, name: &'static str, text: &str) {
     if let Ok(value) = HeaderValue::try_from(text) {
         response.headers_mut().insert(HeaderName::from_static(name), value);
     }
--- a/src/runner/health.rs
+++ b/src/runner/health.rs
@@ -1,31 +1,31 @@
-//! What recent answers say of one upstream, and whether it gets work.
+//! Health of one upstream, derived from its recent answers, and whether it receives requests.
 
 use std::time::Duration;
 
 use crate::clock::{Instant, millis};
 use crate::runner::Policy;
 
-/// Weight of one answer in the smoothed figures.
+/// Weight of one answer in the exponential moving averages.
 const WEIGHT: f64 = 0.1;
-/// Answers before the failure ratio and the latency are believed.
+/// Answers required before the failure ratio and the latency are used.
 const MIN_SAMPLES: u32 = 10;
-/// Good answers in a row that end a probation.
+/// Consecutive successes that end probation.
 const PROBATION_SUCCESSES: u32 = 3;
-/// Good answers in a row after which earlier ejections are forgotten.
+/// Consecutive successes after which earlier ejections no longer lengthen the next one.
 const EJECTION_RESET_SUCCESSES: u32 = 100;
 
-/// Standing of an upstream.
+/// Whether an upstream receives requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthState {
-    /// Takes any work.
+    /// Receives any request.
     Healthy,
-    /// Takes one idempotent request at a time.
+    /// Receives one idempotent request at a time.
     Probation,
-    /// Takes none until the moment given.
+    /// Receives no request until this time.
     Ejected(Instant),
 }
 
-/// Record of one upstream.
+/// Health record of one upstream.
 #[derive(Clone, Debug)]
 pub struct Health {
     state: HealthState,
@@ -52,7 +52,7 @@
 }
 
 impl Health {
-    /// Standing at `now`; an ejection that has run out becomes probation.
+    /// State at `now`; an expired ejection counts as probation.
     pub fn state(&self, now: Instant) -> HealthState {
         match self.state {
             HealthState::Ejected(until) if until <= now => HealthState::Probation,
@@ -70,12 +70,12 @@
         self.latency
     }
 
-    /// Smoothed latency, once enough answers came to compare it.
+    /// Smoothed latency in milliseconds; `None` while there are too few answers to compare it.
     pub fn measured_latency(&self) -> Option<f64> {
         (self.answers >= MIN_SAMPLES).then_some(self.latency)
     }
 
-    /// Counts a good answer.
+    /// Records a successful answer.
     pub fn record_success(&mut self, latency: Duration, now: Instant) {
         let sample = millis(latency).max(1) as f64;
         self.latency = if self.answers == 0 { sample } else { smooth(self.latency, sample) };
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Counts a failure; true when the upstream should be ejected for it.
+    /// Records a failure; returns true when the upstream should be ejected.
     pub fn record_failure(&mut self, policy: &Policy, now: Instant) -> bool {
         self.failure = smooth(self.failure, 1.0);
         self.answers = self.answers.saturating_add(1);
@@ -104,12 +104,12 @@
         on_probation || ratio_exceeded || self.consecutive_failures >= policy.consecutive_failures
     }
 
-    /// Takes the upstream out of use for a time that doubles with each ejection.
+    /// Ejects the upstream for a time that doubles with each ejection; returns when it ends.
     pub fn eject(&mut self, policy: &Policy, now: Instant) -> Instant {
         let doubled = policy.base_ejection_time.saturating_mul(1 << self.ejections.min(16));
         let until = now.after(doubled.min(policy.max_ejection_time));
         self.ejections = self.ejections.saturating_add(1);
-        // Forgets what led here, so that probation is judged by new answers alone.
+        // Clears the record, so that only new answers decide the probation.
         self.answers = 0;
         self.failure = 0.0;
         self.consecutive_failures = 0;
--- a/src/runner/http.rs
+++ b/src/runner/http.rs
@@ -14,23 +14,24 @@
 use crate::clock;
 use crate::http;
 
-/// Identity of a request, which the runner echoes.
+/// Identity of the request, which the runner echoes.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 /// Service addressed, for runners that serve several.
 const SERVICE: HeaderName = HeaderName::from_static("x-service");
-/// Milliseconds for which the caller still waits.
+/// Time until the caller's deadline, in milliseconds.
 const BUDGET: HeaderName = HeaderName::from_static("request-timeout-ms");
 
-/// Reaches runners, each at its own address.
+/// [`RunnerTransport`] over HTTP/1.1.
 ///
-/// Every call has a connection of its own until its whole answer is read, so that there are never
-/// more connections to a runner than there are slots in use there.
+/// Every call uses a connection of its own until its complete response is read, so there are never
+/// more connections to a runner than slots in use there.
 pub struct Client {
     http: Rc<http::Client>,
 }
 
 impl Client {
-    /// Reaches runners by `http`, whose connections to them are used by nothing else.
+    /// Creates a transport over `http`, whose connections to runners must not be used by anything
+    /// else.
     pub fn new(http: Rc<http::Client>) -> Self {
         Self { http }
     }
@@ -78,9 +79,9 @@
 
 /// Accepts an answer only with the identity of its request.
 ///
-/// A runner that mixes up its callers answers one with the other's result. Its answer looks whole
-/// and good, and only the identity gives it away. Faults that a runner's server answers before it
-/// read the request carry none.
+/// A runner that mixes up its callers sends one caller the response of another; such a response is
+/// well-formed and differs only in the identity. A server error that the runner's HTTP server
+/// returns before it reads the request carries no identity and is accepted.
 fn read(id: request::Id, response: http::Response) -> Result<Answer, Fault> {
     let status = response.status();
     let echoed = response.headers().get(REQUEST_ID);
--- a/src/runner/latency.rs
+++ b/src/runner/latency.rs
@@ -4,11 +4,11 @@
 
 use crate::clock::millis;
 
-/// Answers kept for the quantiles.
+/// Number of answers kept for the quantile.
 const WINDOW: usize = 512;
-/// Answers after which the quantiles are taken anew.
+/// Number of answers between two computations of the quantile.
 const REFRESH: usize = 32;
-/// Weight of one answer in the mean.
+/// Weight of one answer in the exponential moving average.
 const WEIGHT: f64 = 0.02;
 
 /// Mean and upper quantile of recent latencies, in milliseconds.
@@ -22,7 +22,7 @@
 }
 
 impl Window {
-    /// Counts one answer.
+    /// Records the latency of one answer.
     pub fn record(&mut self, latency: Duration) {
         let sample = millis(latency);
         self.mean = self.next_mean(sample);
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Smoothed mean in milliseconds, at least one once an answer was counted.
+    /// Smoothed mean in milliseconds; zero before the first answer, at least one after it.
     pub fn mean(&self) -> f64 {
         self.mean
     }
 
-    /// The latency that one answer in twenty exceeds; `None` before there were enough answers.
+    /// 95th percentile; `None` until enough answers were recorded.
     pub fn p95(&self) -> Option<Duration> {
         self.p95.map(Duration::from_millis)
     }
--- a/src/runner/mod.rs
+++ b/src/runner/mod.rs
@@ -1,8 +1,8 @@
-//! Quick requests of services, answered by runners.
+//! Routing of quick requests to runners, the upstreams that answer them.
 //!
-//! [`Router`] decides and touches nothing outside: requests, answers and the list of instances go
-//! in, [`Effect`]s come out, which [`Proxy`] carries out. [`share`] divides the
-//! slots of each runner among the entry instances of a failure domain.
+//! [`Router`] is a state machine without I/O: it takes requests, answers and the list of instances,
+//! and returns [`Effect`]s, which [`Proxy`] executes. [`share`] divides the slots of each runner
+//! among the entry instances of a failure domain.
 
 pub mod attempt;
 pub mod budget;
--- a/src/runner/peer.rs
+++ b/src/runner/peer.rs
@@ -1,4 +1,4 @@
-//! The border to other entry instances: shares within a failure domain, requests passed on
+//! Calls between entry instances: slot sharing within a failure domain and request forwarding
 //! between failure domains.
 
 use std::net::SocketAddr;
@@ -16,28 +16,29 @@
 use crate::job::Effect;
 use crate::peer;
 
-/// Method of a call to the keeper of shares.
+/// Peer method that requests slots from the coordinator.
 pub const REQUEST_SHARES: &str = "runner.ask";
-/// Method of a request passed on.
+/// Peer method that forwards a request.
 pub const RUN_FORWARDED: &str = "runner.run";
 
-/// How a request that was passed on ended there.
+/// Result of a forwarded request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardOutcome {
-    /// With a runner's whole answer.
+    /// A runner's complete response.
     Complete(Answer),
-    /// Before anything reached a runner.
+    /// Nothing reached a runner.
     NotRun {
-        /// When to ask again.
+        /// Delay before the next attempt.
         retry_after: Duration,
     },
-    /// A runner may have worked on it.
+    /// A runner may have run it.
     Unknown,
 }
 
-/// Way to reach other entry instances.
+/// Sends calls about runners to other entry instances.
 pub trait PeerTransport {
-    /// Asks the keeper at `peer` for shares; `None` when the call or its answer was lost or void.
+    /// Sends a share request to the coordinator at `peer`; returns `None` when the call failed or
+    /// the coordinator ignored the request.
     fn request_shares<'a>(
         &'a self,
         peer: SocketAddr,
@@ -45,11 +46,11 @@
         timeout: Duration,
     ) -> LocalBoxFuture<'a, Option<share::ShareResponse>>;
 
-    /// Passes a request on to the instance at `peer`.
+    /// Forwards a request to the instance at `peer`.
     ///
     /// # Errors
     ///
-    /// Returns the [`Fault`] that says whether the instance may have received it.
+    /// Returns a [`Fault`], which shows whether the instance may have received the request.
     fn run<'a>(
         &'a self,
         peer: SocketAddr,
@@ -59,13 +60,13 @@
     ) -> LocalBoxFuture<'a, Result<ForwardOutcome, Fault>>;
 }
 
-/// Reaches other entry instances by the peer protocol.
+/// [`PeerTransport`] over the peer protocol.
 pub struct Client {
     peers: Rc<peer::Client>,
 }
 
 impl Client {
-    /// Reaches instances by `peers`.
+    /// Creates a client that sends calls through `peers`.
     pub fn new(peers: Rc<peer::Client>) -> Self {
         Self { peers }
     }
@@ -127,22 +128,23 @@
     }
 }
 
-/// Answers the calls of other entry instances about runners.
+/// Handles the calls of other entry instances about runners.
 pub struct Handler {
     proxy: Proxy,
 }
 
 impl Handler {
-    /// Answers by `proxy`.
+    /// Creates a handler that passes calls on to `proxy`.
     pub fn new(proxy: Proxy) -> Self {
         Self { proxy }
     }
 
-    /// Answers one call.
+    /// Handles one call.
     ///
     /// # Errors
     ///
-    /// Refuses methods other than [`REQUEST_SHARES`] and [`RUN_FORWARDED`], and bodies that are not theirs.
+    /// Refuses methods other than [`REQUEST_SHARES`] and [`RUN_FORWARDED`], and bodies that cannot
+    /// be decoded.
     pub async fn answer(&self, method: &str, body: &[u8]) -> Result<Bytes, peer::Refusal> {
         match method {
             REQUEST_SHARES => self.grant_shares(body).await,
--- a/src/runner/policy.rs
+++ b/src/runner/policy.rs
@@ -1,43 +1,45 @@
-//! Settings of request routing.
+//! Limits and budgets of request routing.
 
 use std::time::Duration;
 
-/// Limits and budgets of one entry instance.
+/// Limits and budgets of request routing at one entry instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// Longest time for which a runner works on one request.
+    /// Longest time that a runner works on one request.
     pub run_limit: Duration,
-    /// Longest wait in the queue at which a request is still taken while the queue stands.
+    /// Longest expected queue wait at which a request is admitted while the queue has not been
+    /// empty for `burst_window`.
     pub queue_target: Duration,
-    /// The same while the queue has been empty a short time ago, as in a burst.
+    /// Longest expected queue wait at which a request is admitted while the queue was empty within
+    /// `burst_window`, as in a burst.
     pub queue_burst: Duration,
-    /// Time after which a queue that has not been empty counts as standing.
+    /// Time without an empty queue after which the queue counts as standing instead of as a burst.
     pub burst_window: Duration,
-    /// Most requests that wait per service.
+    /// Most queued requests per service.
     pub queue_length: usize,
     /// Most requests forwarded to other failure domains at once, per service.
     pub forward_limit: usize,
-    /// Tries of one request in all, hedges included.
+    /// Most attempts of one request, hedges and forwards included.
     pub max_attempts: usize,
     /// Retries allowed per request submitted, on average.
     pub retry_ratio: f64,
     /// Hedges allowed per request submitted, on average.
     pub hedge_ratio: f64,
-    /// Retries or hedges that may come in one burst.
+    /// Most retries, and most hedges, in one burst.
     pub budget_burst: f64,
     /// Shortest time before a hedge is sent.
     pub min_hedge_delay: Duration,
     /// Failures in a row after which a runner is ejected.
     pub consecutive_failures: u32,
-    /// Part of recent answers that failed, from which on a runner is ejected.
+    /// Fraction of failed recent answers from which on a runner is ejected.
     pub failure_ratio: f64,
-    /// Multiple of the median latency of its kind from which on a runner is ejected.
+    /// Multiple of the median latency of the service's runners above which a runner is ejected.
     pub slow_ratio: f64,
-    /// First ejection; each further one in a row lasts twice as long.
+    /// Duration of the first ejection; it doubles with each further one.
     pub base_ejection_time: Duration,
-    /// Longest ejection.
+    /// Longest duration of an ejection.
     pub max_ejection_time: Duration,
-    /// Part of a service's runners that may be ejected at once.
+    /// Fraction of a service's runners that may be ejected at once.
     pub max_ejected_fraction: f64,
 }
 
--- a/src/runner/proxy/active_request.rs
+++ b/src/runner/proxy/active_request.rs
@@ -1,4 +1,4 @@
-//! A request in the task's hands: its body, its caller and its record.
+//! A request owned by the task: its body, its caller and its execution record.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,8 +13,8 @@
 use crate::runner::request::{self, RequestOutcome};
 use crate::runner::transport::{Answer, Call};
 
-/// Longest answer that is kept with the record of at-most-once work.
-const RECORDED_BYTES: usize = 4096;
+/// Longest response body that is stored with the record of at-most-once work.
+const MAX_RECORDED_BYTES: usize = 4096;
 
 /// A request from its arrival until its last attempt has ended.
 pub(super) struct ActiveRequest {
@@ -37,18 +37,18 @@
         }
     }
 
-    /// Counts an attempt, of which bytes may leave from now on.
+    /// Counts an attempt that is about to be sent.
     pub(super) fn count_attempt(&mut self) {
         self.record.in_flight += 1;
     }
 
-    /// Counts the end of an attempt of which nothing left.
+    /// Counts the end of an attempt of which nothing was sent.
     pub(super) fn end_not_sent(&mut self) {
         self.record.in_flight -= 1;
     }
 
-    /// Counts the end of an attempt that was sent, perhaps long after the caller was told that its
-    /// outcome is unknown. The record takes such a late answer; no caller does.
+    /// Counts the end of an attempt that was sent. If the caller has already received the outcome
+    /// "unknown", a late answer goes to the record only.
     pub(super) fn end_sent(&mut self, id: attempt::Id, answer: Option<Answer>) {
         self.record.in_flight -= 1;
         self.record.sent = true;
@@ -60,17 +60,17 @@
         }
     }
 
-    /// Whether nothing more will come.
+    /// Whether the caller is answered and no attempt is in flight.
     pub(super) fn is_finished(&self) -> bool {
         self.reply.is_none() && self.record.in_flight == 0
     }
 
-    /// Whether a caller or a record still waits for its end.
+    /// Whether a caller or an execution record still waits for the outcome.
     pub(super) fn is_awaited(&self) -> bool {
         self.reply.is_some() || self.record.permit.is_some()
     }
 
-    /// Tells the caller the end.
+    /// Sends the outcome to the caller.
     pub(super) fn answer(&mut self, id: request::Id, outcome: RequestOutcome) {
         let reply = match outcome {
             RequestOutcome::Complete(attempt) => self.complete(id, attempt),
@@ -84,7 +84,7 @@
         };
         self.answers.clear();
         if let Some(caller) = self.reply.take() {
-            // A caller that has gone needs no answer.
+            // The send fails when the caller has gone.
             let _ = caller.send(reply);
         }
     }
@@ -99,10 +99,10 @@
     }
 }
 
-/// The right to run once, and whether it may have been used.
+/// Permit to run once, and whether an attempt may have used it.
 ///
-/// A permit that is dropped gives its key back, and a retry would run the work again. Dropped
-/// after bytes may have left, it therefore has to count as a try whose outcome was lost.
+/// A dropped permit releases its key, after which a retry would run the work again. Once bytes may
+/// have been sent, the permit is therefore recorded as a run whose outcome was lost.
 struct ExecutionRecord {
     permit: Option<Permit>,
     in_flight: usize,
@@ -117,7 +117,8 @@
     fn finish(&mut self, answer: &Answer) {
         let Some(permit) = self.permit.take() else { return };
         let content_type = answer.content_type.as_deref().unwrap_or_default();
-        let kept = intent::Answer::new(answer.status, content_type, &answer.body, RECORDED_BYTES);
+        let kept =
+            intent::Answer::new(answer.status, content_type, &answer.body, MAX_RECORDED_BYTES);
         permit.start().finish(Outcome::Answered(kept));
     }
 
--- a/src/runner/proxy/driver.rs
+++ b/src/runner/proxy/driver.rs
@@ -1,4 +1,4 @@
-//! The task that owns the router and calls runners and peers for it.
+//! Task that owns the router and executes its effects.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,10 +22,10 @@
 use crate::runner::transport::{Answer, Call, Fault, RunnerTransport};
 use crate::runner::{Effect, Router};
 
-/// Time that a passed-on request may take beyond its deadline before it counts as lost.
+/// Time beyond its deadline after which a forwarded request counts as lost.
 const FORWARD_SLACK: Duration = Duration::from_millis(500);
 
-/// The task of one instance.
+/// Routing task of one instance.
 pub struct Driver {
     pub(super) router: Router,
     pub(super) exchange: ShareExchange,
@@ -40,7 +40,7 @@
     drains: Vec<oneshot::Sender<()>>,
 }
 
-/// The end of a call to a runner or a peer.
+/// A finished call to a runner or a peer.
 pub(super) enum Completion {
     Attempt { id: attempt::Id, request: request::Id, outcome: Outcome, answer: Option<Answer> },
     Shares(Option<ShareResponse>),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Runs until every handle is gone and every request taken has been answered.
+    /// Runs until every handle is dropped and every accepted request is answered and recorded.
     pub async fn run(mut self) {
         let mut open = true;
         while open || self.active.values().any(ActiveRequest::is_awaited) {
@@ -81,17 +81,18 @@
         }
     }
 
-    /// Waits for the next thing to happen and acts on it; false once no handle is left.
+    /// Waits for the next message, finished call or timer and handles it; returns false once no
+    /// handle is left.
     async fn step(&mut self, open: bool) -> bool {
         let now = self.clock.now();
         let due = self.router.next_tick().min(self.exchange.next());
         let timer = self.clock.sleep(due.since(now)).fuse();
         pin_mut!(timer);
         let mut message = None;
-        let mut done = None;
+        let mut completion = None;
         if open {
             select_biased! {
-                ended = self.calls.select_next_some() => done = Some(ended),
+                ended = self.calls.select_next_some() => completion = Some(ended),
                 received = self.inbox.recv().fuse() => match received {
                     Some(received) => message = Some(received),
                     None => return false,
@@ -100,16 +101,16 @@
             }
         } else {
             select_biased! {
-                ended = self.calls.select_next_some() => done = Some(ended),
+                ended = self.calls.select_next_some() => completion = Some(ended),
                 () = timer => {}
             }
         }
         let now = self.clock.now();
         if let Some(message) = message {
-            self.accept(message, now);
+            self.handle_message(message, now);
         }
-        if let Some(done) = done {
-            self.end(done, now);
+        if let Some(completion) = completion {
+            self.handle_completion(completion, now);
         }
         if self.router.next_tick() <= now {
             let effects = self.router.tick(now);
@@ -118,7 +119,7 @@
         open
     }
 
-    fn accept(&mut self, message: Message, now: Instant) {
+    fn handle_message(&mut self, message: Message, now: Instant) {
         match message {
             Message::Submit(submission) => self.submit(submission, now),
             Message::Members(members) => {
@@ -127,7 +128,7 @@
             }
             Message::Role(role) => self.exchange.set_role(role, now),
             Message::GrantShares(request, reply) => {
-                // Whoever asked may have gone.
+                // The send fails when the requester has gone.
                 let _ = reply.send(self.exchange.grant_shares(&request, now));
             }
             Message::Drain(reply) => {
@@ -156,8 +157,8 @@
         self.carry_out(effects);
     }
 
-    fn end(&mut self, done: Completion, now: Instant) {
-        let (id, request, outcome, answer) = match done {
+    fn handle_completion(&mut self, completion: Completion, now: Instant) {
+        let (id, request, outcome, answer) = match completion {
             Completion::Attempt { id, request, outcome, answer } => (id, request, outcome, answer),
             Completion::Shares(response) => {
                 let effects = self.exchange.finish(&mut self.router, response, now);
@@ -261,7 +262,7 @@
     }
 }
 
-/// A whole answer, which may still say that the runner failed.
+/// Outcome of a complete response; status 500 and above is a failure.
 fn complete(answer: Answer) -> (Outcome, Option<Answer>) {
     (Outcome::Complete { failed: answer.status >= 500 }, Some(answer))
 }
--- a/src/runner/proxy/dump.rs
+++ b/src/runner/proxy/dump.rs
@@ -1,4 +1,4 @@
-//! The state of the routing task, for people.
+//! State of the routing task, for operators.
 
 use serde::Serialize;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Dump {
-    /// Requests without an answer.
+    /// Number of requests without an answer.
     pub open_requests: usize,
     /// Milliseconds until the instance may use the slots it owns; zero once it may.
     pub warming_ms: u64,
@@ -27,15 +27,15 @@
 pub struct ServiceDump {
     /// Its name.
     pub name: String,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub queued: usize,
     /// Smoothed latency of its answers in milliseconds.
     pub latency_ms: f64,
     /// Age of the oldest attempt without an answer, in milliseconds.
     pub oldest_attempt_ms: u64,
-    /// Its runners in the own failure domain.
+    /// Its runners in this failure domain.
     pub runners: Vec<RunnerDump>,
-    /// Other failure domains that can answer its requests.
+    /// Other failure domains with live runners of the service.
     pub fallbacks: Vec<String>,
 }
 
@@ -45,13 +45,13 @@
 pub struct RunnerDump {
     /// Its name.
     pub name: String,
-    /// What the list says of it; `gone` when it is off the list.
+    /// State on the list of instances: `live` or `leaving`, or `gone` when it is not listed.
     pub state: String,
-    /// What its answers say of it: `good`, `probation` or `ejected`.
+    /// Health derived from its answers: `good`, `probation` or `ejected`.
     pub standing: String,
     /// Slots that this instance may use.
     pub allowance: u32,
-    /// Slots in use, those in doubt included.
+    /// Slots in use, including those of requests with an unknown outcome.
     pub in_use: u32,
     /// Smoothed latency of its answers in milliseconds.
     pub latency_ms: f64,
--- a/src/runner/proxy/exchange.rs
+++ b/src/runner/proxy/exchange.rs
@@ -1,4 +1,4 @@
-//! The regular exchange of shares, as keeper or with one.
+//! Periodic exchange of slot shares, as coordinator or with it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,12 +15,12 @@
 
 /// Time between two exchanges.
 const INTERVAL: Duration = Duration::from_millis(500);
-/// The same while nothing is lent, held or wanted.
-const QUIET_INTERVAL: Duration = Duration::from_secs(1);
-/// Time that a call to the keeper may take.
+/// Time between two exchanges while nothing is lent, held or wanted.
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of a call to the coordinator.
 const TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Who keeps the shares, and the ledger when it is this instance.
+/// Schedule of the exchange, and the ledger while this instance is the coordinator.
 pub(super) struct ShareExchange {
     durations: LeaseDurations,
     role: Role,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether an exchange is due; the next one is due an interval later.
+    /// Whether an exchange is due; if so, schedules the next one.
     fn is_due(&mut self, now: Instant) -> bool {
         if now < self.next {
             return false;
@@ -88,7 +88,7 @@
 }
 
 impl Driver {
-    /// Calls the keeper when it is time.
+    /// Sends a share request when an exchange is due.
     pub(super) fn exchange_shares(&mut self) {
         let now = self.clock.now();
         if !self.exchange.is_due(now) {
@@ -98,7 +98,7 @@
         let Some((coordinator, peer)) = self.exchange.coordinator() else { return };
         let request = self.router.build_share_request(coordinator, now);
         if request.runners.is_empty() {
-            self.exchange.next = now.after(QUIET_INTERVAL);
+            self.exchange.next = now.after(IDLE_INTERVAL);
         }
         match peer {
             Some(peer) => self.call_coordinator(peer, request),
--- a/src/runner/proxy/mod.rs
+++ b/src/runner/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! The router run over sockets: a handle for callers and the task that owns the state.
+//! Runs the router over sockets: a handle for callers and the task that owns the state.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,42 +31,42 @@
 pub use driver::Driver;
 pub use dump::{Dump, RunnerDump, ServiceDump};
 
-/// Whether and by whom the slots of the domain's runners are balanced.
+/// Role of this instance in the sharing of the domain's runner slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// No owner is known: each instance uses what it owns.
+    /// No coordinator is known: each instance uses only the slots it owns.
     Unknown,
-    /// The owner at this peer address keeps the shares.
+    /// The domain's owner at this peer address is the coordinator.
     Follower(CoordinatorId, SocketAddr),
-    /// This instance is the owner.
+    /// This instance is the owner and the coordinator.
     Owner(CoordinatorId),
 }
 
-/// The end of a request, with its answer.
+/// Outcome of a request, with its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The runner's whole answer.
+    /// The runner's complete response.
     Complete(Answer),
     /// Nothing reached a runner, and nothing will.
     NotRun {
-        /// Why.
+        /// Reason.
         refusal: Refusal,
-        /// When a further try makes sense.
+        /// Delay after which another attempt makes sense.
         retry_after: Duration,
     },
-    /// A runner may have worked on it, or still does.
+    /// A runner may have run the request or may still be running it.
     Unknown {
-        /// Identity under which the runner knows it.
+        /// Identity that was sent to the runner.
         id: request::Id,
-        /// Why.
+        /// Reason.
         cause: UnknownCause,
-        /// When a further try makes sense.
+        /// Delay after which another attempt makes sense.
         retry_after: Duration,
     },
 }
 
 impl Reply {
-    /// Its kind, for metrics.
+    /// Label of the outcome in metrics.
     const fn outcome(&self) -> &'static str {
         match self {
             Self::Complete(_) => "whole",
@@ -76,43 +76,43 @@
     }
 }
 
-/// A request that another failure domain passed on.
+/// A request forwarded by another failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardedRequest {
     /// Service addressed.
     pub service: String,
-    /// Whether a second run does harm.
+    /// Whether the request may run more than once.
     pub effect: Effect,
     /// Media type of the body.
     pub content_type: Option<String>,
     /// Body as the caller sent it.
     pub body: Bytes,
-    /// Time left to the caller.
+    /// Time until the caller's deadline.
     pub budget: Duration,
 }
 
-/// What the task needs from its process.
+/// Configuration and dependencies of the task.
 pub struct Options {
     /// Limits and budgets.
     pub policy: Policy,
     /// Failure domain of the instance.
     pub domain: domain::Name,
-    /// Its place among the entry instances of the domain.
+    /// Position among the entry instances of the domain.
     pub position: Position,
-    /// Random number of the process.
+    /// Random number that identifies the run of the process.
     pub run: u64,
-    /// Time for which its own slots rest after the start; see [`LocalSlots::new`]. The loan span when
-    /// none is given.
+    /// Time after the start before the instance uses its own slots, see [`LocalSlots::new`]; by
+    /// default the duration of a loan.
     pub warm_up: Option<Duration>,
-    /// Way to runners.
+    /// Transport to the runners.
     pub transport: Rc<dyn RunnerTransport>,
-    /// Way to other entry instances.
+    /// Transport to other entry instances.
     pub peers: Rc<dyn PeerTransport>,
-    /// Time.
+    /// Clock.
     pub clock: Rc<dyn Clock>,
-    /// Record of at-most-once work; without it such work is refused.
+    /// Recorder of at-most-once work; without it such work is refused.
     pub guard: Option<Guard>,
-    /// Who may ask for what.
+    /// Accepted services and their tokens.
     pub access: Access,
 }
 
@@ -125,7 +125,7 @@
     clock: Rc<dyn Clock>,
 }
 
-/// What handles tell the task.
+/// Messages from handles to the task.
 enum Message {
     Submit(Submission),
     Members(Vec<Member>),
@@ -135,7 +135,7 @@
     Dump(oneshot::Sender<Dump>),
 }
 
-/// A request on its way to the task.
+/// A request handed over to the task.
 struct Submission {
     call: Call,
     effect: Effect,
@@ -145,7 +145,7 @@
 }
 
 impl Proxy {
-    /// Builds a handle and the task behind it.
+    /// Creates a handle and its task.
     pub fn new(options: Options) -> (Self, Driver) {
         let (sender, inbox) = unbounded::channel();
         let Options { policy, domain, position, run, warm_up, .. } = options;
@@ -159,62 +159,62 @@
         (Self { sender, guard, access: Rc::new(access), clock }, driver)
     }
 
-    /// Takes in the list of instances as it is now believed.
+    /// Replaces the list of instances.
     pub fn set_members(&self, members: Vec<Member>) {
         self.send(Message::Members(members));
     }
 
-    /// Takes in who keeps the shares of the domain's runners.
+    /// Sets this instance's role in slot sharing.
     pub fn set_role(&self, role: Role) {
         self.send(Message::Role(role));
     }
 
-    /// Answers a call for shares as the domain's keeper; `None` when this instance is not the
-    /// keeper or a later call of the same instance came first.
+    /// Handles a share request as coordinator; returns `None` when this instance is not the
+    /// coordinator or a later request of the same instance came first.
     pub async fn grant_shares(&self, request: ShareRequest) -> Option<ShareResponse> {
         let (reply, answer) = oneshot::channel();
         self.send(Message::GrantShares(request, reply));
         answer.await.ok().flatten()
     }
 
-    /// Answers a request that another domain passed on; the other domain keeps its record.
+    /// Runs a request forwarded by another domain; that domain records at-most-once work.
     pub async fn run_forwarded(&self, forwarded: ForwardedRequest) -> Reply {
         let ForwardedRequest { service, effect, content_type, body, budget } = forwarded;
         let call = Call { id: request::Id::from_raw(0), service, content_type, body, budget };
         self.submit(call, effect, true, None).await
     }
 
-    /// Runs a request of a caller. With `permit`, its end is recorded under the permit's key; the
-    /// key is given back when nothing was run.
+    /// Runs a caller's request. With `permit`, the outcome is recorded under the permit's key; the
+    /// key is released when nothing ran.
     pub async fn run(&self, call: Call, effect: Effect, permit: Option<Permit>) -> Reply {
         self.submit(call, effect, false, permit).await
     }
 
-    /// Refuses new requests from now on and returns once every request taken has been answered.
+    /// Refuses new requests from now on and returns once every accepted request is answered.
     pub async fn drain(&self) {
         let (reply, drained) = oneshot::channel();
         self.send(Message::Drain(reply));
         let _ = drained.await;
     }
 
-    /// The state of the task; `None` when it has ended.
+    /// State of the task; `None` when it has ended.
     pub async fn dump(&self) -> Option<Dump> {
         let (reply, dump) = oneshot::channel();
         self.send(Message::Dump(reply));
         dump.await.ok()
     }
 
-    /// Record of at-most-once work, when there is one.
+    /// Recorder of at-most-once work, if there is one.
     pub(super) fn guard(&self) -> Option<&Guard> {
         self.guard.as_ref()
     }
 
-    /// Who may ask for what.
+    /// Accepted services and their tokens.
     pub(super) fn access(&self) -> &Access {
         &self.access
     }
 
-    /// Time.
+    /// Clock.
     pub(super) fn clock(&self) -> &dyn Clock {
         &*self.clock
     }
@@ -229,7 +229,7 @@
         let (reply, answer) = oneshot::channel();
         let arrived = self.clock.now();
         self.send(Message::Submit(Submission { call, effect, forwarded, permit, reply }));
-        // Without a task the message is dropped, and with it the permit: nothing ran.
+        // If the task has ended, the message and its permit are dropped: nothing ran.
         let ended =
             Reply::NotRun { refusal: Refusal::ShuttingDown, retry_after: Duration::from_secs(1) };
         let reply = answer.await.unwrap_or(ended);
@@ -239,7 +239,7 @@
     }
 
     fn send(&self, message: Message) {
-        // A task that has ended answers nobody; each caller above says what that means.
+        // The send fails only when the task has ended; each caller handles the missing reply.
         let _ = self.sender.send(message);
     }
 }
--- a/src/runner/queue.rs
+++ b/src/runner/queue.rs
@@ -1,14 +1,14 @@
-//! Requests that wait for a slot, the one that is due first at the front.
+//! Queue of requests that wait for a slot, ordered by due time.
 
 use std::collections::BTreeMap;
 
 use crate::clock::Instant;
 use crate::runner::request::Id;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// When it should start; decides its place.
+    /// Time at which it should start; orders the queue.
     pub due: Instant,
     /// The request.
     pub id: Id,
@@ -16,19 +16,19 @@
     pub deadline: Instant,
 }
 
-/// A queue ordered by due time; equal ones keep the order of identities.
+/// A queue ordered by due time, then by request identity.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     waiting: BTreeMap<(Instant, Id), Instant>,
 }
 
 impl Queue {
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
@@ -38,12 +38,12 @@
         self.waiting.insert((entry.due, entry.id), entry.deadline);
     }
 
-    /// The request that is due first.
+    /// The request that is served first.
     pub fn first(&self) -> Option<Entry> {
         self.iter().next()
     }
 
-    /// All that wait, in their order.
+    /// All queued requests in the order in which they are served.
     pub fn iter(&self) -> impl Iterator<Item = Entry> + '_ {
         let entry = |((due, id), deadline): (&(Instant, Id), &Instant)| Entry {
             due: *due,
@@ -53,12 +53,12 @@
         self.waiting.iter().map(entry)
     }
 
-    /// Removes a request; false when it does not wait.
+    /// Removes a request; returns false when it is not queued.
     pub fn remove(&mut self, due: Instant, id: Id) -> bool {
         self.waiting.remove(&(due, id)).is_some()
     }
 
-    /// Requests that go before one that is due at this moment.
+    /// Number of queued requests that are served before one that is due at `due`.
     ///
     /// ```
     /// use oriolefork::clock::Instant;
--- a/src/runner/request.rs
+++ b/src/runner/request.rs
@@ -1,4 +1,4 @@
-//! Requests of callers and what becomes of them.
+//! Callers' requests and their outcomes.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use crate::job::Effect;
 use crate::runner::attempt;
 
-/// Identity of one request at one entry instance; echoed by runners and named to the caller.
+/// Identity of one request at one entry instance; runners echo it, and callers receive it when the
+/// outcome is unknown.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{_0:016x}")]
 pub struct Id(u64);
@@ -26,25 +27,25 @@
     }
 }
 
-/// What the router knows of a request; its body stays with the caller's task.
+/// A request without its body, which the proxy's task keeps.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// Its identity.
     pub id: Id,
     /// Service whose runners answer it.
     pub service: String,
-    /// Whether a second run does harm.
+    /// Whether the request may run more than once.
     pub effect: Effect,
-    /// Moment from which the caller no longer waits.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
-    /// Whether another failure domain passed it on; such a request is not passed on again.
+    /// Whether another failure domain forwarded it; such a request is not forwarded again.
     pub forwarded: bool,
 }
 
 /// Why a request was refused before anything was sent.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// No runner of the service is known or usable anywhere in reach.
+    /// No runner of the service is usable in any reachable failure domain.
     #[display("no live runner")]
     NoRunner,
     /// The queue is full, or the wait in it would be too long.
@@ -53,45 +54,45 @@
     /// The deadline would pass before an answer could come.
     #[display("deadline cannot be met")]
     Deadline,
-    /// Every try ended before a byte was sent.
+    /// Every attempt ended before a byte was sent.
     #[display("no runner could be reached")]
     Unreachable,
-    /// The instance is about to go.
+    /// The instance is shutting down.
     #[display("shutting down")]
     ShuttingDown,
-    /// At-most-once work needs a record that cannot be written.
+    /// The record that at-most-once work requires cannot be written.
     #[display("at-most-once work cannot be recorded")]
     Unrecorded,
 }
 
-/// Why nothing is known of a request that was sent.
+/// Why the outcome of a sent request is unknown.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum UnknownCause {
-    /// The deadline passed before a whole answer came.
+    /// The deadline passed before a complete response arrived.
     #[display("deadline passed")]
     Deadline,
-    /// The connection ended, or the answer was broken or not to this request.
+    /// The connection ended, or the response was malformed or belonged to another request.
     #[display("no whole answer")]
     Broken,
 }
 
-/// The end of a request, told to its caller once.
+/// Final outcome of a request, reported to its caller exactly once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer that this attempt received.
+    /// The complete response that this attempt received.
     Complete(attempt::Id),
-    /// Nothing was sent, and nothing will be.
+    /// Nothing reached a runner, and nothing will.
     NotRun {
-        /// Why.
+        /// Reason.
         refusal: Refusal,
-        /// When a further try makes sense.
+        /// Delay after which another attempt makes sense.
         retry_after: Duration,
     },
-    /// A runner may have worked on it, or still does.
+    /// A runner may have run the request or may still be running it.
     Unknown {
-        /// Why.
+        /// Reason.
         cause: UnknownCause,
-        /// When a further try makes sense.
+        /// Delay after which another attempt makes sense.
         retry_after: Duration,
     },
 }
--- a/src/runner/router/dispatch.rs
+++ b/src/runner/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! The way of a request from its arrival to an attempt or a refusal.
+//! Path of a request from its arrival to an attempt or a refusal.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::runner::upstream::Upstream;
 
 impl Router {
-    /// Starts, passes on, queues or refuses a request that has no attempt.
+    /// Starts, forwards, queues or refuses a request that has no attempt in flight.
     pub(super) fn route(&mut self, id: request::Id, now: Instant) {
         let Some(pending) = self.pending.get(&id) else { return };
         let remaining = pending.request.deadline.since(now);
@@ -43,11 +43,11 @@
         }
     }
 
-    /// Queues a request by the moment at which it should start.
+    /// Queues a request by the time at which it should start.
     ///
-    /// Ordered by deadlines alone, a stream of short deadlines would hold back the long ones until
-    /// those are due as well, and under overload every request would start at its last moment. So
-    /// no request is due later than the queue's target after its arrival.
+    /// With an order by deadline alone, a stream of short deadlines would delay the long ones until
+    /// those are due as well, and under overload every request would start at its last moment. A
+    /// request is therefore due at the latest `queue_burst` after its arrival.
     fn enqueue(&mut self, id: request::Id, slots: u32, now: Instant) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let Some(service) = self.services.get_mut(&pending.request.service) else { return };
@@ -65,7 +65,7 @@
         service.queue.push(Entry { due, id, deadline });
     }
 
-    /// Starts an attempt at a runner of the own domain; false when none can take it.
+    /// Starts an attempt at a runner of the own domain; returns false when none can take it.
     pub(super) fn start(&mut self, id: request::Id, now: Instant) -> bool {
         let Some(pending) = self.pending.get_mut(&id) else { return false };
         let Some(service) = self.services.get_mut(&pending.request.service) else { return false };
@@ -104,7 +104,7 @@
         true
     }
 
-    /// Passes a request on to another domain because the own one has no usable runner.
+    /// Forwards a request because the own domain has no usable runner, or ends it.
     fn forward_or_end(&mut self, id: request::Id, now: Instant) {
         let warming = self.shares.usable_from().since(now);
         if !self.forward(id, now) {
@@ -112,10 +112,10 @@
         }
     }
 
-    /// Passes a request on that the own domain would refuse for load.
+    /// Forwards a request that the own domain would refuse for load, or refuses it.
     ///
-    /// Where every domain is overloaded, the first refusal of another one stops this for a while,
-    /// so that it adds next to nothing to their load.
+    /// When every domain is overloaded, the first refusal by another domain stops forwards to it
+    /// for a while, so they add little to its load.
     fn forward_overflow(
         &mut self,
         id: request::Id,
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Sends a request to an entry instance of another domain; false when none may get it.
+    /// Forwards a request to an entry instance of another domain; returns false when none is
+    /// available.
     fn forward(&mut self, id: request::Id, now: Instant) -> bool {
         let Some(pending) = self.pending.get_mut(&id) else { return false };
         let Some(service) = self.services.get_mut(&pending.request.service) else { return false };
@@ -150,12 +151,12 @@
         true
     }
 
-    /// Sends a second copy of a request that takes longer than most, if that can do no harm.
+    /// Sends a second copy of an idempotent request that takes longer than most.
     pub(super) fn hedge(&mut self, id: request::Id, now: Instant) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let Some(service) = self.services.get_mut(&pending.request.service) else { return };
         let may_hedge = pending.in_flight.len() == 1 && pending.attempts < self.policy.max_attempts;
-        // While requests wait, a hedge would take the slot of one of them.
+        // A hedge would take the slot of a queued request.
         if !may_hedge || pending.hedged || !service.queue.is_empty() || self.draining {
             return;
         }
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Starts waiting requests in their order while there are free slots, and refuses those whose
-    /// answer would come too late.
+    /// Starts queued requests in order while slots are free, and refuses those whose answer would
+    /// come too late.
     pub(super) fn dispatch(&mut self, name: &str, now: Instant) {
         while let Some(service) = self.services.get_mut(name) {
             let Some(first) = service.queue.first() else {
@@ -201,10 +202,10 @@
         }
     }
 
-    /// Ends a request for which nothing more will be tried.
+    /// Ends a request without a further attempt.
     ///
-    /// "Not run" is said only when no attempt ever sent a byte; an earlier attempt that broke off
-    /// makes it unknown, and an earlier whole answer that reports a fault is better than either.
+    /// The outcome is `NotRun` only if no attempt sent a byte. An attempt that broke off makes it
+    /// `Unknown`; an earlier complete response with a server error takes precedence over both.
     pub(super) fn end_unanswered(&mut self, id: request::Id, refusal: Refusal, delay: Duration) {
         let retry_after = self.with_jitter(delay);
         self.unqueue(id);
@@ -224,7 +225,7 @@
         self.effects.push(Effect::Answer { request: id, outcome });
     }
 
-    /// Spreads the return of refused callers, who else would all come back at once.
+    /// Adds jitter to a retry delay, so that refused callers do not all return at once.
     pub(super) fn with_jitter(&mut self, delay: Duration) -> Duration {
         delay.max(MIN_RETRY_AFTER).mul_f64(self.rng.random_range(1.0..2.0))
     }
--- a/src/runner/router/members.rs
+++ b/src/runner/router/members.rs
@@ -1,4 +1,4 @@
-//! Taking in the list of instances.
+//! Applying the list of instances to the router.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,8 +18,9 @@
             return;
         }
         let name = Name::from(member.name.as_str());
-        // Each instance opens at most as many connections as it may hold slots in all, so that
-        // the instances together stay within the runner's connections whatever their shares are.
+        // An instance opens one connection per slot that it uses and may come to use all slots of a
+        // runner. Their number is therefore limited to `connections / count`, so that all instances
+        // together stay within the connections that the runner accepts.
         let count = self.shares.position().count.max(1);
         let slots = self.shares.add_runner(&name, (*slots).min(connections / count));
         let service =
--- a/src/runner/router/mod.rs
+++ b/src/runner/router/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions on quick requests, as a state machine without sockets or clock.
+//! Routing decisions on quick requests, as a state machine without sockets or clock.
 
 mod dispatch;
 mod members;
@@ -24,52 +24,52 @@
 use crate::runner::share::{CoordinatorId, Handle, LocalSlots, ShareRequest, ShareResponse};
 use crate::runner::{Policy, request};
 
-/// Time between two looks at queues and at slow runners.
+/// Time between two reviews of the queues and of slow runners.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
-/// The same while there is no request.
+/// Time between two reviews while there is no request.
 const IDLE_REVIEW_INTERVAL: Duration = Duration::from_secs(1);
-/// Shortest time after which a refused caller is told to come back.
+/// Shortest retry delay sent to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Time for which a domain that could not be reached or refused gets no requests.
+/// Time without forwards to a domain that refused a request or could not be reached.
 const REMOTE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Something to be done for the router.
+/// An action that the router's caller executes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a request to a runner and listen for its answer until `timeout` has passed.
+    /// Send a request to a runner and wait for its answer for at most `timeout`.
     Send {
         /// Identity under which the outcome is reported.
         attempt: attempt::Id,
         /// The request.
         request: request::Id,
-        /// Where the runner is reached.
+        /// Address of the runner.
         peer: SocketAddr,
-        /// Time left to the caller.
+        /// Time until the caller's deadline.
         budget: Duration,
-        /// Time to listen for.
+        /// Longest wait for the answer.
         timeout: Duration,
     },
-    /// Pass a request on to an entry instance of another failure domain.
+    /// Forward a request to an entry instance of another failure domain.
     Forward {
         /// Identity under which the outcome is reported.
         attempt: attempt::Id,
         /// The request.
         request: request::Id,
-        /// Where the instance is reached.
+        /// Address of the instance.
         peer: SocketAddr,
-        /// Time left to the caller.
+        /// Time until the caller's deadline.
         budget: Duration,
     },
-    /// Tell the caller how the request ended; comes once for each request.
+    /// Report the outcome to the caller; emitted once for each request.
     Answer {
         /// The request.
         request: request::Id,
-        /// How it ended.
+        /// Its outcome.
         outcome: RequestOutcome,
     },
 }
 
-/// What is due at a moment; stale ones are skipped when they come up.
+/// A timer; stale ones are skipped when they expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Deadline(request::Id),
@@ -94,7 +94,7 @@
 }
 
 impl Router {
-    /// Creates the router of an instance of `domain`; `seed` decides its random choices.
+    /// Creates the router of an instance of `domain`; `seed` seeds its random choices.
     pub fn new(policy: Policy, domain: domain::Name, shares: LocalSlots, seed: u64) -> Self {
         Self {
             policy,
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Takes in the list of instances. A runner that leaves or is gone gets no new work from here
-    /// on; what it works on goes on.
+    /// Applies the list of instances. A runner that is leaving or no longer listed gets no new
+    /// requests; those in flight continue.
     pub fn set_members(&mut self, members: &[Member], now: Instant) -> Vec<Effect> {
         for service in self.services.values_mut() {
             service.runners.iter_mut().for_each(|runner| runner.state = None);
@@ -128,7 +128,7 @@
         self.take_effects()
     }
 
-    /// Takes in a request and starts, queues, passes on or refuses it.
+    /// Starts, queues, forwards or refuses a new request.
     pub fn submit(&mut self, request: Request, now: Instant) -> Vec<Effect> {
         let id = request.id;
         self.next_review = self.next_review.min(now.after(REVIEW_INTERVAL));
@@ -144,7 +144,7 @@
         self.take_effects()
     }
 
-    /// Takes in the end of an attempt.
+    /// Applies the outcome of an attempt.
     pub fn finish(&mut self, id: attempt::Id, outcome: Outcome, now: Instant) -> Vec<Effect> {
         let Some(attempt) =
             self.attempts.get(&id).filter(|attempt| !attempt.outcome_unknown).cloned()
@@ -164,7 +164,7 @@
         self.take_effects()
     }
 
-    /// Lets time pass: deadlines, hedges and the regular review.
+    /// Handles expired deadlines, hedges and slots, and the periodic review.
     pub fn tick(&mut self, now: Instant) -> Vec<Effect> {
         while let Some(Reverse((at, timer))) = self.timers.peek().copied() {
             if now < at {
@@ -186,23 +186,23 @@
         self.take_effects()
     }
 
-    /// When [`Self::tick`] is due next.
+    /// Time at which [`Self::tick`] is due next.
     pub fn next_tick(&self) -> Instant {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         timer.map_or(self.next_review, |at| at.min(self.next_review))
     }
 
-    /// Refuses new requests from here on; those taken go on to their end.
+    /// Refuses new requests from now on; accepted ones run to their end.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Requests without an answer.
+    /// Number of requests without an outcome.
     pub fn open_requests(&self) -> usize {
         self.pending.len()
     }
 
-    /// Builds the next call to the keeper of shares.
+    /// Builds the next request to the coordinator.
     pub fn build_share_request(
         &mut self,
         coordinator: CoordinatorId,
@@ -218,7 +218,7 @@
         })
     }
 
-    /// Takes in the keeper's answer.
+    /// Applies the coordinator's response.
     pub fn apply_response(&mut self, response: &ShareResponse, now: Instant) -> Vec<Effect> {
         if self.shares.apply_response(response, now) {
             self.dispatch_all(now);
@@ -231,7 +231,7 @@
         &self.shares
     }
 
-    /// Services and their state, for dumps and metrics.
+    /// State of each service, for dumps and metrics.
     pub fn services(&self) -> &BTreeMap<String, Service> {
         &self.services
     }
--- a/src/runner/router/outcome.rs
+++ b/src/runner/router/outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt means for its upstream and its request.
+//! Effects of an attempt's outcome on its upstream and its request.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -34,8 +34,8 @@
         if is_good {
             return runner.health.record_success(latency, now);
         }
-        // An answer to another request shows a runner that mixes up its callers: no second chance
-        // before it has been out of use for a while.
+        // A response to another request shows that the runner mixes up its callers, so one is
+        // enough to eject it.
         let is_bad =
             runner.health.record_failure(&self.policy, now) || outcome == Outcome::Mismatched;
         if is_bad && can_eject && !runner.health.is_ejected(now) {
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Frees the slot, unless the runner may still work on the request: then the slot stays taken
-    /// until the run limit has passed, or two requests would share it.
+    /// Releases the slot, unless the runner may still be working on the request. The slot then
+    /// stays taken until the run limit has passed, so that two requests never share it.
     pub(super) fn release_slot(
         &mut self,
         id: attempt::Id,
@@ -113,11 +113,11 @@
         outcome: Outcome,
         now: Instant,
     ) {
-        // A late answer to a request that has had its verdict ends here and reaches no one.
+        // The request already has its outcome; a late answer is dropped.
         let Some(pending) = self.pending.get_mut(&request) else { return };
         pending.in_flight.retain(|other| *other != id);
         match outcome {
-            Outcome::Complete { failed: false } => return self.answer_whole(request, id),
+            Outcome::Complete { failed: false } => return self.answer_complete(request, id),
             Outcome::Complete { failed: true } => {
                 pending.may_have_run = true;
                 pending.failed_answer = Some(id);
@@ -134,14 +134,13 @@
         }
     }
 
-    pub(super) fn answer_whole(&mut self, request: request::Id, attempt: attempt::Id) {
+    pub(super) fn answer_complete(&mut self, request: request::Id, attempt: attempt::Id) {
         self.pending.remove(&request);
         let outcome = RequestOutcome::Complete(attempt);
         self.effects.push(Effect::Answer { request, outcome });
     }
 
-    /// Tries again where that can do no harm and the budget allows it, else ends the request at
-    /// once.
+    /// Retries the request if that is safe and the budget allows it, else ends it at once.
     fn retry(&mut self, id: request::Id, refusal: Refusal, now: Instant) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let Some(service) = self.services.get_mut(&pending.request.service) else { return };
--- a/src/runner/router/pending.rs
+++ b/src/runner/router/pending.rs
@@ -1,4 +1,4 @@
-//! A request that has no verdict yet.
+//! A request without an outcome.
 
 use crate::clock::Instant;
 use crate::domain;
@@ -7,7 +7,7 @@
 use crate::runner::attempt::{self, Attempt, Target};
 use crate::runner::request::Request;
 
-/// A request without an answer.
+/// A request without an outcome.
 #[derive(Clone, Debug)]
 pub struct Pending {
     pub request: Request,
@@ -17,7 +17,7 @@
     pub tried_runners: Vec<Name>,
     pub tried_domains: Vec<domain::Name>,
     pub hedged: bool,
-    /// Its place in the queue, while it waits there.
+    /// Its due time in the queue, while it is queued.
     pub queued: Option<Instant>,
     pub may_have_run: bool,
     pub failed_answer: Option<attempt::Id>,
--- a/src/runner/router/review.rs
+++ b/src/runner/router/review.rs
@@ -1,4 +1,4 @@
-//! The regular look at slow runners and at what waits.
+//! Periodic review of slow runners and of the queues.
 
 use crate::clock::Instant;
 use crate::runner::request::{self, Refusal};
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Refuses what waits and can no longer be in time, so that its caller need not wait as well.
+    /// Refuses queued requests that can no longer meet their deadline, so that their callers learn
+    /// it early.
     pub(super) fn refuse_late(&mut self, name: &str, now: Instant) {
         let Some(service) = self.services.get(name) else { return };
         let slots = service.slots(&self.shares, now);
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Finds another way for what waits once the domain has no usable runner left.
+    /// Routes the queued requests anew once the domain has no usable runner left.
     pub(super) fn reroute_queued(&mut self, name: &str, now: Instant) {
         let Some(service) = self.services.get(name) else { return };
         let waiting: Vec<request::Id> = service.queue.iter().map(|entry| entry.id).collect();
--- a/src/runner/service.rs
+++ b/src/runner/service.rs
@@ -1,4 +1,4 @@
-//! One service: its runners, its queue and its budgets at this instance.
+//! State of one service at this instance: runners, queue and budgets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,16 +17,17 @@
 use crate::runner::upstream::Upstream;
 use crate::runner::{Name, Policy};
 
-/// Another failure domain that can answer the service's requests.
+/// Another failure domain with live runners of the service.
 #[derive(Clone, Debug)]
 pub struct Remote {
     /// Its name.
     pub domain: domain::Name,
-    /// Entry instances there.
+    /// Addresses of its entry instances.
     pub entries: Vec<SocketAddr>,
-    /// Requests passed on and not yet answered.
+    /// Forwarded requests without an answer.
     pub outstanding: usize,
-    /// Moment until which it gets none, after it refused or could not be reached.
+    /// No request is forwarded to it before this time; set after it refused one or could not be
+    /// reached.
     pub blocked_until: Instant,
 }
 
@@ -37,15 +38,15 @@
     pub runners: Vec<Upstream>,
     /// Other failure domains with live runners of the service.
     pub remotes: Vec<Remote>,
-    /// Requests that wait for a slot.
+    /// Queue of requests that wait for a slot.
     pub queue: Queue,
     /// Latencies of recent answers.
     pub latency: Window,
-    /// Allowance for retries.
+    /// Budget for retries.
     pub retries: Budget,
-    /// Allowance for hedges.
+    /// Budget for hedges.
     pub hedges: Budget,
-    /// Slots that its requests need.
+    /// Measured need for slots.
     pub demand: Demand,
     /// When the queue was last empty.
     pub last_empty: Instant,
@@ -79,7 +80,7 @@
 
     /// Chooses the cheaper of two random runners that can start a request now.
     ///
-    /// Runners in `tried` come last: a retry goes elsewhere while there is an elsewhere.
+    /// Runners in `tried` are chosen only when no other runner can start the request.
     pub fn choose_runner(
         &self,
         shares: &LocalSlots,
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Chooses the least busy domain that may get requests now, and one of its entry instances.
+    /// Chooses the available domain with the fewest outstanding requests, and one of its entry
+    /// instances.
     pub fn choose_remote(
         &self,
         policy: &Policy,
@@ -128,16 +130,17 @@
         Some((index, entry))
     }
 
-    /// Expected wait behind `ahead` requests when no slot is free.
+    /// Expected wait behind `ahead` queued requests when no slot is free.
     pub fn expected_wait(&self, ahead: usize, slots: u32) -> Duration {
         let turns = (ahead + 1) as f64 / f64::from(slots.max(1));
         Duration::from_secs_f64(turns * self.latency.mean() / 1000.0)
     }
 
-    /// Why a request with `left` to its deadline should not wait in the queue, if so.
+    /// Reason not to queue a request with `remaining` time to its deadline; `None` when it may be
+    /// queued.
     ///
-    /// A burst may wait its turn. A queue that stands only delays every request in it and answers
-    /// no more of them, and is kept short.
+    /// A short burst may wait. A standing queue only delays every request in it without raising the
+    /// throughput, so its expected wait is limited to the lower `queue_target`.
     pub fn queue_refusal(
         &self,
         policy: &Policy,
@@ -148,7 +151,8 @@
     ) -> Option<Refusal> {
         let is_standing = now.since(self.last_empty) > policy.burst_window;
         let target = if is_standing { policy.queue_target } else { policy.queue_burst };
-        // One that goes to the front holds back the others, so that the whole queue counts here.
+        // A request that enters at the front delays all others, so the length of the whole queue
+        // counts here.
         let longest = self.expected_wait(self.queue.len(), slots);
         if self.queue.len() >= policy.queue_length || longest > target {
             return Some(Refusal::Overloaded);
@@ -157,14 +161,15 @@
             .then_some(Refusal::Deadline)
     }
 
-    /// Whether one more runner may be ejected without giving up too many.
+    /// Whether one more runner may be ejected without exceeding the allowed fraction.
     pub fn can_eject(&self, policy: &Policy, now: Instant) -> bool {
         let live = self.runners.iter().filter(|runner| runner.is_live()).count();
         let ejected = self.runners.iter().filter(|runner| runner.health.is_ejected(now)).count();
         (ejected + 1) as f64 <= live as f64 * policy.max_ejected_fraction
     }
 
-    /// Runners whose latency is far above the median of their kind.
+    /// Indices of runners whose latency exceeds the median of the service's runners by the policy's
+    /// ratio.
     pub fn slow_runners(&self, policy: &Policy, now: Instant) -> Vec<usize> {
         let usable = self.runners.iter().filter(|runner| runner.is_usable(now));
         let mut latencies: Vec<f64> =
@@ -181,8 +186,8 @@
         (0..self.runners.len()).filter(|index| is_slow(&self.runners[*index])).collect()
     }
 
-    /// Slots of each runner that this instance needs, for the exchange with the keeper; starts a
-    /// new measurement.
+    /// Slots of each runner that this instance needs, for the exchange with the coordinator; starts
+    /// a new measurement.
     pub fn take_demand(&mut self, shares: &LocalSlots) -> Vec<(Handle, u32)> {
         let live: Vec<&Upstream> = self.runners.iter().filter(|runner| runner.is_live()).collect();
         let slots: Vec<RunnerSlots> =
@@ -190,17 +195,18 @@
         self.demand.distribute(slots)
     }
 
-    /// Requests that hold or want a slot.
+    /// Number of attempts that hold a slot and of requests that wait for one.
     pub fn load(&self) -> usize {
         self.demand.in_flight + self.queue.len()
     }
 
-    /// Latency within which most answers come: what a request needs to its deadline.
+    /// 95th percentile of the latency, or the mean while that is unknown: the time a request needs
+    /// before its deadline.
     pub fn deadline_latency(&self) -> Duration {
         self.latency.p95().unwrap_or_else(|| self.mean_latency())
     }
 
-    /// Smoothed latency in whole milliseconds.
+    /// Smoothed mean latency in whole milliseconds.
     pub fn mean_latency(&self) -> Duration {
         Duration::from_millis(self.latency.mean().ceil() as u64)
     }
--- a/src/runner/share/ledger.rs
+++ b/src/runner/share/ledger.rs
@@ -1,4 +1,4 @@
-//! The keeper's side: what was lent to it and what it granted.
+//! The coordinator's record of slots lent to it and granted by it.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,10 @@
     SlotRequest, Timestamp,
 };
 
-/// Loans and grants of one keeper.
+/// Loans and grants of one coordinator.
 ///
-/// At every future moment, grants that may still be in use never exceed loans still running.
+/// Invariant: at every future moment, the grants that may still be in use do not exceed the loans
+/// that have not expired.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     coordinator: CoordinatorId,
@@ -20,14 +21,14 @@
     pools: BTreeMap<Name, Pool>,
 }
 
-/// An amount that holds until a moment.
+/// A number of slots that is valid until a point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TimedAmount {
     amount: u32,
     until: Instant,
 }
 
-/// A wish, kept for as long as its party goes on calling.
+/// Slots that a participant wants, kept while it goes on sending requests.
 #[derive(Clone, Copy, Debug)]
 struct WantedSlots {
     amount: u32,
@@ -42,18 +43,18 @@
 }
 
 impl Ledger {
-    /// Creates the empty ledger of a new keeper. It needs no knowledge of earlier ones: what was
-    /// lent to them is lent to no one else until the loan is over.
+    /// Creates the empty ledger of a new coordinator. It needs no state of earlier coordinators:
+    /// slots lent to them are lent to no other until the loan has expired.
     pub fn new(coordinator: CoordinatorId, durations: LeaseDurations) -> Self {
         Self { coordinator, durations, seen: BTreeMap::new(), pools: BTreeMap::new() }
     }
 
-    /// Whose ledger it is.
+    /// Coordinator to which this ledger belongs.
     pub fn coordinator(&self) -> CoordinatorId {
         self.coordinator
     }
 
-    /// Answers a call; `None` when a later call of the same party came first.
+    /// Handles a request; returns `None` when a later one of the same participant came first.
     pub fn handle(&mut self, request: &ShareRequest, now: Instant) -> Option<ShareResponse> {
         let seen = self.seen.entry(request.participant).or_default();
         if request.sequence <= *seen {
@@ -63,11 +64,11 @@
         let timestamp = Timestamp { coordinator: self.coordinator, at: now };
         let known =
             request.timestamp.filter(|echo| echo.coordinator == self.coordinator && echo.at <= now);
-        let runners = known.map_or_else(Vec::new, |echo| self.settle(request, echo.at, now));
+        let runners = known.map_or_else(Vec::new, |echo| self.update_pools(request, echo.at, now));
         Some(ShareResponse { sequence: request.sequence, timestamp, runners })
     }
 
-    fn settle(
+    fn update_pools(
         &mut self,
         request: &ShareRequest,
         timestamp: Instant,
@@ -86,7 +87,7 @@
             pool.expire(now);
             let none = SlotRequest { runner: runner.clone(), lend: 0, holding: 0, want: 0 };
             let slot_request = slot_requests.get(runner).copied().unwrap_or(&none);
-            slot_grants.extend(pool.settle(
+            slot_grants.extend(pool.update(
                 request.participant,
                 slot_request,
                 timestamp,
@@ -100,7 +101,7 @@
 }
 
 impl Pool {
-    fn settle(
+    fn update(
         &mut self,
         participant: ParticipantId,
         slot_request: &SlotRequest,
@@ -123,17 +124,19 @@
         })
     }
 
-    /// The party holds no more than it says, because it voids every answer before this one.
+    /// Reduces the participant's grants to `holding`. This is safe because the participant ignores
+    /// every response to an earlier request.
     fn return_grants(&mut self, participant: ParticipantId, holding: u32) {
         if let Some(grants) = self.grants.get_mut(&participant) {
             cap(grants, holding);
         }
     }
 
-    /// Takes a loan, and returns of an earlier larger one whatever no grant rests on.
+    /// Records a loan and reduces an earlier, larger one as far as the grants allow; returns the
+    /// slots that still count as lent.
     fn lend(&mut self, participant: ParticipantId, amount: u32, until: Instant) -> u32 {
         let mut earlier = self.loans.remove(&participant).unwrap_or_default();
-        // What is being called back covers the grants that stand, and no later one.
+        // An earlier loan covers existing grants only, so it ends with the last of them.
         let grants = self.grants.values().flatten();
         let last = grants.map(|grant| grant.until).max().unwrap_or_default();
         earlier.iter_mut().for_each(|loan| loan.until = loan.until.min(last));
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Grants as much of `want` as the loans cover until `until`, and no more than a fair part.
+    /// Grants as much of `want` as the loans cover until `until`, at most the fair part.
     fn grant(&mut self, participant: ParticipantId, want: u32, until: Instant) -> u32 {
         let held = self.grants.remove(&participant).unwrap_or_default();
         let fair = self.fair_part(participant, want, until);
@@ -175,7 +178,7 @@
         0
     }
 
-    /// Max-min fair division of what is lent until `until` among all that want.
+    /// Part of `participant` in a max-min fair division of the slots lent until `until`.
     fn fair_part(&self, participant: ParticipantId, want: u32, until: Instant) -> u32 {
         let mut left = total_at(&self.loans, until);
         let mut wants: Vec<(u32, ParticipantId)> =
@@ -198,7 +201,7 @@
         others.map(|(_, want)| want.amount).sum()
     }
 
-    /// Whether loans cover grants at every moment from now on.
+    /// Whether the loans cover the grants at every future moment.
     fn is_covered(&self) -> bool {
         let ends = self.grants.values().flatten().map(|grant| grant.until);
         let mut ends: Vec<Instant> = ends.collect();
@@ -224,7 +227,7 @@
     entries.retain(|entry| entry.amount > 0);
 }
 
-/// Sum over all participants of the largest amount that still holds at `moment`.
+/// Sum over all participants of the largest amount still valid at `moment`.
 fn total_at(entries: &BTreeMap<ParticipantId, Vec<TimedAmount>>, moment: Instant) -> u32 {
     let largest = |entries: &Vec<TimedAmount>| {
         let running = entries.iter().filter(|entry| moment <= entry.until);
--- a/src/runner/share/local_slots.rs
+++ b/src/runner/share/local_slots.rs
@@ -1,4 +1,4 @@
-//! An instance's side: what it owns, has lent and may use of each runner.
+//! Slots of each runner that an instance owns, has lent and may use.
 
 use std::collections::BTreeMap;
 
@@ -21,15 +21,15 @@
     timestamp: Option<Timestamp>,
     runners: Vec<RunnerState>,
     handles: BTreeMap<Name, Handle>,
-    unused: Vec<Handle>,
+    free_handles: Vec<Handle>,
 }
 
-/// Short name of a runner at its holder, valid from [`LocalSlots::add_runner`] until the runner was removed
-/// and all of its slots were given back.
+/// Index of a runner in [`LocalSlots`], valid from [`LocalSlots::add_runner`] until the runner was
+/// removed, its slots were released and its loans have expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Handle(usize);
 
-/// The call that still may be answered.
+/// The request whose response is still accepted.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     coordinator: CoordinatorId,
@@ -37,7 +37,7 @@
     sent: Instant,
 }
 
-/// Slots not to be used until a moment.
+/// Slots lent to a coordinator and not used here before `until`.
 #[derive(Clone, Copy, Debug)]
 struct Loan {
     coordinator: CoordinatorId,
@@ -59,9 +59,9 @@
 impl LocalSlots {
     /// Creates the state of a process that may use its entitlement from `usable_from` on.
     ///
-    /// That is the loan span after its start, unless surely no process of this position has run
-    /// within it: an earlier one may have lent the entitlement, or may have left requests behind
-    /// that a runner still works on.
+    /// Pass one loan duration after the process start, unless no process of this position can have
+    /// run during that time: an earlier process may have lent the entitlement, or a runner may
+    /// still be working on its requests.
     pub fn new(
         position: Position,
         run: u64,
@@ -79,16 +79,16 @@
             timestamp: None,
             runners: Vec::new(),
             handles: BTreeMap::new(),
-            unused: Vec::new(),
+            free_handles: Vec::new(),
         }
     }
 
-    /// Place of this instance in its domain.
+    /// Position of this instance in its domain.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// Takes in a runner, or how many slots it has in all when it is known already.
+    /// Adds a runner with `limit` slots, or updates the limit of a known one.
     pub fn add_runner(&mut self, runner: &Name, limit: u32) -> Handle {
         let handle = match self.handles.get(runner) {
             Some(handle) => *handle,
@@ -100,7 +100,8 @@
         handle
     }
 
-    /// Starts nothing at a runner any more.
+    /// Stops new requests at a runner; its state is kept until its slots are released and its loans
+    /// have expired.
     pub fn remove_runner(&mut self, runner: Handle) {
         let state = &mut self.runners[runner.0];
         state.limit = 0;
@@ -119,7 +120,7 @@
         self.runners[runner.0].owned
     }
 
-    /// Slots of a runner that requests hold, those in doubt included.
+    /// Slots of a runner that requests hold, including those with an unknown outcome.
     pub fn in_use(&self, runner: Handle) -> u32 {
         self.runners[runner.0].in_use
     }
@@ -129,14 +130,14 @@
         self.allowance(runner, now).saturating_sub(self.in_use(runner))
     }
 
-    /// Takes a slot for a request; false when none is free.
+    /// Acquires a slot for a request; returns false when none is free.
     pub fn acquire(&mut self, runner: Handle, now: Instant) -> bool {
         let is_free = self.free(runner, now) > 0;
         self.runners[runner.0].in_use += u32::from(is_free);
         is_free
     }
 
-    /// Gives a slot back once the runner has surely ended the request.
+    /// Releases a slot; the runner must have ended the request.
     pub fn release(&mut self, runner: Handle) {
         let state = &mut self.runners[runner.0];
         state.in_use = state.in_use.saturating_sub(1);
@@ -147,10 +148,10 @@
         self.usable_from
     }
 
-    /// Builds the next call to `coordinator`. `demand` tells how many slots of a runner are needed.
+    /// Builds the next request to `coordinator`; `demand` returns the slots needed at a runner.
     ///
-    /// From here on, what the call lends is not used and what it gives back is given back, whether
-    /// or not it arrives. An answer to an earlier call is void.
+    /// From this call on, slots that the request lends or returns are not used here, whether or not
+    /// the request arrives. Responses to earlier requests are ignored.
     pub fn build_request(
         &mut self,
         coordinator: CoordinatorId,
@@ -175,11 +176,11 @@
                 runners.push(slot_request);
             }
         }
-        self.forget_idle(now);
+        self.remove_idle(now);
         ShareRequest { participant: self.participant, sequence: self.sequence, timestamp, runners }
     }
 
-    /// Applies an answer; false when it is late, repeated or from another keeper.
+    /// Applies a response; returns false when it is late, repeated or from another coordinator.
     pub fn apply_response(&mut self, response: &ShareResponse, now: Instant) -> bool {
         let Some(pending) = self.pending else { return false };
         if response.sequence != pending.sequence
@@ -199,7 +200,7 @@
     }
 
     fn allocate_handle(&mut self, runner: &Name) -> Handle {
-        let handle = self.unused.pop().unwrap_or(Handle(self.runners.len()));
+        let handle = self.free_handles.pop().unwrap_or(Handle(self.runners.len()));
         if handle.0 == self.runners.len() {
             self.runners.push(RunnerState::default());
         }
@@ -207,13 +208,13 @@
         handle
     }
 
-    fn forget_idle(&mut self, now: Instant) {
-        let (runners, unused) = (&mut self.runners, &mut self.unused);
+    fn remove_idle(&mut self, now: Instant) {
+        let (runners, free_handles) = (&mut self.runners, &mut self.free_handles);
         self.handles.retain(|_, handle| {
             let is_idle = runners[handle.0].is_idle(now);
             if is_idle {
                 runners[handle.0] = RunnerState::default();
-                unused.push(*handle);
+                free_handles.push(*handle);
             }
             !is_idle
         });
@@ -227,17 +228,18 @@
         allowed.min(self.limit)
     }
 
-    /// Slots lent to all keepers. A keeper may hold any of its unexpired loans, but not two.
+    /// Slots lent to all coordinators. Loans to the same coordinator replace each other, but any
+    /// unexpired one may be in force there, so the largest counts.
     fn lent(&self, now: Instant) -> u32 {
         if self.loans.is_empty() {
             return 0;
         }
-        let mut most: BTreeMap<CoordinatorId, u32> = BTreeMap::new();
+        let mut largest: BTreeMap<CoordinatorId, u32> = BTreeMap::new();
         for loan in self.loans.iter().filter(|loan| now < loan.until) {
-            let amount = most.entry(loan.coordinator).or_default();
+            let amount = largest.entry(loan.coordinator).or_default();
             *amount = (*amount).max(loan.amount);
         }
-        most.values().sum()
+        largest.values().sum()
     }
 
     fn lent_elsewhere(&self, coordinator: CoordinatorId, now: Instant) -> u32 {
@@ -260,9 +262,9 @@
     ) -> SlotRequest {
         self.loans.retain(|loan| now < loan.until);
         let want = demand.min(self.limit).saturating_sub(owned);
-        let overhang = self.in_use.saturating_sub(owned.saturating_sub(self.lent(now)));
+        let borrowed_in_use = self.in_use.saturating_sub(owned.saturating_sub(self.lent(now)));
         let borrowed = if now < self.borrowed_until { self.borrowed } else { 0 };
-        let holding = borrowed.min(want).max(overhang);
+        let holding = borrowed.min(want).max(borrowed_in_use);
         self.borrowed = borrowed.min(holding);
         let lend = coordinator.map_or(0, |coordinator| {
             let bound = owned.saturating_sub(self.in_use + self.lent_elsewhere(coordinator, now));
--- a/src/runner/share/mod.rs
+++ b/src/runner/share/mod.rs
@@ -1,19 +1,20 @@
 //! Division of a runner's slots among the entry instances of its failure domain.
 //!
-//! Every instance *owns* a fixed part of each runner's slots, its entitlement, which depends on
-//! nothing but the settings. What an instance does not need it lends for a bounded time to the
-//! keeper of its domain, and the keeper grants it under shorter leases to instances in need. The
-//! parts add up to the runner's limit whoever is the keeper, even when two instances believe
-//! themselves to be it, because a keeper only grants what was lent to it by name.
+//! Every instance *owns* a fixed part of each runner's slots, its entitlement, which depends only
+//! on the settings. It lends slots that it does not need for a bounded time to the coordinator,
+//! which is the owner of the failure domain, and the coordinator grants them under shorter leases
+//! to instances that need more. Together the instances never use more than the runner's limit, even
+//! while two of them act as coordinator, because a coordinator grants only slots that were lent to
+//! its own identity.
 //!
-//! Three rules keep it safe without comparing clocks of two processes:
+//! Three rules make this safe without comparing the clocks of two processes:
 //!
-//! - a lender counts its loan from the moment it *sends* it, the keeper from a stamp of its own
-//!   clock that the lender echoes, which is older;
-//! - a borrower counts its lease from the moment it sends its call, the keeper from the later
-//!   moment at which it answers, and adds the longest time a request may run;
-//! - a restarted process does not use its entitlement until everything that its predecessor may
-//!   have lent or sent is over.
+//! - a lender counts a loan from the moment it *sends* it, the coordinator from an earlier
+//!   timestamp of its own clock that the lender echoes;
+//! - a borrower counts its lease from the moment it sends its request, the coordinator from the
+//!   later moment of its response, and the coordinator adds the longest time a request may run;
+//! - a restarted process uses its entitlement only after every loan and every request of its
+//!   predecessor must have ended.
 
 mod ledger;
 mod local_slots;
@@ -29,10 +30,10 @@
 use crate::domain::Epoch;
 use crate::runner::Name;
 
-/// Place of an entry instance among those of its failure domain, from the settings.
+/// Position of an entry instance among those of its failure domain, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    /// Index, below `count`; no two instances that run have the same.
+    /// Index below `count`, distinct for every running instance.
     pub index: u32,
     /// Number of entry instances of the domain.
     pub count: u32,
@@ -52,7 +53,8 @@
     /// ```
     pub fn entitlement(self, runner: &Name, limit: u32) -> u32 {
         let count = self.count.max(1);
-        // The odd slots go to other positions for other runners, so that no position has less.
+        // The position that gets the remaining slots depends on the runner, so that no position is
+        // favoured overall.
         let hash = xxhash_rust::xxh3::xxh3_64(runner.as_str().as_bytes());
         let turn = (u64::from(self.index) + hash % u64::from(count)) % u64::from(count);
         let remainder = u64::from(limit % count);
@@ -60,21 +62,21 @@
     }
 }
 
-/// Spans that every instance of a domain has to agree on.
+/// Durations of leases and loans; all instances of a domain must use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseDurations {
-    /// Longest time for which a runner works on one request.
+    /// Longest time that a runner works on one request.
     pub run_limit: Duration,
     /// How long a borrower may start requests on a grant.
     pub lease: Duration,
-    /// How long a lender keeps from using what it lent.
+    /// How long a lender does not use slots that it lent.
     pub loan: Duration,
-    /// Allowance for clocks that run at unlike rates.
+    /// Allowance for clocks that run at different rates.
     pub margin: Duration,
 }
 
 impl LeaseDurations {
-    /// Terms for a run limit, with leases that outlive a few lost exchanges.
+    /// Durations for a run limit, with leases long enough to survive a few lost exchanges.
     ///
     /// ```
     /// use oriolefork::runner::share::LeaseDurations;
@@ -89,7 +91,7 @@
         Self { run_limit, lease, loan, margin }
     }
 
-    /// Time after a grant at which its last request is surely over.
+    /// Time by which every request started under a grant made at `now` has ended.
     fn grant_end(&self, now: Instant) -> Instant {
         now.after(self.lease + self.run_limit + self.margin)
     }
@@ -101,7 +103,7 @@
     }
 }
 
-/// Identity of one keeper: the owner's epoch and the run of its process.
+/// Identity of a coordinator: the owner's epoch and the run of its process.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{epoch}/{run:x}")]
 pub struct CoordinatorId {
@@ -111,7 +113,7 @@
     pub run: u64,
 }
 
-/// Identity of one lender or borrower.
+/// Identity of a lender or borrower.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{index}/{run:x}")]
 pub struct ParticipantId {
@@ -121,61 +123,61 @@
     pub run: u64,
 }
 
-/// A reading of a keeper's clock, meaningful to that keeper alone.
+/// A reading of a coordinator's clock, comparable only with readings of the same clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timestamp {
-    /// Whose clock.
+    /// Coordinator whose clock was read.
     pub coordinator: CoordinatorId,
     /// The reading.
     pub at: Instant,
 }
 
-/// What an instance tells the keeper, once per exchange.
+/// Request of an instance to the coordinator, one per exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShareRequest {
-    /// Who asks.
+    /// Sender of the request.
     pub participant: ParticipantId,
-    /// Rises with every call of this party; a smaller one is void.
+    /// Increases with every request of this participant; the coordinator ignores lower ones.
     pub sequence: u64,
-    /// The keeper's last stamp; without it nothing is lent.
+    /// Last timestamp received from the coordinator; without it nothing is lent or granted.
     pub timestamp: Option<Timestamp>,
-    /// One line a runner; a runner left out has nothing lent, held or wanted.
+    /// One entry per runner; a runner left out has nothing lent, held or wanted.
     pub runners: Vec<SlotRequest>,
 }
 
-/// An instance's position on one runner.
+/// Slots of one runner that an instance lends, holds and wants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRequest {
     /// The runner.
     pub runner: Name,
-    /// Own slots lent to the keeper from now on.
+    /// Own slots lent to the coordinator from now on.
     pub lend: u32,
-    /// Borrowed slots still held; the rest is given back by this call.
+    /// Borrowed slots still held; the rest is returned by this request.
     pub holding: u32,
-    /// Borrowed slots wanted in all.
+    /// Borrowed slots wanted in total.
     pub want: u32,
 }
 
-/// A keeper's answer.
+/// Response of the coordinator to a [`ShareRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShareResponse {
-    /// Sequence of the call answered.
+    /// Sequence number of the request.
     pub sequence: u64,
-    /// The keeper's clock, to be echoed in the next call.
+    /// Reading of the coordinator's clock, to be echoed in the next request.
     pub timestamp: Timestamp,
-    /// One line a runner that concerns the party.
+    /// One entry per runner that concerns the participant.
     pub runners: Vec<SlotGrant>,
 }
 
-/// What a keeper grants on one runner.
+/// Slots of one runner that the coordinator grants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotGrant {
     /// The runner.
     pub runner: Name,
-    /// Slots of the party that the keeper still counts as lent.
+    /// Slots of the participant that the coordinator still counts as lent.
     pub lent: u32,
-    /// Slots that the party may borrow for one lease, counted from its call.
+    /// Slots that the participant may borrow for one lease, counted from its request.
     pub borrowed: u32,
-    /// Slots that others want in all.
+    /// Slots that the other participants want in total.
     pub wanted_by_others: u32,
 }
--- a/src/runner/transport.rs
+++ b/src/runner/transport.rs
@@ -1,4 +1,4 @@
-//! The border to runners, the upstreams that answer quick requests.
+//! Interface to runners, the upstreams that answer quick requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,57 +16,57 @@
     pub id: request::Id,
     /// Service addressed.
     pub service: String,
-    /// Media type of the body, when the caller named one.
+    /// Media type of the body, if the caller set one.
     pub content_type: Option<String>,
     /// Body as the caller sent it.
     pub body: Bytes,
-    /// Time left to the caller.
+    /// Time until the caller's deadline.
     pub budget: Duration,
 }
 
-/// A runner's whole answer.
+/// A runner's complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Status in the sense of HTTP.
+    /// HTTP status code.
     pub status: u16,
-    /// Media type of the body, when the runner named one.
+    /// Media type of the body, if the runner set one.
     pub content_type: Option<String>,
     /// Body as the runner sent it.
     pub body: Bytes,
 }
 
-/// Why a call brought no answer.
+/// Why a call returned no response.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing left this process.
+    /// No byte was sent.
     #[display("nothing was sent: {_0}")]
     NotSent(String),
     /// The runner may have received the call.
     #[display("no whole answer: {_0}")]
     Broken(String),
     /// The runner answered with the identity of another request.
-    #[display("answer to another request")]
+    #[display("the answer belongs to another request")]
     Mismatched,
 }
 
-/// A call that failed, with the runner at which it did.
+/// A failed call and the address of the runner.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("step=runner.call peer={peer} cause={fault}")]
 pub struct Error {
     /// Address of the runner.
     pub peer: SocketAddr,
-    /// What went wrong.
+    /// Cause.
     #[error(not(source))]
     pub fault: Fault,
 }
 
-/// Way to reach runners.
+/// Sends calls to runners.
 pub trait RunnerTransport {
-    /// Sends one call to the runner at `peer` and waits up to `timeout` for its whole answer.
+    /// Sends one call to the runner at `peer` and waits up to `timeout` for its complete response.
     ///
     /// # Errors
     ///
-    /// Returns the [`Fault`] that says whether the runner may have received the call.
+    /// Returns an [`Error`] whose [`Fault`] shows whether the runner may have received the call.
     fn call<'a>(
         &'a self,
         peer: SocketAddr,
--- a/src/runner/upstream.rs
+++ b/src/runner/upstream.rs
@@ -1,4 +1,4 @@
-//! One runner as the router sees it.
+//! Router state of one runner.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
 pub struct Upstream {
     /// Its name.
     pub name: Name,
-    /// Its slots at this instance.
+    /// Handle of its slots at this instance.
     pub slots: Handle,
-    /// Where it is reached.
+    /// Address of the runner.
     pub address: SocketAddr,
-    /// Whether it takes new work; `None` once it is off the list.
+    /// State on the list of instances; `None` once it is not listed.
     pub state: Option<State>,
-    /// What its answers say of it.
+    /// Health derived from its answers.
     pub health: Health,
     /// Attempts that wait for an answer, oldest first.
     pub unanswered: BTreeSet<(Instant, attempt::Id)>,
 }
 
 impl Upstream {
-    /// Creates a runner without history.
+    /// Creates a live runner without recorded answers.
     pub fn new(name: Name, slots: Handle, address: SocketAddr) -> Self {
         Self {
             name,
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Whether it may get new work at all.
+    /// Whether the list of instances shows it as live.
     pub fn is_live(&self) -> bool {
         self.state == Some(State::Live)
     }
 
-    /// Whether it may get new work at `now`, slots left aside.
+    /// Whether it may receive requests at `now`, regardless of free slots.
     pub fn is_usable(&self, now: Instant) -> bool {
         self.is_live() && !self.health.is_ejected(now)
     }
@@ -61,10 +61,11 @@
         }
     }
 
-    /// Expected cost of one more request; `usual` stands in for a latency not yet known.
+    /// Expected cost of one more request: load per slot times latency in milliseconds. `usual`
+    /// replaces a latency that is not measured yet.
     ///
-    /// A runner that has stopped answering shows no bad latency. Its oldest unanswered attempt
-    /// does, which is why the age of that one counts as soon as it is the larger.
+    /// The measured latency of a runner that stops answering does not change. The age of its oldest
+    /// unanswered attempt replaces it as soon as that is larger.
     pub fn cost(&self, shares: &LocalSlots, usual: f64, now: Instant) -> f64 {
         let known = self.health.latency();
         let latency = if known > 0.0 { known } else { usual };
--- a/src/runner/wire.rs
+++ b/src/runner/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between entry instances about runners, in their form on the wire.
+//! Wire format of the messages about runners between entry instances.
 
 use std::time::Duration;
 
@@ -14,25 +14,25 @@
 use crate::domain::Epoch;
 use crate::job::Effect;
 
-/// Most runners that one message may speak of.
+/// Most runners in one message.
 const MAX_RUNNERS: usize = 4096;
-/// Most slots that one line may speak of.
+/// Most slots in one field of a runner's entry.
 const MAX_SLOTS: u32 = 65_536;
-/// Longest retry time that is believed.
+/// Upper bound applied to a received retry delay.
 const MAX_RETRY_MS: u64 = 600_000;
 
-/// A message whose numbers are out of their range.
+/// A message with values out of range.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
-    /// It speaks of too many runners.
+    /// The message lists too many runners.
     #[display("more than {MAX_RUNNERS} runners")]
     TooManyRunners,
-    /// It speaks of more slots than a runner can have.
+    /// An entry has more slots than a runner can have.
     #[display("more than {MAX_SLOTS} slots")]
     TooManySlots,
 }
 
-/// A keeper and a reading of its clock.
+/// Identity of a coordinator and a reading of its clock.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Timestamp {
     epoch: Epoch,
@@ -40,7 +40,7 @@
     at_ms: u64,
 }
 
-/// A call to the keeper of shares.
+/// Request of an instance to the coordinator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ShareRequest {
     index: u32,
@@ -52,7 +52,7 @@
     runners: Vec<RunnerSlots>,
 }
 
-/// The keeper's answer; empty when a later call came first.
+/// Response of the coordinator; `None` is sent when a later request came first.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ShareResponse {
     sequence: u64,
@@ -64,35 +64,35 @@
 
 /// One runner with three numbers of slots.
 ///
-/// In a call: lent, held, wanted. In an answer: lent, borrowed, called for.
+/// In a request: lent, held, wanted. In a response: lent, borrowed, wanted by others.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunnerSlots {
     runner: Name,
     slots: [u32; 3],
 }
 
-/// A request passed on to another failure domain.
+/// A request forwarded to another failure domain.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunRequest {
     /// Service addressed.
     pub service: String,
-    /// Whether a second run does harm.
+    /// Whether the request may run more than once.
     pub effect: Effect,
     /// Media type of the body.
     pub content_type: Option<String>,
     /// Body as the caller sent it.
     pub body: Vec<u8>,
-    /// Time left to the caller, in milliseconds.
+    /// Time until the caller's deadline, in milliseconds.
     pub budget_ms: u64,
 }
 
-/// The end of a request that was passed on.
+/// Result of a forwarded request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RunResponse {
-    /// The runner's whole answer.
+    /// The runner's complete response.
     #[serde(rename = "Whole")]
     Complete {
-        /// Status in the sense of HTTP.
+        /// HTTP status code.
         status: u16,
         /// Media type of the body.
         content_type: Option<String>,
@@ -101,17 +101,17 @@
     },
     /// Nothing reached a runner.
     NotRun {
-        /// Why.
+        /// Reason.
         refusal: Refusal,
-        /// Milliseconds after which a further try makes sense.
+        /// Delay before the next attempt, in milliseconds.
         retry_after_ms: u64,
     },
-    /// A runner may have worked on it.
+    /// A runner may have run it.
     Unknown {
-        /// Why.
+        /// Reason.
         #[serde(rename = "doubt")]
         cause: UnknownCause,
-        /// Milliseconds after which a further try makes sense.
+        /// Delay before the next attempt, in milliseconds.
         retry_after_ms: u64,
     },
 }
@@ -202,7 +202,7 @@
 }
 
 impl RunRequest {
-    /// The form of `call` on the wire.
+    /// Wire form of `call`.
     pub fn new(call: &Call, effect: Effect) -> Self {
         Self {
             service: call.service.clone(),
--- a/tests/logic/membership.rs
+++ b/tests/logic/membership.rs
@@ -1,4 +1,4 @@
-//! Which instances are used when list, own connections and peers disagree.
+//! Which instances are used when the list, own calls and peers disagree.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     view.members(now).iter().filter(|member| member.state == State::Live).count()
 }
 
-/// Tries every doubtful instance; those in `alive` answer.
+/// Probes every instance in doubt; those in `alive` answer.
 fn probe(view: &mut View, now: Instant, alive: impl Fn(&Key) -> bool) {
     for (key, _) in view.probes(now) {
         if alive(&key) {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn list_few_vanished_are_believed() {
+fn list_few_vanished_are_removed() {
     let mut view = view_of(&workers(50));
     let now = START.after(SECOND);
     view.apply_list(now, &workers(47));
@@ -78,8 +78,8 @@
 #[test_case(0 ; "empty")]
 #[test_case(25 ; "half")]
 fn list_mass_vanished_stays_in_use(left: u16) {
-    // Whatever feeds the list fails, and it shows half of the workers or none for ten minutes. All
-    // of them run well and answer. Work must go on as if nothing had happened.
+    // The list's data source fails for ten minutes and the list shows half of the workers or none,
+    // while all of them run and answer. All must stay in use.
     let mut view = view_of(&workers(50));
     let mut now = START;
     for _ in 0..600 {
@@ -95,8 +95,8 @@
 
 #[test]
 fn list_mass_vanished_truly_dead() {
-    // A switch takes 24 of 50 workers away. The list says so; own tries confirm it one by one, and
-    // no new work goes there after a few seconds.
+    // A failed switch cuts off 24 of 50 workers and they vanish from the list. Probes confirm each
+    // failure, and new work stops within a few seconds.
     let mut view = view_of(&workers(50));
     let mut now = START;
     for _ in 0..4 {
@@ -111,8 +111,8 @@
 
 #[test]
 fn list_decays_slowly() {
-    // The list loses two workers every 20 s, too few each time to be suspect, until it is empty.
-    // All of them answer. Only the share that is believed may be lost.
+    // The list loses two workers every 20 s, each time too few to be suspect, until it is empty,
+    // while all of them answer. At most the allowed fraction may be dropped.
     let mut view = view_of(&workers(50));
     let mut now = START;
     for lost in 0..=25 {
@@ -126,9 +126,9 @@
 }
 
 #[test]
-fn list_rolling_replacement_is_believed() {
-    // Maintenance replaces every worker within four minutes. Each was shown as leaving before it
-    // went, so that none of this is suspect.
+fn list_rolling_replacement_is_not_suspect() {
+    // Maintenance replaces every worker within four minutes. Each is listed as leaving first, so
+    // none counts as suspect.
     let mut view = view_of(&workers(50));
     let mut now = START;
     for index in 0..50_usize {
@@ -145,7 +145,7 @@
 
 #[test]
 fn suspect_without_any_answer_is_dropped() {
-    // Many vanish, and nobody here can try them. They are kept for a minute, not for ever.
+    // Many instances vanish and none is probed. They are kept for a minute, not forever.
     let mut view = view_of(&workers(50));
     let now = START.after(SECOND);
     view.apply_list(now, &[]);
@@ -171,8 +171,8 @@
 
 #[test]
 fn replaced_instance_starts_afresh() {
-    // A worker died and comes back under its name at another address. The failures of the earlier
-    // process say nothing of it.
+    // A worker restarts under its name at another address. The failures of the earlier process must
+    // not count against it.
     let mut view = view_of(&workers(3));
     for _ in 0..3 {
         view.record_failure(START, &Key::from(&worker(1)));
@@ -185,8 +185,8 @@
 
 #[test]
 fn hear_leaving_before_list() {
-    // A peer's list is fresher: it knows that a worker leaves. No new work goes there at once,
-    // although the own list still shows it as live.
+    // A peer reports that a worker is leaving while the own list still shows it as live. New work
+    // must stop at once.
     let mut view = view_of(&workers(3));
     view.apply_peer_report(START, &Key::from(&worker(1)), PeerReport::Leaving);
     view.apply_list(START.after(SECOND), &workers(3));
@@ -195,8 +195,8 @@
 
 #[test]
 fn hear_down_asks_for_own_try() {
-    // A peer that is cut off from a worker says that it is down. This instance reaches it and goes
-    // on using it.
+    // A peer that is partitioned from a worker reports it as down. A probe is due, and the worker
+    // stays in use.
     let mut view = view_of(&workers(50));
     let now = START.after(SECOND);
     view.apply_list(now, &[]);
@@ -209,7 +209,7 @@
 
 #[test]
 fn hear_answered_does_not_undo_own_failures() {
-    // A peer reaches a worker that this instance cannot reach. Here it stays down.
+    // A peer reaches a worker that this instance cannot reach. Here it must stay down.
     let mut view = view_of(&workers(3));
     let key = Key::from(&worker(1));
     for _ in 0..3 {
--- a/tests/logic/runner.rs
+++ b/tests/logic/runner.rs
@@ -1,4 +1,4 @@
-//! Decisions on quick requests.
+//! Tests of the routing of quick requests.
 
 mod load;
 mod outcome;
--- a/tests/logic/runner/load.rs
+++ b/tests/logic/runner/load.rs
@@ -1,4 +1,4 @@
-//! Queueing, refusal, hedges and retries.
+//! Queueing, refusals, hedges and retries.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     setup.warm(10);
     let id = setup.submit(effect, 1000);
     let first = setup.sent();
-    setup.pass(100);
+    setup.advance(100);
     let hedges = setup.sent();
     assert_eq!(first.len() + hedges.len(), attempts);
     if let Some((hedge, port)) = hedges.first().copied() {
@@ -29,8 +29,8 @@
     }
 }
 
-// A burst fills the queue. A caller whose deadline cannot be met waits for nothing, and only then
-// learns that it has to come back.
+// A caller whose deadline cannot be met must be refused at once instead of after a useless wait in
+// the queue.
 #[test]
 fn submit_late_is_refused_at_once() {
     let mut setup = Setup::new(1, 1);
@@ -52,12 +52,12 @@
     setup.warm(50);
     let ids: Vec<_> = (0..1000).map(|_| setup.submit(Rerun::AtMostOnce, 60_000)).collect();
     let refused = ids.iter().filter(|id| setup.outcome(**id).is_some()).count();
-    // 10 turns of 50 ms at 2 slots wait, and two run.
+    // Ten requests of 50 ms fit into the 250 ms wait at 2 slots, and two run.
     assert!((984..=990).contains(&refused), "{refused}");
 }
 
-// Load stays above what the runners can do. A queue that only ever stands full would add its whole
-// length to the waiting time of every caller, and answer no more of them.
+// A queue that stays full under constant overload adds its whole length to every caller's wait
+// without answering more of them.
 #[test]
 fn submit_standing_queue_is_kept_short() {
     let mut setup = Setup::new(1, 2);
@@ -67,7 +67,7 @@
     }
     assert!(setup.effects.iter().all(|effect| matches!(effect, Effect::Send { .. })));
     let span = Policy::default().burst_window.as_millis() as u64;
-    setup.pass(span + 100);
+    setup.advance(span + 100);
     let refused = setup.submit(Rerun::AtMostOnce, 60_000);
     let overloaded = matches!(
         setup.outcome(refused),
@@ -90,8 +90,8 @@
     assert_eq!(setup.outcome(late), None);
 }
 
-// Callers with short deadlines keep coming. One with a long deadline was taken before them and
-// would wait until its own deadline is near, for as long as they come.
+// A steady stream of short deadlines must not delay a request with a long deadline until that
+// deadline is near.
 #[test]
 fn dispatch_short_deadlines_starve_no_other() {
     let mut setup = Setup::new(1, 1);
@@ -102,7 +102,7 @@
     let mut waited = 0;
     while setup.outcome(long_deadline).is_none() {
         setup.submit(Rerun::AtMostOnce, 100);
-        setup.pass(10);
+        setup.advance(10);
         waited += 10;
         assert!(waited < 500, "starved");
         setup.finish(running, COMPLETE);
@@ -111,7 +111,7 @@
     assert!(matches!(setup.outcome(long_deadline), Some(RequestOutcome::Complete(_))));
 }
 
-/// A domain with all its slots taken and a free one beside it.
+/// A domain whose slots are all taken, beside one with free slots.
 fn overloaded() -> Setup {
     let members = vec![runner("kurow", 1, 1), runner("oamaru", 9, 8), entry("oamaru", 1)];
     let mut setup = Setup::with(Policy::default(), members);
@@ -123,8 +123,7 @@
     setup
 }
 
-// A morning rush meets one domain while the next one is quiet. Its callers are refused although
-// there are free slots in reach.
+// Callers of an overloaded domain must not be refused while another domain has free slots.
 #[test]
 fn submit_overload_spills_to_another_domain() {
     let mut setup = overloaded();
@@ -135,8 +134,7 @@
     assert_eq!(setup.outcome(spilled), Some(RequestOutcome::Complete(attempt)));
 }
 
-// Every domain is overloaded. Requests passed around would only add to the load, and their callers
-// would wait longer to hear that they have to come back.
+// When every domain is overloaded, forwarding adds to the load and delays the refusal.
 #[test]
 fn submit_overload_everywhere_is_refused_at_once() {
     let mut setup = overloaded();
@@ -150,7 +148,7 @@
     }
 }
 
-// Every runner answers with a fault. Retries that multiplied the load would keep them down.
+// Unlimited retries would multiply the load while every runner answers with a server error.
 #[test]
 fn finish_retries_stay_in_budget() {
     let mut setup = Setup::new(4, 64);
@@ -165,7 +163,7 @@
             attempts += sent.len();
             sent.iter().for_each(|(id, _)| setup.finish(*id, Outcome::Complete { failed: true }));
         }
-        setup.pass(10);
+        setup.advance(10);
     }
     let Policy { retry_ratio, budget_burst, .. } = Policy::default();
     let allowed = 1000.0 * (1.0 + retry_ratio) + budget_burst;
--- a/tests/logic/runner/outcome.rs
+++ b/tests/logic/runner/outcome.rs
@@ -1,4 +1,4 @@
-//! What callers are told, and what runners are sent.
+//! Outcomes reported to callers, and attempts sent to runners.
 
 use oriolefork::job::Effect as Rerun;
 use oriolefork::membership::State;
@@ -9,38 +9,38 @@
 
 use super::setup::{COMPLETE, Setup, entry, runner};
 
-// A caller's deadline passes while a runner still works. Its answer comes later, when another
-// caller waits, and must not reach that one or free a verdict twice.
+// An answer that arrives after its caller's deadline must reach no other caller and produce no
+// second outcome.
 #[test]
 fn finish_late_answer_reaches_no_one() {
     let mut setup = Setup::new(1, 8);
     let first = setup.submit(Rerun::AtMostOnce, 100);
     let late = setup.sent()[0].0;
-    setup.pass(150);
+    setup.advance(150);
     let second = setup.submit(Rerun::AtMostOnce, 1000);
     setup.finish(late, COMPLETE);
-    let told = matches!(
+    let is_expected = matches!(
         setup.outcome(first),
         Some(RequestOutcome::Unknown { cause: UnknownCause::Deadline, .. })
     );
-    assert!(told, "{:?}", setup.outcome(first));
+    assert!(is_expected, "{:?}", setup.outcome(first));
     assert_eq!(setup.outcome(second), None);
 }
 
-// A renewal runs twice: the connection broke after the request had been sent, and the request was
-// sent again although nobody knew whether the first one had run.
+// At-most-once work must not be sent again after the connection broke, because the first attempt
+// may have run.
 #[test]
 fn finish_broken_at_most_once_is_unknown_at_once() {
     let mut setup = Setup::new(3, 8);
     let id = setup.submit(Rerun::AtMostOnce, 10_000);
     let (attempt, _) = setup.sent()[0];
     setup.finish(attempt, Outcome::Broken);
-    let told = matches!(
+    let is_expected = matches!(
         setup.outcome(id),
         Some(RequestOutcome::Unknown { cause: UnknownCause::Broken, .. })
     );
-    assert!(told);
-    setup.pass(20_000);
+    assert!(is_expected);
+    setup.advance(20_000);
     assert!(setup.sent().is_empty());
 }
 
@@ -56,8 +56,8 @@
     assert_eq!(setup.outcome(id), Some(RequestOutcome::Complete(attempt)));
 }
 
-// A caller reads "not run" and sends its work again by another way, but the first try had reached
-// a runner before every further one failed to connect.
+// An attempt that broke off may have run, even if every later attempt failed to connect. "Not run"
+// would let the caller send the work again.
 #[test]
 fn finish_broken_then_unsent_is_not_called_not_run() {
     let mut setup = Setup::new(3, 8);
@@ -78,31 +78,31 @@
         setup.finish(attempt, Outcome::NotSent);
     }
     let refusal = Refusal::Unreachable;
-    let told = matches!(setup.outcome(id), Some(RequestOutcome::NotRun { refusal: r, .. }) if r == refusal);
-    assert!(told);
+    let is_expected = matches!(setup.outcome(id), Some(RequestOutcome::NotRun { refusal: r, .. }) if r == refusal);
+    assert!(is_expected);
 }
 
-// A runner with 8 slots works on 9 requests: a connection broke, the request went on running, and
-// its slot was given to the next one.
+// A slot whose request may still be running must not be reused, or the runner works on more
+// requests than it has slots.
 #[test_case(Outcome::Broken, 1 ; "broken_keeps_slot")]
 #[test_case(Outcome::Mismatched, 1 ; "mismatched_keeps_slot")]
 #[test_case(Outcome::NotSent, 0 ; "unsent_frees_slot")]
-#[test_case(COMPLETE, 0 ; "whole_frees_slot")]
+#[test_case(COMPLETE, 0 ; "complete_frees_slot")]
 fn finish_slot(outcome: Outcome, held: u32) {
     let mut setup = Setup::new(1, 8);
     setup.submit(Rerun::AtMostOnce, 1000);
-    setup.pass(50);
-    // What was not sent is tried again, until the tries are used up.
+    setup.advance(50);
+    // Unsent attempts are retried until the attempts are used up.
     while let Some((attempt, _)) = setup.sent().first().copied() {
         assert_eq!(setup.in_use(1), 1);
         setup.finish(attempt, outcome);
     }
     assert_eq!(setup.in_use(1), held);
-    setup.pass(Policy::default().run_limit.as_millis() as u64);
+    setup.advance(Policy::default().run_limit.as_millis() as u64);
     assert_eq!(setup.in_use(1), 0);
 }
 
-// A runner is about to be replaced. Requests that still went to it would be cut.
+// A runner that is leaving may stop at any time, so new requests sent to it would be lost.
 #[test_case(true ; "leaving")]
 #[test_case(false ; "gone")]
 fn set_members_leaving_gets_no_new_work(listed: bool) {
@@ -117,7 +117,7 @@
     } else {
         setup.members.remove(0);
     }
-    setup.list();
+    setup.apply_members();
     for _ in 0..6 {
         setup.submit(Rerun::AtMostOnce, 1000);
     }
@@ -129,8 +129,8 @@
     assert!(setup.effects.iter().any(complete));
 }
 
-// One runner mixes up its callers. Every answer of it that were believed would show a firm's data
-// to another firm.
+// A runner that mixes up its callers could show one customer's data to another, so a single
+// mismatched response ejects it.
 #[test]
 fn finish_mismatched_ejects_at_once() {
     let mut setup = Setup::new(4, 8);
@@ -147,7 +147,7 @@
     assert!(setup.sent().iter().all(|(_, port)| *port != faulty));
 }
 
-// Every runner of the domain is down. Work that could run in the next domain is refused.
+// When every runner of the domain is down, another domain must get the request.
 #[test]
 fn submit_without_own_runner_goes_to_another_domain() {
     let members = vec![runner("oamaru", 9, 8), entry("oamaru", 1), entry("kurow", 2)];
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn submit_forwarded_is_not_passed_on_again() {
+fn submit_forwarded_is_not_forwarded_again() {
     let members = vec![runner("oamaru", 9, 8), entry("oamaru", 1)];
     let mut setup = Setup::with(Policy::default(), members);
     let id = setup.submit_as(Rerun::Idempotent, 1000, true);
@@ -171,8 +171,7 @@
     );
 }
 
-// An instance is replaced for maintenance. What it took before must be answered, what comes after
-// must be told to go elsewhere at once.
+// A draining instance must answer the requests it accepted and refuse new ones at once.
 #[test]
 fn drain_finishes_what_was_taken() {
     let mut setup = Setup::new(1, 1);
--- a/tests/logic/runner/setup.rs
+++ b/tests/logic/runner/setup.rs
@@ -1,4 +1,4 @@
-//! A router with a clock that stands still until told.
+//! A router with a manual clock.
 
 use std::net::SocketAddr;
 
@@ -33,7 +33,7 @@
     Member { name, role: Role::Entry, domain, address: addr(2000 + number), state: State::Live }
 }
 
-/// A router, its clock and what it wants done.
+/// A router, its clock and the effects it returned.
 pub struct Setup {
     pub router: Router,
     pub members: Vec<Member>,
@@ -52,7 +52,7 @@
         let local_slots = LocalSlots::new(Position::SINGLE, 1, durations, Instant::default());
         let router = Router::new(policy, domain::Name::from("kurow"), local_slots, 7);
         let mut setup = Self { router, members, now: 0, requests: 0, effects: Vec::new() };
-        setup.list();
+        setup.apply_members();
         setup
     }
 
@@ -60,7 +60,7 @@
         Instant::from_millis(self.now)
     }
 
-    pub fn list(&mut self) {
+    pub fn apply_members(&mut self) {
         let now = self.at();
         self.effects.extend(self.router.set_members(&self.members, now));
     }
@@ -84,8 +84,8 @@
         self.effects.extend(self.router.finish(attempt, outcome, now));
     }
 
-    /// Lets time pass as the task does: never beyond a moment at which something is due.
-    pub fn pass(&mut self, millis: u64) {
+    /// Advances the clock and ticks the router at every time at which a tick is due.
+    pub fn advance(&mut self, millis: u64) {
         let end = Instant::from_millis(self.now + millis);
         while self.router.next_tick() <= end {
             self.now = self.now.max(self.router.next_tick().as_millis());
@@ -95,7 +95,7 @@
         self.now = end.as_millis();
     }
 
-    /// Attempts sent since the last call, with their runner's port.
+    /// Attempts sent since the last call, with the port of their target.
     pub fn sent(&mut self) -> Vec<(Id, u16)> {
         let sent = |effect: &Effect| match effect {
             Effect::Send { attempt, peer, .. } | Effect::Forward { attempt, peer, .. } => {
@@ -118,11 +118,11 @@
 
     pub fn outcome(&self, id: request::Id) -> Option<RequestOutcome> {
         let outcomes = self.outcomes(id);
-        assert!(outcomes.len() <= 1, "two verdicts: {outcomes:?}");
+        assert!(outcomes.len() <= 1, "two outcomes: {outcomes:?}");
         outcomes.first().copied()
     }
 
-    /// Runs enough requests that latencies are known.
+    /// Runs enough requests for the latencies to be measured.
     pub fn warm(&mut self, latency: u64) {
         for _ in 0..64 {
             self.submit(Rerun::Idempotent, 1000);
--- a/tests/logic/runner/share.rs
+++ b/tests/logic/runner/share.rs
@@ -1,4 +1,4 @@
-//! Shares of a runner's slots: together never more than the runner has.
+//! Slot sharing: the instances together never use more slots than the runner has.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     CoordinatorId { epoch: Epoch { term, sub: 0 }, run: term }
 }
 
-/// One process: a holder, perhaps a ledger, and a clock of its own.
+/// One process with its local slots, optionally a ledger, and its own clock.
 struct Process {
     local_slots: LocalSlots,
     slots: Handle,
@@ -68,7 +68,7 @@
     ShareResponse { to: usize, run: u64, response: ShareResponse },
 }
 
-/// A request at the runner, whose process may be gone.
+/// A request that runs at the runner; its process may have restarted.
 struct Running {
     process: usize,
     run: u64,
@@ -85,10 +85,10 @@
     Lose(usize),
     Start { process: usize, millis: u64 },
     Fill(usize),
-    Mute(Option<usize>),
+    Partition(Option<usize>),
     End(usize),
     Restart(usize),
-    Claim(usize),
+    Elect(usize),
     Resign(usize),
 }
 
@@ -104,10 +104,10 @@
         1 => (0usize..8).prop_map(Step::Lose),
         8 => (process.clone(), 1u64..RUN_MILLIS).prop_map(|(process, millis)| Step::Start { process, millis }),
         4 => process.clone().prop_map(Step::Fill),
-        2 => prop::option::of(process.clone()).prop_map(Step::Mute),
+        2 => prop::option::of(process.clone()).prop_map(Step::Partition),
         4 => (0usize..8).prop_map(Step::End),
         1 => process.clone().prop_map(Step::Restart),
-        1 => process.clone().prop_map(Step::Claim),
+        1 => process.clone().prop_map(Step::Elect),
         1 => process.prop_map(Step::Resign),
     ]
 }
@@ -123,11 +123,11 @@
     running: Vec<Running>,
     runs: u64,
     term: u64,
-    /// Whom each process believes to be the keeper.
-    believed: Vec<Option<(usize, CoordinatorId)>>,
+    /// The process and identity that each process takes for the coordinator.
+    known_coordinator: Vec<Option<(usize, CoordinatorId)>>,
     borrowed_once: bool,
-    /// Who does not reach its keeper for a while.
-    muted: Option<usize>,
+    /// Process whose requests do not reach its coordinator.
+    partitioned: Option<usize>,
 }
 
 impl World {
@@ -140,9 +140,9 @@
             running: Vec::new(),
             runs: COUNT as u64,
             term: 0,
-            believed: vec![None; COUNT],
+            known_coordinator: vec![None; COUNT],
             borrowed_once: false,
-            muted: None,
+            partitioned: None,
         }
     }
 
@@ -156,10 +156,10 @@
             Step::Lose(index) => drop(self.take(index)),
             Step::Start { process, millis } => self.start(process, millis),
             Step::Fill(process) => (0..LIMIT).for_each(|_| self.start(process, RUN_MILLIS)),
-            Step::Mute(process) => self.muted = process,
+            Step::Partition(process) => self.partitioned = process,
             Step::End(index) => self.end(index),
             Step::Restart(index) => self.restart(index),
-            Step::Claim(index) => self.claim(index),
+            Step::Elect(index) => self.elect(index),
             Step::Resign(index) => self.processes[index].ledger = None,
         }
     }
@@ -181,17 +181,17 @@
     }
 
     fn send_request(&mut self, from: usize, demand: u32) {
-        let Some((to, coordinator)) = self.believed[from] else { return };
+        let Some((to, coordinator)) = self.known_coordinator[from] else { return };
         let process = &mut self.processes[from];
         let now = process.now(self.now);
         let request = process.local_slots.build_request(coordinator, now, |_| demand);
         self.messages.push(Message::ShareRequest { to, from, request });
     }
 
-    /// A call and its answer, both in time.
+    /// Sends a request and delivers it and its response at once.
     fn exchange(&mut self, from: usize, demand: u32) {
         let waiting = self.messages.len();
-        if self.muted != Some(from) {
+        if self.partitioned != Some(from) {
             self.send_request(from, demand);
         }
         self.deliver(waiting, true);
@@ -251,19 +251,19 @@
         self.processes[index] = Process::new(index, self.runs, self.now, false);
     }
 
-    /// Others may go on believing in an earlier keeper, or none may hear of this one.
-    fn claim(&mut self, index: usize) {
+    /// Makes a process coordinator; some of the others keep the previous one.
+    fn elect(&mut self, index: usize) {
         self.term += 1;
         let coordinator = coordinator(self.term);
         self.processes[index].ledger = Some(Ledger::new(coordinator, durations()));
-        for believer in 0..COUNT {
-            if !(self.term as usize + believer).is_multiple_of(3) || believer == index {
-                self.believed[believer] = Some((index, coordinator));
+        for process in 0..COUNT {
+            if !(self.term as usize + process).is_multiple_of(3) || process == index {
+                self.known_coordinator[process] = Some((index, coordinator));
             }
         }
     }
 
-    /// Slots in use at the runner plus those on which a request could start this moment.
+    /// Slots in use at the runner plus those on which a request could start now.
     fn claimed(&self) -> u32 {
         let may_use = self.processes.iter().map(|process| {
             let allowed = process.local_slots.allowance(process.slots, process.now(self.now));
@@ -275,9 +275,8 @@
     }
 }
 
-// An operator sees a runner with 8 slots work on 9 requests. Exchanges were lost, late, repeated
-// or answered by an instance that no longer is the keeper, processes restarted while requests
-// ran, and one slot ended up in the hands of two instances.
+// Two instances must never hold the same slot, whatever exchanges are lost, late, repeated or
+// answered by a former coordinator, and whichever processes restart while requests run.
 #[test]
 fn shares_never_exceed_limit() {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
@@ -297,7 +296,7 @@
     assert!(borrowed > CASES / 3, "only {borrowed} of {CASES} histories borrowed anything");
 }
 
-/// Plays a history up to its first excess.
+/// Runs the steps until more slots are claimed than the runner has.
 fn play(steps: &[Step]) -> World {
     let mut world = world_with_coordinator();
     for step in steps {
@@ -343,13 +342,13 @@
 
 fn world_with_coordinator() -> World {
     let mut world = World::new();
-    world.apply(&Step::Claim(0));
-    world.believed = vec![world.believed[0]; COUNT];
+    world.apply(&Step::Elect(0));
+    world.known_coordinator = vec![world.known_coordinator[0]; COUNT];
     world
 }
 
 #[test]
-fn ask_idle_slots_move_to_the_busy() {
+fn exchange_idle_slots_move_to_the_busy() {
     let mut world = world_with_coordinator();
     for _ in 0..4 {
         exchange(&mut world, [0, 0, 9]);
@@ -359,7 +358,7 @@
 }
 
 #[test]
-fn ask_slots_return_to_their_owner() {
+fn exchange_slots_return_to_their_owner() {
     let mut world = world_with_coordinator();
     for _ in 0..4 {
         exchange(&mut world, [0, 0, 9]);
@@ -371,10 +370,9 @@
     assert_eq!(allowances(&world), (0..3).map(owned).collect::<Vec<_>>());
 }
 
-// The keeper dies while an instance uses slots that another one lent. Without the keeper nothing
-// may stay lost: the lender has its own slots back once the loan is over.
+// After the coordinator dies, a lender must get its slots back once the loan has expired.
 #[test]
-fn ask_lost_coordinator_returns_all() {
+fn exchange_lost_coordinator_returns_all() {
     let mut world = world_with_coordinator();
     for _ in 0..4 {
         exchange(&mut world, [0, 0, 9]);
@@ -386,10 +384,10 @@
     assert_eq!(allowances(&world), (0..3).map(owned).collect::<Vec<_>>());
 }
 
-// A runner with 8 slots works on 9 requests: a lender's call arrived, the answer to it was lost,
-// and the lender took its slots back although another instance had borrowed them meanwhile.
+// When a lender's request arrives but the response is lost, the lender must not use the lent slots,
+// which another instance may have borrowed.
 #[test]
-fn ask_lost_answer_keeps_loan() {
+fn exchange_lost_answer_keeps_loan() {
     let mut world = world_with_coordinator();
     exchange(&mut world, [9, 0, 9]);
     exchange(&mut world, [9, 0, 9]);
