--- a/src/entry/controller.rs
+++ b/src/entry/controller.rs
@@ -14,9 +14,9 @@
 use crate::entry::readiness::Readiness;
 use crate::entry::witness::Witness;
 use crate::owner::journal::Parcel;
-use crate::owner::machine::{Answer, Beat, Call, Effect, Machine, Message};
+use crate::owner::machine::{Answer, Call, Effect, Heartbeat, Machine, Message};
 use crate::owner::session::Send;
-use crate::owner::{Hold, Ticket, machine};
+use crate::owner::{BatchCopy, Ticket, machine};
 use crate::peer;
 use crate::store::{Offset, Store};
 use crate::worker::{self, Link};
@@ -178,8 +178,8 @@
                 Effect::Read { from, wait } => self.read(from, wait),
                 Effect::Append(parcel) => self.append(parcel),
                 Effect::Exchange { epoch, worker, send } => self.exchange(epoch, worker, send),
-                Effect::Beat { to, beat } => self.beat(&to, &beat),
-                Effect::Hold { to, hold } => self.hold(&to, &hold),
+                Effect::Heartbeat { to, heartbeat } => self.send_heartbeat(&to, &heartbeat),
+                Effect::StoreBatch { to, copy } => self.store_batch(&to, &copy),
                 Effect::Handover { to, epoch } => self.hand_over(to, epoch),
                 Effect::Reply { ticket, answer } => {
                     if let Some(reply) = self.waiting.remove(&ticket) {
@@ -219,29 +219,29 @@
         });
     }
 
-    fn beat(&self, to: &[SocketAddr], beat: &Beat) {
+    fn send_heartbeat(&self, to: &[SocketAddr], heartbeat: &Heartbeat) {
         for peer in to.iter().copied() {
             let (borders, handle) = (self.borders.clone(), self.handle.clone());
-            let beat = beat.clone();
+            let heartbeat = heartbeat.clone();
             monoio::spawn(async move {
-                let answer = borders.peers.call(peer, BEAT, &beat, borders.peer_timeout).await;
+                let answer = borders.peers.call(peer, BEAT, &heartbeat, borders.peer_timeout).await;
                 borders.witness.called(peer, &answer);
                 if let Ok(Heard { from, epoch }) = answer {
-                    handle.send(Message::BeatAnswered { from, epoch });
+                    handle.send(Message::HeartbeatAnswered { from, epoch });
                 }
             });
         }
     }
 
-    fn hold(&self, to: &[SocketAddr], hold: &Hold) {
+    fn store_batch(&self, to: &[SocketAddr], copy: &BatchCopy) {
         for peer in to.iter().copied() {
             let (borders, handle) = (self.borders.clone(), self.handle.clone());
-            let hold = hold.clone();
+            let copy = copy.clone();
             monoio::spawn(async move {
-                let answer = borders.peers.call(peer, HOLD, &hold, borders.peer_timeout).await;
+                let answer = borders.peers.call(peer, HOLD, &copy, borders.peer_timeout).await;
                 if let Ok(Kept { from, kept: true }) = answer {
-                    let (epoch, sequence) = (hold.epoch, hold.sequence);
-                    handle.send(Message::Held { from, epoch, sequence });
+                    let (epoch, sequence) = (copy.epoch, copy.sequence);
+                    handle.send(Message::BatchStored { from, epoch, sequence });
                 }
             });
         }
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -141,7 +141,7 @@
 fn timings(settings: &Settings) -> Timings {
     let owner = &settings.owner;
     Timings {
-        beat: owner.heartbeat,
+        heartbeat_interval: owner.heartbeat,
         claim: owner.claim_timeout,
         lease: owner.lease,
         margin: owner.lease_margin,
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -15,7 +15,7 @@
 use crate::entry::controller::{BEAT, HANDOVER, HOLD};
 use crate::entry::forward::{self, Envelope};
 use crate::owner::machine::{Machine, Message};
-use crate::owner::{Beat, Hold};
+use crate::owner::{BatchCopy, Heartbeat};
 use crate::peer::{Code, Handler, Refusal, decode};
 use crate::runner::{self, Proxy};
 
@@ -65,10 +65,10 @@
     }
 
     /// The answer goes out only after the machine keeps the batch: its sender lets it take effect.
-    async fn keep(&self, hold: Hold) -> Result<Kept, Refusal> {
-        let (epoch, sequence) = (hold.epoch, hold.sequence);
-        self.entry.handle.send(Message::Hold(hold));
-        let look = move |machine: &Machine, _, _| machine.custody.keeps(epoch, sequence);
+    async fn keep(&self, copy: BatchCopy) -> Result<Kept, Refusal> {
+        let (epoch, sequence) = (copy.epoch, copy.sequence);
+        self.entry.handle.send(Message::StoreBatch(copy));
+        let look = move |machine: &Machine, _, _| machine.copies.contains(epoch, sequence);
         let kept = self.entry.handle.inspect(look).await;
         let kept = kept.ok_or_else(|| Refusal::new(Code::Busy, "stopping"))?;
         Ok(Kept { from: self.entry.me.clone(), kept })
@@ -81,11 +81,11 @@
 
     /// The answer goes out only after the machine has taken the heartbeat in: its sender concludes
     /// from it that this instance does not act as an owner of an earlier epoch any more.
-    async fn hear(&self, beat: Beat) -> Result<Heard, Refusal> {
-        if beat.domain != self.entry.domain {
+    async fn hear(&self, heartbeat: Heartbeat) -> Result<Heard, Refusal> {
+        if heartbeat.domain != self.entry.domain {
             return Err(Refusal::new(Code::Conflict, "another failure domain"));
         }
-        self.entry.handle.send(Message::Beat(beat));
+        self.entry.handle.send(Message::Heartbeat(heartbeat));
         let epoch = self.entry.handle.inspect(|machine, _, _| machine.known_epoch()).await;
         let epoch = epoch.ok_or_else(|| Refusal::new(Code::Busy, "stopping"))?;
         Ok(Heard { from: self.entry.me.clone(), epoch })
--- a/src/owner/active.rs
+++ b/src/owner/active.rs
@@ -37,15 +37,15 @@
     /// Instances that keep batches while the log is away, by peer address.
     pub(super) enrolled: BTreeMap<SocketAddr, Instance>,
     /// Those of them that keep the batch under way.
-    pub(super) keepers: BTreeSet<Instance>,
+    pub(super) stored_by: BTreeSet<Instance>,
     /// Batches that took effect without the log, in order.
     pub(super) unlogged: VecDeque<Parcel>,
     /// Placements that took effect without the log and may start only once they are in it.
     pub(super) deferred: BTreeSet<task::Id>,
     /// Callers whose changes took effect without the log and are answered once they are in it.
     pub(super) owed: BTreeMap<u64, Vec<Ticket>>,
-    pub(super) hold_at: Instant,
-    pub(super) append_at: Instant,
+    pub(super) next_copy_at: Instant,
+    pub(super) next_append_at: Instant,
     /// Changes on their way to the log.
     pub journal: Journal,
     /// Alerts, with those on their way to the log.
@@ -80,7 +80,7 @@
     pub(super) began: Instant,
     /// When each other instance last answered a heartbeat, by name.
     pub(super) heard_by: BTreeMap<String, Instant>,
-    pub(super) beat_at: Instant,
+    pub(super) next_heartbeat_at: Instant,
     pub(super) sweep_at: Instant,
     pub(super) account_at: Instant,
     /// Tries that the log places on workers which did not name them at the last look.
@@ -113,12 +113,12 @@
             recovering: false,
             cautious: false,
             enrolled: BTreeMap::new(),
-            keepers: BTreeSet::new(),
+            stored_by: BTreeSet::new(),
             unlogged: VecDeque::new(),
             deferred: BTreeSet::new(),
             owed: BTreeMap::new(),
-            hold_at: now,
-            append_at: now,
+            next_copy_at: now,
+            next_append_at: now,
             journal: Journal::new(epoch, timings.commit),
             board,
             engine: Engine::new(policy),
@@ -136,7 +136,7 @@
             alone_since: now,
             began: now,
             heard_by: BTreeMap::new(),
-            beat_at: now,
+            next_heartbeat_at: now,
             sweep_at: now,
             account_at: now,
             unaccounted: BTreeSet::new(),
--- a/src/owner/election/mod.rs
+++ b/src/owner/election/mod.rs
@@ -11,7 +11,7 @@
 use crate::domain::{Epoch, Instance};
 use crate::membership::{Role as MemberRole, State};
 use crate::owner::active::Active;
-use crate::owner::machine::{Beat, Machine, Role};
+use crate::owner::machine::{Heartbeat, Machine, Role};
 use crate::owner::record::Claim;
 
 /// What this instance knows of the owner and of the stream.
@@ -88,17 +88,17 @@
 }
 
 impl Machine {
-    pub(in crate::owner) fn on_beat(&mut self, beat: &Beat, now: Instant) {
-        if beat.epoch < self.known_epoch() || beat.owner == self.me {
+    pub(in crate::owner) fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) {
+        if heartbeat.epoch < self.known_epoch() || heartbeat.owner == self.me {
             return;
         }
-        self.yield_to(beat.epoch, "later_owner_spoke");
-        self.enroll(beat);
+        self.yield_to(heartbeat.epoch, "later_owner_spoke");
+        self.enroll(heartbeat);
         self.election.heard(now);
-        self.election.leader = Some((beat.epoch, beat.owner.clone()));
+        self.election.leader = Some((heartbeat.epoch, heartbeat.owner.clone()));
         // Only what this instance can reach and the owner cannot is a reason to take its place: an
         // outage that both had ends for one of them first.
-        let alone = beat.without_log && self.election.read_failing_since.is_none();
+        let alone = heartbeat.without_log && self.election.read_failing_since.is_none();
         self.election.leader_without_log = match alone {
             true => Some(self.election.leader_without_log.unwrap_or(now)),
             false => None,
@@ -109,7 +109,7 @@
     ///
     /// An earlier owner that has heard of a later epoch has stepped down, and a new process at its
     /// address proves the old one gone.
-    pub(in crate::owner) fn on_beat_answered(
+    pub(in crate::owner) fn on_heartbeat_answered(
         &mut self,
         from: &Instance,
         epoch: Epoch,
@@ -158,7 +158,8 @@
         // An owner before this one may have started what the log does not say, unless this
         // instance would keep the record of it.
         let previous = self.replica.previous();
-        active.cautious = previous != Epoch::default() && self.custody.enrolled() != Some(previous);
+        active.cautious =
+            previous != Epoch::default() && self.copies.enrolled_epoch() != Some(previous);
         active.load(&self.replica.table, now, unix);
         active
     }
@@ -171,10 +172,10 @@
             self.replica.table.len()
         );
         let mut active = self.new_active(epoch, now, unix);
-        for change in self.custody.changes(self.replica.previous()) {
-            log::debug!("event=owner.relogged change={change:?}");
+        for entry in self.copies.unlogged_entries(self.replica.previous()) {
+            log::debug!("event=owner.relogged change={entry:?}");
             active.recovering = true;
-            active.journal.push(change, None);
+            active.journal.push(entry, None);
         }
         self.role = Role::Owner(Box::new(active));
         self.election.leader = Some((epoch, self.me.clone()));
--- a/src/owner/machine/message.rs
+++ b/src/owner/machine/message.rs
@@ -9,8 +9,8 @@
 use crate::domain::{self, Epoch, Instance};
 use crate::membership::Member;
 use crate::owner::Ticket;
-use crate::owner::custody::Hold;
 use crate::owner::journal::{Parcel, Tag};
+use crate::owner::peer_commit::BatchCopy;
 use crate::owner::session::{Channel, Send};
 use crate::placement::Policy;
 use crate::store::{self, Offset, Page};
@@ -44,18 +44,18 @@
     /// The list of instances was read.
     Members(Vec<Member>),
     /// Another instance of the domain says that it is the owner.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// An instance has taken in a heartbeat and answered.
-    BeatAnswered {
+    HeartbeatAnswered {
         /// The instance that answered.
         from: Instance,
         /// Latest epoch it knows.
         epoch: Epoch,
     },
     /// An owner without the log asks this instance to keep a batch.
-    Hold(Hold),
+    StoreBatch(BatchCopy),
     /// An instance keeps a batch.
-    Held {
+    BatchStored {
         /// The instance.
         from: Instance,
         /// Epoch of the batch.
@@ -84,7 +84,7 @@
 
 /// Heartbeat of an owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Failure domain it owns.
     pub domain: domain::Name,
     /// The owner.
@@ -184,19 +184,19 @@
         /// What to send.
         send: Send,
     },
-    /// Send a heartbeat and answer with [`Message::BeatAnswered`] for each answer.
-    Beat {
+    /// Send a heartbeat and answer with [`Message::HeartbeatAnswered`] for each answer.
+    Heartbeat {
         /// Instances of the domain.
         to: Vec<SocketAddr>,
         /// Content.
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
-    /// Ask instances to keep a batch and answer with [`Message::Held`] for each that does.
-    Hold {
+    /// Ask instances to keep a batch and answer with [`Message::BatchStored`] for each that does.
+    StoreBatch {
         /// The instances.
         to: Vec<SocketAddr>,
         /// The batch.
-        hold: Hold,
+        copy: BatchCopy,
     },
     /// Ask an instance to take over.
     Handover {
--- a/src/owner/machine/mod.rs
+++ b/src/owner/machine/mod.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 
-pub use message::{Answer, Beat, Call, Effect, Message, Refusal};
+pub use message::{Answer, Call, Effect, Heartbeat, Message, Refusal};
 
 use crate::alert::Board;
 use crate::clock::{Instant, Unix};
@@ -15,8 +15,8 @@
 use crate::membership::Member;
 use crate::owner::Timings;
 use crate::owner::active::Active;
-use crate::owner::custody::Custody;
 use crate::owner::election::Election;
+use crate::owner::peer_commit::StoredCopies;
 use crate::owner::replica::{Applied, Replica};
 use crate::placement::Policy;
 use crate::store::Offset;
@@ -50,7 +50,7 @@
     /// Who owns the domain, and when to claim it.
     pub election: Election,
     /// Batches kept for an owner without the log.
-    pub custody: Custody,
+    pub copies: StoredCopies,
     pub(in crate::owner) members: Vec<Member>,
     pub(in crate::owner) stopping: bool,
     pub(in crate::owner) out: Vec<Effect>,
@@ -74,7 +74,7 @@
             policy,
             settings: Rc::default(),
             election: Election::new(now),
-            custody: Custody::default(),
+            copies: StoredCopies::default(),
             members: Vec::new(),
             stopping: false,
             out: Vec::new(),
@@ -91,12 +91,14 @@
                 self.on_exchanged(epoch, &worker, channel, result, now, unix);
             }
             Message::Members(members) => self.on_members(members),
-            Message::Beat(beat) => self.on_beat(&beat, now),
-            Message::Hold(hold) => self.on_hold(hold),
-            Message::Held { from, epoch, sequence } => {
-                self.on_held(&from, epoch, sequence, now, unix);
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(&heartbeat, now),
+            Message::StoreBatch(copy) => self.on_store_batch(copy),
+            Message::BatchStored { from, epoch, sequence } => {
+                self.on_batch_stored(&from, epoch, sequence, now, unix);
+            }
+            Message::HeartbeatAnswered { from, epoch } => {
+                self.on_heartbeat_answered(&from, epoch, now)
             }
-            Message::BeatAnswered { from, epoch } => self.on_beat_answered(&from, epoch, now),
             Message::Call { ticket, call } => self.on_call(ticket, call, now, unix),
             Message::Expired(ticket) => self.on_expired(ticket),
             Message::Policy(policy) => self.on_policy(policy),
@@ -169,7 +171,7 @@
                 self.step_down("claimed_by_other");
             }
             Applied::Changed(batch) => self.on_changed(&batch, now, unix),
-            Applied::Void => self.on_caught_up(payload, now, unix),
+            Applied::Void => self.on_unlogged_batch_read(payload, now, unix),
         }
     }
 
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -8,12 +8,12 @@
 pub mod active;
 pub mod alerts;
 pub mod calls;
-pub mod custody;
-pub mod effect;
 pub mod election;
 pub mod journal;
-pub mod lead;
 pub mod machine;
+pub mod on_commit;
+pub mod owner_step;
+pub mod peer_commit;
 pub mod reconcile;
 pub mod record;
 pub mod replica;
@@ -21,8 +21,8 @@
 pub mod table;
 pub mod timings;
 
-pub use custody::{Custody, Hold};
-pub use machine::{Answer, Beat, Call, Effect, Machine, Message, Refusal, Role};
+pub use machine::{Answer, Call, Effect, Heartbeat, Machine, Message, Refusal, Role};
+pub use peer_commit::{BatchCopy, StoredCopies};
 pub use timings::Timings;
 
 /// Number by which a waiting caller is known to the machine.
--- a/src/owner/effect.rs
+++ b/src/owner/on_commit.rs
@@ -91,7 +91,7 @@
     }
 
     /// Does what had to wait until a batch that took effect without the log was in it.
-    pub(super) fn on_logged(
+    pub(super) fn on_batch_logged(
         &mut self,
         batch: &Batch,
         table: &Table,
--- a/src/owner/lead.rs
+++ b/src/owner/owner_step.rs
@@ -9,7 +9,7 @@
 use crate::owner::Timings;
 use crate::owner::active::Active;
 use crate::owner::journal::{self, Tag};
-use crate::owner::machine::{Beat, Effect, Machine, Role};
+use crate::owner::machine::{Effect, Heartbeat, Machine, Role};
 use crate::owner::record::{Batch, Entry, Placement, Statement};
 use crate::owner::replica::Replica;
 use crate::owner::table::Job;
@@ -26,33 +26,33 @@
 
 impl Machine {
     pub(super) fn advance_owner(&mut self, now: Instant, unix: Unix) {
-        self.beat(now);
+        self.send_heartbeats(now);
         self.speak_through_log(now);
         self.end_recovery(now, unix);
         self.sweep(now, unix);
         self.wake_resting(now);
         self.decide(now, unix);
         self.commit(now, unix);
-        self.hand_out(now);
+        self.replicate_batch(now);
         self.exchange(now);
         self.hand_over();
     }
 
-    fn beat(&mut self, now: Instant) {
-        if self.active().is_none_or(|active| now < active.beat_at) {
+    fn send_heartbeats(&mut self, now: Instant) {
+        if self.active().is_none_or(|active| now < active.next_heartbeat_at) {
             return;
         }
         let to = self.peers().map(|(_, address)| address).collect();
         let Role::Owner(active) = &mut self.role else { return };
-        active.beat_at = now.after(self.timings.beat);
-        let beat = Beat {
+        active.next_heartbeat_at = now.after(self.timings.heartbeat_interval);
+        let heartbeat = Heartbeat {
             domain: self.domain.clone(),
             owner: self.me.clone(),
             epoch: active.epoch,
             without_log: active.journal.failing_since().is_some() || !active.logged,
             enrolled: active.enrolled.values().cloned().collect(),
         };
-        self.out.push(Effect::Beat { to, beat });
+        self.out.push(Effect::Heartbeat { to, heartbeat });
     }
 
     /// Lets an instance that does not answer heartbeats read in the log that this owner lives.
@@ -99,7 +99,7 @@
 
     fn decide(&mut self, now: Instant, unix: Unix) {
         let Role::Owner(active) = &mut self.role else { return };
-        let log_away = active.journal.failing_since().is_some() && !active.can_hold(now);
+        let log_away = active.journal.failing_since().is_some() && !active.commits_by_peers(now);
         if log_away || !active.is_settled() || active.journal.is_full() || self.stopping {
             return;
         }
@@ -195,7 +195,7 @@
         if ended {
             let epoch = self.replica.epoch();
             log::info!("event=owner.recovered epoch={epoch}");
-            self.custody.release();
+            self.copies.clear();
             self.role = Role::Owner(Box::new(self.new_active(epoch, now, unix)));
         }
     }
@@ -203,7 +203,7 @@
     pub(super) fn on_changed(&mut self, batch: &Batch, now: Instant, unix: Unix) {
         // What is in the log must not be written a second time by the next owner: its ends would
         // count twice.
-        self.custody.logged(batch.epoch, batch.sequence + 1);
+        self.copies.discard_before(batch.epoch, batch.sequence + 1);
         let Role::Owner(active) = &mut self.role else {
             self.election.heard_through_log(now);
             return;
--- a/src/owner/custody.rs
+++ b/src/owner/peer_commit.rs
@@ -15,20 +15,20 @@
 use crate::domain::{self, Epoch, Instance};
 use crate::owner::active::Active;
 use crate::owner::journal::{Parcel, Tag};
-use crate::owner::machine::{Beat, Effect, Machine, Role};
+use crate::owner::machine::{Effect, Heartbeat, Machine, Role};
 use crate::owner::record::{Entry, Record};
 
 /// Failure of the log after which batches are handed to peers.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const LOG_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause before a batch is handed again to those that have not answered.
-const REPEAT: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Bound on the batches that take effect without the log, for the memory of those who keep them.
 const MAX_UNLOGGED: usize = 10_000;
 
 /// A batch for an instance to keep.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hold {
+pub struct BatchCopy {
     /// Failure domain it belongs to.
     pub domain: domain::Name,
     /// Epoch of the owner.
@@ -41,39 +41,39 @@
 
 /// What an instance keeps for an owner.
 #[derive(Clone, Debug, Default)]
-pub struct Custody {
-    enrolled: Option<Epoch>,
+pub struct StoredCopies {
+    enrolled_epoch: Option<Epoch>,
     batches: BTreeMap<u64, Vec<u8>>,
 }
 
-impl Custody {
+impl StoredCopies {
     /// Epoch of the owner whose list names this instance.
-    pub fn enrolled(&self) -> Option<Epoch> {
-        self.enrolled
+    pub fn enrolled_epoch(&self) -> Option<Epoch> {
+        self.enrolled_epoch
     }
 
     /// Whether a batch of that epoch is kept.
-    pub fn keeps(&self, epoch: Epoch, sequence: u64) -> bool {
-        self.enrolled == Some(epoch) && self.batches.contains_key(&sequence)
+    pub fn contains(&self, epoch: Epoch, sequence: u64) -> bool {
+        self.enrolled_epoch == Some(epoch) && self.batches.contains_key(&sequence)
     }
 
     fn enroll(&mut self, epoch: Epoch) {
-        if self.enrolled != Some(epoch) {
+        if self.enrolled_epoch != Some(epoch) {
             // An owner lists nobody before it has written down what was kept for earlier ones.
-            self.enrolled = Some(epoch);
+            self.enrolled_epoch = Some(epoch);
             self.batches.clear();
         }
     }
 
     /// Drops the batches before `sequence`, which are in the log.
-    pub(super) fn logged(&mut self, epoch: Epoch, sequence: u64) {
-        if self.enrolled == Some(epoch) {
+    pub(super) fn discard_before(&mut self, epoch: Epoch, sequence: u64) {
+        if self.enrolled_epoch == Some(epoch) {
             self.batches = self.batches.split_off(&sequence);
         }
     }
 
     /// Drops every batch, once all are in the log.
-    pub(super) fn release(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.batches.clear();
     }
 
@@ -84,9 +84,9 @@
     ///
     /// Statements of whole jobs are left out: they repeat what the log holds, and written late they
     /// would take back what has happened since.
-    pub(super) fn changes(&self, previous: Epoch) -> Vec<Entry> {
+    pub(super) fn unlogged_entries(&self, previous: Epoch) -> Vec<Entry> {
         let mut changes = Vec::new();
-        if self.enrolled != Some(previous) {
+        if self.enrolled_epoch != Some(previous) {
             return changes;
         }
         for payload in self.batches.values() {
@@ -94,29 +94,30 @@
                 changes.extend(batch.entries);
             }
         }
-        let repeats = |entry: &Entry| matches!(entry, Entry::Restated(_) | Entry::Alerts(_));
-        changes.retain(|entry| !repeats(entry));
+        let is_snapshot = |entry: &Entry| matches!(entry, Entry::Restated(_) | Entry::Alerts(_));
+        changes.retain(|entry| !is_snapshot(entry));
         changes
     }
 }
 
 impl Machine {
-    pub(super) fn enroll(&mut self, beat: &Beat) {
-        if beat.enrolled.contains(&self.me) {
-            self.custody.enroll(beat.epoch);
+    pub(super) fn enroll(&mut self, heartbeat: &Heartbeat) {
+        if heartbeat.enrolled.contains(&self.me) {
+            self.copies.enroll(heartbeat.epoch);
         }
     }
 
     /// Keeps a batch, unless a later owner is known or this instance was not enrolled.
-    pub(super) fn on_hold(&mut self, hold: Hold) {
-        let current = hold.epoch == self.known_epoch() && !self.is_owner();
-        if current && hold.domain == self.domain && self.custody.enrolled() == Some(hold.epoch) {
-            self.custody.batches.insert(hold.sequence, hold.payload);
+    pub(super) fn on_store_batch(&mut self, copy: BatchCopy) {
+        let current = copy.epoch == self.known_epoch() && !self.is_owner();
+        if current && copy.domain == self.domain && self.copies.enrolled_epoch() == Some(copy.epoch)
+        {
+            self.copies.batches.insert(copy.sequence, copy.payload);
         }
     }
 
     /// Takes in that an instance keeps a batch.
-    pub(super) fn on_held(
+    pub(super) fn on_batch_stored(
         &mut self,
         from: &Instance,
         epoch: Epoch,
@@ -125,27 +126,27 @@
         unix: Unix,
     ) {
         let Role::Owner(active) = &mut self.role else { return };
-        let named = active.journal.flight_tag() == Some(Tag::Batch { epoch, sequence });
-        if epoch != active.epoch || !named {
+        let is_in_flight = active.journal.flight_tag() == Some(Tag::Batch { epoch, sequence });
+        if epoch != active.epoch || !is_in_flight {
             return;
         }
-        active.keepers.insert(from.clone());
+        active.stored_by.insert(from.clone());
         self.commit_by_peers(now, unix);
     }
 
     /// Hands the batch under way to the enrolled instances that do not keep it yet.
-    pub(super) fn hand_out(&mut self, now: Instant) {
+    pub(super) fn replicate_batch(&mut self, now: Instant) {
         let Role::Owner(active) = &mut self.role else { return };
-        if !active.can_hold(now) || now < active.hold_at {
+        if !active.commits_by_peers(now) || now < active.next_copy_at {
             return;
         }
         let Some((sequence, payload)) = active.journal.flight() else { return };
-        active.hold_at = now.after(REPEAT);
+        active.next_copy_at = now.after(RETRY_INTERVAL);
         let domain = self.domain.clone();
-        let hold = Hold { domain, epoch: active.epoch, sequence, payload: payload.to_vec() };
-        let missing = active.enrolled.values().filter(|one| !active.keepers.contains(*one));
+        let copy = BatchCopy { domain, epoch: active.epoch, sequence, payload: payload.to_vec() };
+        let missing = active.enrolled.values().filter(|one| !active.stored_by.contains(*one));
         let to = missing.map(|instance| instance.peer).collect();
-        self.out.push(Effect::Hold { to, hold });
+        self.out.push(Effect::StoreBatch { to, copy });
     }
 
     /// Lets the batch under way take effect once every enrolled instance keeps it.
@@ -156,13 +157,13 @@
     /// has it.
     fn commit_by_peers(&mut self, now: Instant, unix: Unix) {
         let Role::Owner(active) = &mut self.role else { return };
-        let kept = active.enrolled.values().all(|one| active.keepers.contains(one));
-        if !kept || !active.can_hold(now) {
+        let all_stored = active.enrolled.values().all(|one| active.stored_by.contains(one));
+        if !all_stored || !active.commits_by_peers(now) {
             return;
         }
         let Some(parcel) = active.journal.take_flight() else { return };
-        active.keepers.clear();
-        active.hold_at = now;
+        active.stored_by.clear();
+        active.next_copy_at = now;
         let Ok(Record::Batch(batch)) = codec::decode(&parcel.payload) else { return };
         active.unlogged.push_back(parcel);
         if self.replica.apply_unlogged(&batch, unix) {
@@ -171,16 +172,16 @@
     }
 
     /// Takes in that a record of this owner is now in the log, which had taken effect before.
-    pub(super) fn on_caught_up(&mut self, payload: &[u8], now: Instant, unix: Unix) {
+    pub(super) fn on_unlogged_batch_read(&mut self, payload: &[u8], now: Instant, unix: Unix) {
         let Role::Owner(active) = &mut self.role else { return };
         let first = active.unlogged.front().is_some_and(|parcel| parcel.payload == payload);
         if !first {
             return;
         }
         active.unlogged.pop_front();
-        active.append_at = now;
+        active.next_append_at = now;
         if let Ok(Record::Batch(batch)) = codec::decode(payload) {
-            self.out.extend(active.on_logged(&batch, &self.replica.table, now, unix));
+            self.out.extend(active.on_batch_logged(&batch, &self.replica.table, now, unix));
         }
         if active.unlogged.is_empty() {
             log::info!("event=owner.log_caught_up epoch={}", active.epoch);
@@ -192,10 +193,11 @@
 
 impl Active {
     /// Whether batches go to peers because the log is away.
-    pub(super) fn can_hold(&self, now: Instant) -> bool {
-        let away = self.journal.failing_since().is_some_and(|since| now.since(since) >= PATIENCE);
-        let room = self.unlogged.len() < MAX_UNLOGGED;
-        room && (away || !self.unlogged.is_empty()) && !self.enrolled.is_empty()
+    pub(super) fn commits_by_peers(&self, now: Instant) -> bool {
+        let log_unavailable =
+            self.journal.failing_since().is_some_and(|since| now.since(since) >= LOG_TIMEOUT);
+        let has_room = self.unlogged.len() < MAX_UNLOGGED;
+        has_room && (log_unavailable || !self.unlogged.is_empty()) && !self.enrolled.is_empty()
     }
 
     /// Takes in that `from` has heard this owner. It joins the list only while the log is there
@@ -213,11 +215,11 @@
 
     /// The record to append next of those that took effect without the log.
     pub(super) fn next_unlogged(&mut self, now: Instant) -> Option<Parcel> {
-        if now < self.append_at {
+        if now < self.next_append_at {
             return None;
         }
         let parcel = self.unlogged.front().cloned()?;
-        self.append_at = now.after(REPEAT * 4);
+        self.next_append_at = now.after(RETRY_INTERVAL * 4);
         Some(parcel)
     }
 }
--- a/src/owner/timings.rs
+++ b/src/owner/timings.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timings {
     /// Interval of the owner's heartbeats to the instances of its domain.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// Silence after which an instance claims the domain; later ranks wait longer.
     pub claim: Duration,
     /// Lease that each exchange grants to the tasks of a worker.
@@ -42,7 +42,7 @@
 impl Default for Timings {
     fn default() -> Self {
         Self {
-            beat: Duration::from_millis(400),
+            heartbeat_interval: Duration::from_millis(400),
             claim: Duration::from_millis(1_600),
             lease: Duration::from_secs(10),
             margin: Duration::from_secs(2),
--- a/tests/logic/world.rs
+++ b/tests/logic/world.rs
@@ -12,7 +12,7 @@
 use oriolefork::owner::journal::{Parcel, Tag};
 use oriolefork::owner::machine::{Answer, Call, Effect, Machine, Message};
 use oriolefork::owner::session::{Channel, Send};
-use oriolefork::owner::{Beat, Hold, Ticket, Timings};
+use oriolefork::owner::{BatchCopy, Heartbeat, Ticket, Timings};
 use oriolefork::placement::{Leaning, Policy, Preset};
 use oriolefork::resource::Amount;
 use oriolefork::standin::{log as fake_log, worker as fake};
@@ -94,17 +94,17 @@
         until: u64,
         first: bool,
     },
-    Beat {
+    Heartbeat {
         from: usize,
         run: u64,
         to: usize,
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
-    Hold {
+    StoreBatch {
         from: usize,
         run: u64,
         to: usize,
-        hold: Hold,
+        copy: BatchCopy,
     },
     Handover {
         to: usize,
@@ -392,8 +392,8 @@
             Event::Exchange { node, run, epoch, worker, send, until, first } => {
                 self.exchange(node, run, epoch, worker, send, until, first);
             }
-            Event::Beat { from, run, to, beat } => self.beat(from, run, to, beat),
-            Event::Hold { from, run, to, hold } => self.hold(from, run, to, hold),
+            Event::Heartbeat { from, run, to, heartbeat } => self.beat(from, run, to, heartbeat),
+            Event::StoreBatch { from, run, to, copy } => self.hold(from, run, to, copy),
             Event::Handover { to, epoch } => {
                 if self.is_up(to) {
                     self.deliver(to, Message::Handover(epoch));
@@ -406,9 +406,9 @@
     fn blocked(&self, event: &Event) -> Option<u64> {
         let until = match event {
             Event::Tick(node) | Event::ToNode { node, .. } => self.nodes[*node].frozen_until,
-            Event::Beat { to, .. } | Event::Hold { to, .. } | Event::Handover { to, .. } => {
-                self.nodes[*to].frozen_until
-            }
+            Event::Heartbeat { to, .. }
+            | Event::StoreBatch { to, .. }
+            | Event::Handover { to, .. } => self.nodes[*to].frozen_until,
             Event::Exchange { worker, .. } => self.workers[worker].frozen_until,
             Event::Read { .. } | Event::Append { .. } => 0,
         };
@@ -441,25 +441,25 @@
                     Event::Exchange { node, run, epoch, worker, send, until, first: true },
                 );
             }
-            Effect::Beat { to, beat } => {
+            Effect::Heartbeat { to, heartbeat } => {
                 for peer in to {
                     let to = (0..self.nodes.len()).find(|index| address(1, *index) == peer);
-                    let beat = beat.clone();
+                    let heartbeat = heartbeat.clone();
                     if let Some(to) = to
                         && !self.lost()
                     {
-                        self.push(delay, Event::Beat { from: node, run, to, beat });
+                        self.push(delay, Event::Heartbeat { from: node, run, to, heartbeat });
                     }
                 }
             }
-            Effect::Hold { to, hold } => {
+            Effect::StoreBatch { to, copy } => {
                 for peer in to {
                     let to = (0..self.nodes.len()).find(|index| address(1, *index) == peer);
                     if let Some(to) = to
                         && !self.lost()
                     {
-                        let hold = hold.clone();
-                        self.push(delay, Event::Hold { from: node, run, to, hold });
+                        let copy = copy.clone();
+                        self.push(delay, Event::StoreBatch { from: node, run, to, copy });
                     }
                 }
             }
@@ -603,31 +603,31 @@
         self.push(delay, Event::ToNode { node, run, message });
     }
 
-    fn beat(&mut self, from: usize, run: u64, to: usize, beat: Beat) {
+    fn beat(&mut self, from: usize, run: u64, to: usize, heartbeat: Heartbeat) {
         if self.faults.deaf || self.nodes[from].cut || self.nodes[to].cut || !self.is_up(to) {
             return;
         }
-        self.deliver(to, Message::Beat(beat));
+        self.deliver(to, Message::Heartbeat(heartbeat));
         if !self.is_up(to) {
             return;
         }
         let known = self.machine(to).known_epoch();
         let delay = self.latency();
         let from_instance = self.machine(to).me.clone();
-        let message = Message::BeatAnswered { from: from_instance, epoch: known };
+        let message = Message::HeartbeatAnswered { from: from_instance, epoch: known };
         self.push(delay, Event::ToNode { node: from, run, message });
     }
 
-    fn hold(&mut self, from: usize, run: u64, to: usize, hold: Hold) {
+    fn hold(&mut self, from: usize, run: u64, to: usize, copy: BatchCopy) {
         if self.nodes[from].cut || self.nodes[to].cut || !self.is_up(to) {
             return;
         }
-        let (epoch, sequence) = (hold.epoch, hold.sequence);
-        self.deliver(to, Message::Hold(hold));
-        let kept = self.is_up(to) && self.machine(to).custody.keeps(epoch, sequence);
+        let (epoch, sequence) = (copy.epoch, copy.sequence);
+        self.deliver(to, Message::StoreBatch(copy));
+        let kept = self.is_up(to) && self.machine(to).copies.contains(epoch, sequence);
         if kept && !self.lost() {
             let from_instance = self.machine(to).me.clone();
-            let message = Message::Held { from: from_instance, epoch, sequence };
+            let message = Message::BatchStored { from: from_instance, epoch, sequence };
             let delay = self.latency();
             self.push(delay, Event::ToNode { node: from, run, message });
         }
