--- a/src/entry/backend/jobs.rs
+++ b/src/entry/backend/jobs.rs
@@ -59,7 +59,7 @@
     };
     match cause {
         machine::Refusal::NotOwner(_) => views::no_owner(),
-        machine::Refusal::WorkerAnswers => Refusal::not_run(
+        machine::Refusal::WorkerReachable => Refusal::not_run(
             Reason::AlreadyEnded,
             format!("worker {id} answers, so what it runs is known; drain it instead"),
         ),
@@ -73,11 +73,11 @@
         machine::Refusal::Busy => {
             Refusal::not_run(Reason::Overloaded, "too much waits for the log").after(OWNER_PAUSE)
         }
-        machine::Refusal::LogAway => {
+        machine::Refusal::LogUnavailable => {
             let message = "the platform's log cannot be reached, so nothing can be recorded";
             Refusal::not_run(Reason::LogUnavailable, message).after(LOG_PAUSE)
         }
-        machine::Refusal::Expired => {
+        machine::Refusal::DeadlineExceeded => {
             Refusal::not_run(Reason::Deadline, "time ran out before anything was recorded")
         }
     }
--- a/src/entry/controller.rs
+++ b/src/entry/controller.rs
@@ -13,7 +13,7 @@
 use crate::entry::peers::{Heard, Kept};
 use crate::entry::readiness::Readiness;
 use crate::entry::witness::Witness;
-use crate::owner::journal::Parcel;
+use crate::owner::journal::AppendRequest;
 use crate::owner::machine::{Answer, Call, Effect, Heartbeat, Machine, Message};
 use crate::owner::session::Send;
 use crate::owner::{BatchCopy, Ticket, machine};
@@ -176,7 +176,7 @@
         for effect in self.machine.handle(message, now, unix) {
             match effect {
                 Effect::Read { from, wait } => self.read(from, wait),
-                Effect::Append(parcel) => self.append(parcel),
+                Effect::Append(request) => self.append(request),
                 Effect::Exchange { epoch, worker, send } => self.exchange(epoch, worker, send),
                 Effect::Heartbeat { to, heartbeat } => self.send_heartbeat(&to, &heartbeat),
                 Effect::StoreBatch { to, copy } => self.store_batch(&to, &copy),
@@ -201,7 +201,7 @@
         });
     }
 
-    fn append(&self, Parcel { tag, payload }: Parcel) {
+    fn append(&self, AppendRequest { tag, payload }: AppendRequest) {
         let (borders, handle) = (self.borders.clone(), self.handle.clone());
         monoio::spawn(async move {
             let result = borders.store.append(&borders.stream, payload).await;
--- a/src/entry/gauges.rs
+++ b/src/entry/gauges.rs
@@ -8,7 +8,7 @@
 use crate::entry::views;
 use crate::owner::active::Active;
 use crate::owner::machine::Machine;
-use crate::owner::record::Position;
+use crate::owner::record::AttemptState;
 use crate::owner::table::Job;
 use crate::resource::Amount;
 use crate::telemetry::{Recorder, names};
@@ -44,7 +44,7 @@
 
 /// How long the job that waits longest has waited for its first task to be placed.
 fn oldest_wait(machine: &Machine, unix: Unix) -> Duration {
-    let waits = |job: &&Job| job.tasks.iter().all(|task| task.position == Position::Pending);
+    let waits = |job: &&Job| job.tasks.iter().all(|task| task.state == AttemptState::Pending);
     let waiting = machine.replica.table.jobs().filter(waits);
     let accepted = waiting.map(|job| job.accepted).min();
     accepted.map(|accepted| unix.since(accepted)).unwrap_or_default()
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -142,12 +142,12 @@
     let owner = &settings.owner;
     Timings {
         heartbeat_interval: owner.heartbeat,
-        claim: owner.claim_timeout,
+        claim_timeout: owner.claim_timeout,
         lease: owner.lease,
-        margin: owner.lease_margin,
-        watch: owner.exchange_wait,
-        commit: owner.commit_delay,
-        restate_records: owner.snapshot_records,
+        lease_margin: owner.lease_margin,
+        exchange_wait: owner.exchange_wait,
+        commit_delay: owner.commit_delay,
+        snapshot_records: owner.snapshot_records,
         ..Timings::default()
     }
 }
--- a/src/entry/views.rs
+++ b/src/entry/views.rs
@@ -4,7 +4,7 @@
 use crate::clock::{Instant, Unix};
 use crate::owner::active::Active;
 use crate::owner::machine::{Machine, Role};
-use crate::owner::record::Position;
+use crate::owner::record::AttemptState;
 use crate::owner::session::Session;
 use crate::owner::table::{self, Job};
 use crate::task::{End, Phase};
@@ -59,7 +59,7 @@
     active: Option<&Active>,
 ) -> view::job::Task {
     let id = job.task_id(index);
-    let waits = task.position == Position::Pending;
+    let waits = task.state == AttemptState::Pending;
     let reason = waits.then(|| active.and_then(|active| active.engine.explain(job.id))).flatten();
     view::job::Task {
         index: id.index,
@@ -73,11 +73,11 @@
 }
 
 fn phase(id: task::Id, task: &table::Task, active: Option<&Active>) -> view::job::Phase {
-    match &task.position {
-        Position::Pending => view::job::Phase::Pending,
-        Position::Unresolved { .. } => view::job::Phase::Uncertain,
-        Position::Done(end) => view::job::Phase::Ended(*end),
-        Position::Placed { worker, .. } => {
+    match &task.state {
+        AttemptState::Pending => view::job::Phase::Pending,
+        AttemptState::Unresolved { .. } => view::job::Phase::Uncertain,
+        AttemptState::Done(end) => view::job::Phase::Ended(*end),
+        AttemptState::Placed { worker, .. } => {
             let session = active.and_then(|active| active.sessions.get(worker));
             let seen = session.and_then(|session| session.running.get(&id));
             match seen.map(|observation| observation.phase) {
@@ -105,13 +105,13 @@
 
 fn state(job: &Job, active: Option<&Active>) -> view::job::State {
     use view::job::State;
-    let any = |wanted: fn(&Position) -> bool| job.tasks.iter().any(|task| wanted(&task.position));
-    if any(|position| matches!(position, Position::Unresolved { .. })) {
+    let any = |wanted: fn(&AttemptState) -> bool| job.tasks.iter().any(|task| wanted(&task.state));
+    if any(|state| matches!(state, AttemptState::Unresolved { .. })) {
         return State::Uncertain;
     }
     if job.is_over() {
         let stopped =
-            any(|position| matches!(position, Position::Done(end) if *end != End::Succeeded));
+            any(|state| matches!(state, AttemptState::Done(end) if *end != End::Succeeded));
         return match (job.cancelled.is_some() && stopped, job.is_lost()) {
             (true, _) => State::Cancelled,
             (false, true) => State::Failed,
@@ -265,11 +265,11 @@
         load.waiting_jobs += 1;
     }
     for task in &job.tasks {
-        match task.position {
-            Position::Pending => load.pending_tasks += 1,
-            Position::Placed { .. } => load.running_tasks += 1,
-            Position::Unresolved { .. } => load.uncertain_tasks += 1,
-            Position::Done(_) => {}
+        match task.state {
+            AttemptState::Pending => load.pending_tasks += 1,
+            AttemptState::Placed { .. } => load.running_tasks += 1,
+            AttemptState::Unresolved { .. } => load.uncertain_tasks += 1,
+            AttemptState::Done(_) => {}
         }
     }
 }
--- a/src/owner/active.rs
+++ b/src/owner/active.rs
@@ -11,9 +11,9 @@
 use crate::domain::{Epoch, Instance};
 use crate::job::{Kind, Spec, Urgency};
 use crate::membership::{Member, Role, State};
-use crate::owner::journal::{Journal, Parcel, Tag};
+use crate::owner::journal::{AppendRequest, Journal, Tag};
 use crate::owner::machine::{Answer, Refusal};
-use crate::owner::record::{Conclusion, Entry, Position};
+use crate::owner::record::{AttemptState, Conclusion, Entry};
 use crate::owner::session::Session;
 use crate::owner::table::{Job, Table};
 use crate::owner::{Ticket, Timings};
@@ -39,7 +39,7 @@
     /// Those of them that keep the batch under way.
     pub(super) stored_by: BTreeSet<Instance>,
     /// Batches that took effect without the log, in order.
-    pub(super) unlogged: VecDeque<Parcel>,
+    pub(super) unlogged: VecDeque<AppendRequest>,
     /// Placements that took effect without the log and may start only once they are in it.
     pub(super) deferred: BTreeSet<task::Id>,
     /// Callers whose changes took effect without the log and are answered once they are in it.
@@ -119,7 +119,7 @@
             owed: BTreeMap::new(),
             next_copy_at: now,
             next_append_at: now,
-            journal: Journal::new(epoch, timings.commit),
+            journal: Journal::new(epoch, timings.commit_delay),
             board,
             engine: Engine::new(policy),
             sessions: BTreeMap::new(),
@@ -197,8 +197,8 @@
         let mut waiting = Vec::new();
         for (index, task) in job.tasks.iter().enumerate() {
             let id = job.task_id(index);
-            match (&task.position, task.worker()) {
-                (Position::Pending, _) => waiting.push(id),
+            match (&task.state, task.worker()) {
+                (AttemptState::Pending, _) => waiting.push(id),
                 (_, Some(worker)) => self.adopt(id, worker, job, now),
                 _ => {}
             }
@@ -308,9 +308,9 @@
     }
 
     /// Takes in that an append failed whose batch has taken effect already.
-    pub(super) fn append_failed(&mut self, tag: Tag, now: Instant) {
-        if self.unlogged.front().is_some_and(|parcel| parcel.tag == tag) {
-            self.journal.failing(now);
+    pub(super) fn on_append_failed(&mut self, tag: Tag, now: Instant) {
+        if self.unlogged.front().is_some_and(|request| request.tag == tag) {
+            self.journal.mark_log_unavailable(now);
         }
     }
 
--- a/src/owner/alerts.rs
+++ b/src/owner/alerts.rs
@@ -11,7 +11,7 @@
 use crate::job;
 use crate::owner::active::Active;
 use crate::owner::machine::Answer;
-use crate::owner::record::{Entry, Position};
+use crate::owner::record::{AttemptState, Entry};
 use crate::owner::table::{Job, MAX_FAILURES, Table};
 use crate::owner::{Ticket, active};
 use crate::placement::{Event, Reason};
@@ -105,7 +105,7 @@
 
     /// A job that was accepted may become impossible when the workers that fit it go away.
     fn watch_room(&mut self, job: &Job, unix: Unix) {
-        let waits = job.tasks.iter().any(|task| task.position == Position::Pending);
+        let waits = job.tasks.iter().any(|task| task.state == AttemptState::Pending);
         if !waits || !self.knows_all_workers() {
             return;
         }
@@ -118,7 +118,7 @@
 
     /// Raises and ends what the end of a try has brought about.
     pub(super) fn tell_end(&mut self, job: &Job, task: task::Id, unix: Unix) {
-        let resolved = job.current(task).is_none_or(|current| !is_unresolved(&current.position));
+        let resolved = job.current(task).is_none_or(|current| !is_unresolved(&current.state));
         let uncertain = Key { kind: Kind::Uncertain, subject: Subject::Task(task) };
         match resolved {
             true => self.end(unix, &uncertain),
@@ -202,8 +202,8 @@
     }
 }
 
-fn is_unresolved(position: &Position) -> bool {
-    matches!(position, Position::Unresolved { .. })
+fn is_unresolved(position: &AttemptState) -> bool {
+    matches!(position, AttemptState::Unresolved { .. })
 }
 
 fn label(job: &Job) -> String {
--- a/src/owner/calls.rs
+++ b/src/owner/calls.rs
@@ -14,7 +14,9 @@
         let answer = match &mut self.role {
             Role::Follower => Some(Answer::Refused(Refusal::NotOwner(owner))),
             Role::Owner(_) if self.stopping => Some(Answer::Refused(Refusal::NotOwner(None))),
-            Role::Owner(active) if !active.is_settled() => Some(Answer::Refused(Refusal::LogAway)),
+            Role::Owner(active) if !active.is_settled() => {
+                Some(Answer::Refused(Refusal::LogUnavailable))
+            }
             Role::Owner(active) => match call {
                 Call::Submit { job, key, spec } => {
                     let acceptance = Acceptance { job, key, spec, at: unix };
@@ -54,7 +56,7 @@
             return None;
         }
         if self.journal.failing_since().is_some() {
-            return Some(Answer::Refused(Refusal::LogAway));
+            return Some(Answer::Refused(Refusal::LogUnavailable));
         }
         if self.journal.is_full() {
             return Some(Answer::Refused(Refusal::Busy));
@@ -104,7 +106,7 @@
     ) -> Option<Answer> {
         let Some(session) = self.sessions.get(worker) else { return Some(Answer::NotFound) };
         if session.failing_since().is_none() {
-            return Some(Answer::Refused(Refusal::WorkerAnswers));
+            return Some(Answer::Refused(Refusal::WorkerReachable));
         }
         let tasks: Vec<task::Id> = table.placed_on(worker).collect();
         if let Some(session) = self.sessions.get_mut(worker) {
@@ -146,7 +148,7 @@
         };
         let retracted = !others_wait && self.journal.retract(ticket);
         if retracted {
-            let refusal = Answer::Refused(Refusal::Expired);
+            let refusal = Answer::Refused(Refusal::DeadlineExceeded);
             return self
                 .followers(ticket)
                 .into_iter()
--- a/src/owner/election/claim.rs
+++ b/src/owner/election/claim.rs
@@ -5,7 +5,7 @@
 use crate::clock::{Instant, Unix};
 use crate::codec;
 use crate::domain::Epoch;
-use crate::owner::journal::{Parcel, Tag};
+use crate::owner::journal::{AppendRequest, Tag};
 use crate::owner::machine::{Effect, Machine, Role};
 use crate::owner::record::Record;
 use crate::store::{self, Offset, Outcome};
@@ -32,7 +32,7 @@
     /// Whether both the owner and the log have been silent for so long that the leases of all that
     /// runs in the domain would lapse before anybody could claim it.
     fn takeover_due(&self, now: Instant) -> bool {
-        let patience = self.timings.claim * 2 + self.rank_delay();
+        let patience = self.timings.claim_timeout * 2 + self.rank_delay();
         let log_away =
             self.election.read_failing_since.is_some_and(|since| now.since(since) >= patience);
         log_away && now.since(self.election.heard) >= patience
@@ -62,7 +62,7 @@
         if paused || log_away {
             return false;
         }
-        let patience = self.timings.claim + self.rank_delay();
+        let patience = self.timings.claim_timeout + self.rank_delay();
         let silent = now.since(self.election.heard) >= patience;
         let cut_off =
             self.election.leader_without_log.is_some_and(|since| now.since(since) >= patience * 2);
@@ -72,7 +72,7 @@
     /// Instances claim in the order of their names, so that two seldom claim at once.
     fn rank_delay(&self) -> Duration {
         let steps = u32::try_from(self.rank()).unwrap_or(u32::MAX);
-        (self.timings.claim / RANK_SHARE).saturating_mul(steps)
+        (self.timings.claim_timeout / RANK_SHARE).saturating_mul(steps)
     }
 
     fn rank(&self) -> usize {
@@ -92,11 +92,11 @@
         }
         let claim = self.replica.claim_for(&self.me, epoch);
         log::info!("event=owner.claiming domain={} epoch={}", self.domain, claim.epoch);
-        self.election.claim_pause = Some(now.after(self.timings.claim));
+        self.election.claim_pause = Some(now.after(self.timings.claim_timeout));
         match codec::encode(&Record::Claim(claim)) {
             Ok(payload) => {
                 self.election.claiming = true;
-                self.out.push(Effect::Append(Parcel { tag: Tag::Claim, payload }));
+                self.out.push(Effect::Append(AppendRequest { tag: Tag::Claim, payload }));
             }
             Err(error) => log::error!("event=owner.claim_unwritable cause=\"{error}\""),
         }
@@ -122,8 +122,8 @@
             Err(error) => {
                 log::warn!("event=owner.append_failed domain={} {error}", self.domain);
                 if let Some(active) = self.active() {
-                    active.journal.failed(tag, now);
-                    active.append_failed(tag, now);
+                    active.journal.on_append_failed(tag, now);
+                    active.on_append_failed(tag, now);
                 }
                 if error.outcome == Outcome::Unknown {
                     self.read_soon(now);
--- a/src/owner/election/mod.rs
+++ b/src/owner/election/mod.rs
@@ -120,7 +120,7 @@
         }
         let gone: Vec<Instance> = self
             .replica
-            .formers()
+            .former_owners()
             .iter()
             .filter(|former| former.peer == from.peer)
             .cloned()
@@ -157,7 +157,7 @@
         active.set_members(&self.members);
         // An owner before this one may have started what the log does not say, unless this
         // instance would keep the record of it.
-        let previous = self.replica.previous();
+        let previous = self.replica.previous_epoch();
         active.cautious =
             previous != Epoch::default() && self.copies.enrolled_epoch() != Some(previous);
         active.load(&self.replica.table, now, unix);
@@ -172,7 +172,7 @@
             self.replica.table.len()
         );
         let mut active = self.new_active(epoch, now, unix);
-        for entry in self.copies.unlogged_entries(self.replica.previous()) {
+        for entry in self.copies.unlogged_entries(self.replica.previous_epoch()) {
             log::debug!("event=owner.relogged change={entry:?}");
             active.recovering = true;
             active.journal.push(entry, None);
--- a/src/owner/election/reading.rs
+++ b/src/owner/election/reading.rs
@@ -6,18 +6,18 @@
 use crate::codec;
 use crate::domain::Epoch;
 use crate::owner::machine::{Effect, Machine};
-use crate::owner::record::{Floor, Record};
+use crate::owner::record::{Record, ReplayPoint};
 use crate::owner::replica::Replica;
 use crate::store::{self, Offset, Page};
 
 /// Records at the end of the stream in which a new reader first looks for a floor.
-const TAIL: Offset = 64;
+const TAIL_WINDOW: Offset = 64;
 
 /// Factor by which that window grows while it holds no floor.
-const TAIL_GROWTH: Offset = 16;
+const TAIL_WINDOW_GROWTH: Offset = 16;
 
 /// Pause after a failed read.
-const READ_PAUSE: Duration = Duration::from_millis(300);
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// How far this instance has come with reading the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Asks where the stream ends.
     FindEnd,
     /// Looks through this many last records for a floor.
-    FindFloor(Offset),
+    FindReplayPoint(Offset),
     /// Reads from the floor to the end that the stream had at the start.
     CatchUp(Offset),
     /// Has read all that there was at the start.
@@ -41,12 +41,12 @@
         if self.election.reading || now < self.election.read_at {
             return;
         }
-        let wait = if self.is_owner() { Duration::ZERO } else { self.timings.follow };
+        let wait = if self.is_owner() { Duration::ZERO } else { self.timings.read_wait };
         let (from, wait) = match self.election.progress {
             Progress::FindEnd => (Offset::MAX, Duration::ZERO),
-            Progress::FindFloor(start) => (start, Duration::ZERO),
-            Progress::CatchUp(_) => (self.replica.next(), Duration::ZERO),
-            Progress::Live => (self.replica.next(), wait),
+            Progress::FindReplayPoint(start) => (start, Duration::ZERO),
+            Progress::CatchUp(_) => (self.replica.next_offset(), Duration::ZERO),
+            Progress::Live => (self.replica.next_offset(), wait),
         };
         self.election.reading = true;
         self.out.push(Effect::Read { from, wait });
@@ -69,40 +69,41 @@
             Err(error) => {
                 log::warn!("event=owner.read_failed domain={} {error}", self.domain);
                 self.election.read_failing_since.get_or_insert(now);
-                self.election.read_at = now.after(READ_PAUSE);
+                self.election.read_at = now.after(READ_RETRY_PAUSE);
                 return;
             }
         };
         self.election.read_failing_since = None;
-        self.election.read_at = if self.is_owner() { now.after(self.timings.check) } else { now };
+        self.election.read_at =
+            if self.is_owner() { now.after(self.timings.rival_check_interval) } else { now };
         match self.election.progress {
             Progress::FindEnd => self.on_end(&page),
-            Progress::FindFloor(start) => self.on_tail(start, &page),
+            Progress::FindReplayPoint(start) => self.on_tail(start, &page),
             Progress::CatchUp(_) | Progress::Live => self.on_page(&page, now, unix),
         }
     }
 
     fn on_end(&mut self, page: &Page) {
-        let start = page.end.saturating_sub(TAIL).max(page.oldest);
-        self.election.progress = Progress::FindFloor(start);
+        let start = page.end.saturating_sub(TAIL_WINDOW).max(page.oldest);
+        self.election.progress = Progress::FindReplayPoint(start);
     }
 
     fn on_tail(&mut self, start: Offset, page: &Page) {
-        let floor = find_floor(page).filter(|floor| floor.offset >= page.oldest);
-        let whole = start <= page.oldest;
-        match floor {
-            Some(floor) => self.start_at(floor, page.end),
-            None if whole => self.start_at(first_floor(page), page.end),
+        let point = find_replay_point(page).filter(|point| point.offset >= page.oldest);
+        let reaches_oldest = start <= page.oldest;
+        match point {
+            Some(point) => self.start_at(point, page.end),
+            None if reaches_oldest => self.start_at(oldest_replay_point(page), page.end),
             None => {
-                let window = (page.end.saturating_sub(start)).saturating_mul(TAIL_GROWTH);
+                let window = (page.end.saturating_sub(start)).saturating_mul(TAIL_WINDOW_GROWTH);
                 let wider = page.end.saturating_sub(window).max(page.oldest);
-                self.election.progress = Progress::FindFloor(wider);
+                self.election.progress = Progress::FindReplayPoint(wider);
             }
         }
     }
 
-    fn start_at(&mut self, floor: Floor, end: Offset) {
-        self.replica = Replica::starting_at(floor);
+    fn start_at(&mut self, point: ReplayPoint, end: Offset) {
+        self.replica = Replica::starting_at(point);
         self.election.progress = Progress::CatchUp(end);
     }
 
@@ -112,16 +113,16 @@
             return;
         }
         for record in &page.records {
-            if record.offset == self.replica.next() {
+            if record.offset == self.replica.next_offset() {
                 self.absorb(record.offset, &record.payload, now, unix);
             }
         }
-        let behind = self.replica.next() < page.end;
+        let behind = self.replica.next_offset() < page.end;
         if behind {
             self.read_soon(now);
         }
         if let Progress::CatchUp(end) = self.election.progress
-            && self.replica.next() >= end
+            && self.replica.next_offset() >= end
         {
             log::info!(
                 "event=owner.caught_up domain={} offset={} jobs={}",
@@ -144,25 +145,28 @@
 }
 
 /// The latest floor that a batch of the page names.
-fn find_floor(page: &Page) -> Option<Floor> {
-    let floor = |payload| match codec::decode::<Record>(payload) {
-        Ok(Record::Batch(batch)) => Some(batch.floor),
+fn find_replay_point(page: &Page) -> Option<ReplayPoint> {
+    let replay_point = |payload| match codec::decode::<Record>(payload) {
+        Ok(Record::Batch(batch)) => Some(batch.replay_point),
         _ => None,
     };
-    page.records.iter().filter_map(|record| floor(&record.payload)).max_by_key(|floor| floor.offset)
+    page.records
+        .iter()
+        .filter_map(|record| replay_point(&record.payload))
+        .max_by_key(|point| point.offset)
 }
 
 /// Where to start when no floor is left: at the oldest record, in the epoch that makes it hold.
-fn first_floor(page: &Page) -> Floor {
+fn oldest_replay_point(page: &Page) -> ReplayPoint {
     let Some(first) = page.records.first() else {
-        return Floor { offset: page.oldest, ..Floor::default() };
+        return ReplayPoint { offset: page.oldest, ..ReplayPoint::default() };
     };
     let (epoch, sequence) = match codec::decode::<Record>(&first.payload) {
         Ok(Record::Batch(batch)) => (batch.epoch, batch.sequence),
         Ok(Record::Claim(claim)) => (previous(claim.epoch), 0),
         Err(_) => (Epoch::default(), 0),
     };
-    Floor { offset: page.oldest, epoch, sequence }
+    ReplayPoint { offset: page.oldest, epoch, sequence }
 }
 
 fn previous(epoch: Epoch) -> Epoch {
--- a/src/owner/machine/message.rs
+++ b/src/owner/machine/message.rs
@@ -9,7 +9,7 @@
 use crate::domain::{self, Epoch, Instance};
 use crate::membership::Member;
 use crate::owner::Ticket;
-use crate::owner::journal::{Parcel, Tag};
+use crate::owner::journal::{AppendRequest, Tag};
 use crate::owner::peer_commit::BatchCopy;
 use crate::owner::session::{Channel, Send};
 use crate::placement::Policy;
@@ -150,7 +150,7 @@
     /// This instance does not own the domain.
     NotOwner(Option<Instance>),
     /// The worker answers, so it is not gone.
-    WorkerAnswers,
+    WorkerReachable,
     /// The key stands for another job.
     KeyReused,
     /// No worker could ever run it.
@@ -158,9 +158,9 @@
     /// Too much waits for the log.
     Busy,
     /// The log cannot be reached.
-    LogAway,
+    LogUnavailable,
     /// Time ran out before anything was written.
-    Expired,
+    DeadlineExceeded,
 }
 
 /// Something to do.
@@ -174,7 +174,7 @@
         wait: Duration,
     },
     /// Append to the stream and answer with [`Message::Appended`].
-    Append(Parcel),
+    Append(AppendRequest),
     /// Call a worker and answer with [`Message::Exchanged`].
     Exchange {
         /// Present epoch, to be returned with the result.
--- a/src/owner/machine/mod.rs
+++ b/src/owner/machine/mod.rs
@@ -171,7 +171,7 @@
                 self.step_down("claimed_by_other");
             }
             Applied::Changed(batch) => self.on_changed(&batch, now, unix),
-            Applied::Void => self.on_unlogged_batch_read(payload, now, unix),
+            Applied::NoEffect => self.on_unlogged_batch_read(payload, now, unix),
         }
     }
 
--- a/src/owner/on_commit.rs
+++ b/src/owner/on_commit.rs
@@ -7,7 +7,7 @@
 use crate::owner::Timings;
 use crate::owner::active::Active;
 use crate::owner::machine::Effect;
-use crate::owner::record::{Batch, Conclusion, Entry, Placement, Position};
+use crate::owner::record::{AttemptState, Batch, Conclusion, Entry, Placement};
 use crate::owner::session::Session;
 use crate::owner::table::{Job, Table};
 use crate::task;
@@ -167,7 +167,7 @@
     /// Queues a task again after its pause. A gang is queued whole, with its first task.
     pub(super) fn requeue(&mut self, table: &Table, id: task::Id, now: Instant) {
         let Some(job) = table.get(id.job) else { return };
-        let waits = job.current(id).is_some_and(|task| task.position == Position::Pending);
+        let waits = job.current(id).is_some_and(|task| task.state == AttemptState::Pending);
         if !waits || self.placing.contains(&id) {
             return;
         }
@@ -183,7 +183,7 @@
         self.engine.withdraw(job.id);
         for (index, task) in job.tasks.iter().enumerate() {
             let id = job.task_id(index);
-            let Position::Placed { worker, .. } = &task.position else { continue };
+            let AttemptState::Placed { worker, .. } = &task.state else { continue };
             let Some(session) = self.sessions.get_mut(worker) else { continue };
             if session.withdraw(id) {
                 self.conclude(id, task::End::Stopped, now, unix);
@@ -196,7 +196,7 @@
     fn stop_job(&mut self, job: &Job) {
         for (index, task) in job.tasks.iter().enumerate() {
             let id = job.task_id(index);
-            if let Position::Placed { worker, .. } = &task.position
+            if let AttemptState::Placed { worker, .. } = &task.state
                 && let Some(session) = self.sessions.get_mut(worker)
             {
                 session.push(Command::Stop(id));
@@ -205,7 +205,7 @@
     }
 
     pub(super) fn prune(&mut self, table: &Table, history: Duration, unix: Unix) {
-        if !self.journal.is_settled() {
+        if !self.journal.is_empty() {
             return;
         }
         let old = |job: &&Job| job.ended.is_some_and(|ended| unix.since(ended) > history);
--- a/src/owner/owner_step.rs
+++ b/src/owner/owner_step.rs
@@ -10,7 +10,7 @@
 use crate::owner::active::Active;
 use crate::owner::journal::{self, Tag};
 use crate::owner::machine::{Effect, Heartbeat, Machine, Role};
-use crate::owner::record::{Batch, Entry, Placement, Statement};
+use crate::owner::record::{Batch, Entry, JobSnapshot, Placement};
 use crate::owner::replica::Replica;
 use crate::owner::table::Job;
 use crate::placement::{Assignment, Decision};
@@ -20,7 +20,7 @@
 /// Bound on the tasks placed in one step, so that messages are handled in between.
 const MAX_DECISIONS: usize = 256;
 /// Bound on the jobs stated anew in one batch.
-const MAX_STATEMENTS: usize = 64;
+const MAX_SNAPSHOTS: usize = 64;
 /// Interval of the checks that go over every job or worker.
 const SWEEP: Duration = Duration::from_millis(500);
 
@@ -61,7 +61,7 @@
     /// nothing else is written, each would take the other for dead and claim the domain from it
     /// again and again, every time stopping placement until all workers are fenced anew.
     fn speak_through_log(&mut self, now: Instant) {
-        let patience = self.timings.claim / 2;
+        let patience = self.timings.claim_timeout / 2;
         let Role::Owner(active) = &self.role else { return };
         let heard = |name| active.heard_by.get(name).copied().unwrap_or(active.began);
         let unheard = self.peers().any(|(name, _)| now.since(heard(name)) > patience);
@@ -80,7 +80,7 @@
             active.end_caution(&self.replica.table, now, unix);
             active.account(&self.replica.table, now);
             active.expire_leases(&self.replica, &self.timings, now, unix);
-            active.prune(&self.replica.table, self.timings.history, unix);
+            active.prune(&self.replica.table, self.timings.ended_job_retention, unix);
         }
         active.watch(&self.replica.table, now, unix);
     }
@@ -116,31 +116,33 @@
     }
 
     fn commit(&mut self, now: Instant, unix: Unix) {
-        let position =
-            journal::Position { sequence: self.replica.sequence(), floor: self.replica.floor() };
+        let position = journal::BatchPosition {
+            sequence: self.replica.next_sequence(),
+            replay_point: self.replica.replay_point(),
+        };
         let Role::Owner(active) = &mut self.role else { return };
         if !active.logged {
             let epoch = active.epoch;
             return self.claim_epoch(epoch, now);
         }
-        let parcel = match active.journal.retry(now) {
+        let request = match active.journal.retry(now) {
             _ if !active.unlogged.is_empty() => {
                 let due = active.next_unlogged(now);
                 // The next batch goes to peers, until the log has those before it.
                 if active.journal.is_idle(now) {
-                    active.journal.depart(now, position, Vec::new());
+                    active.journal.send_batch(now, position, Vec::new());
                 }
                 due
             }
-            Some(parcel) => Some(parcel),
+            Some(request) => Some(request),
             None if active.journal.is_idle(now) => {
-                let due = statements(&self.replica, &self.timings, unix);
-                active.journal.depart(now, position, due)
+                let snapshots = due_snapshots(&self.replica, &self.timings, unix);
+                active.journal.send_batch(now, position, snapshots)
             }
             None => None,
         };
-        if let Some(parcel) = parcel {
-            self.out.push(Effect::Append(parcel));
+        if let Some(request) = request {
+            self.out.push(Effect::Append(request));
         }
     }
 
@@ -158,14 +160,14 @@
     /// waiting for the claim timeout.
     fn hand_over(&mut self) {
         let settled = self.active().is_some_and(|active| {
-            let written = active.journal.is_settled() && active.unlogged.is_empty();
+            let written = active.journal.is_empty() && active.unlogged.is_empty();
             written || !active.is_settled()
         });
         if !self.stopping || !settled {
             return;
         }
-        let heir = self.peers().map(|(_, address)| address).next();
-        if let (Some(to), Some(active)) = (heir, self.active()) {
+        let successor = self.peers().map(|(_, address)| address).next();
+        if let (Some(to), Some(active)) = (successor, self.active()) {
             let epoch = active.epoch;
             self.out.push(Effect::Handover { to, epoch });
         }
@@ -179,7 +181,7 @@
     /// precede it. Otherwise the records in between are read before anything is acted on, since an
     /// owner that was paused may write after a rival's claim, and the batch is then void.
     pub(super) fn on_batch_written(&mut self, tag: Tag, offset: Offset, now: Instant, unix: Unix) {
-        let next = self.replica.next();
+        let next = self.replica.next_offset();
         let payload = self.active().and_then(|active| active.payload(tag));
         match payload {
             Some(payload) if offset == next => self.absorb(offset, &payload, now, unix),
@@ -190,8 +192,7 @@
 
     /// Begins anew once all that was kept for an earlier owner is in the log.
     fn end_recovery(&mut self, now: Instant, unix: Unix) {
-        let ended =
-            self.active().is_some_and(|a| a.recovering && a.journal.is_settled() && a.logged);
+        let ended = self.active().is_some_and(|a| a.recovering && a.journal.is_empty() && a.logged);
         if ended {
             let epoch = self.replica.epoch();
             log::info!("event=owner.recovered epoch={epoch}");
@@ -218,7 +219,7 @@
             active.on_entry(entry, &self.replica.table, &self.timings, now, unix);
         }
         if active.unlogged.is_empty() {
-            active.journal.recovered();
+            active.journal.mark_log_available();
         }
         let tickets = active.journal.committed(batch.sequence);
         if !active.unlogged.is_empty() {
@@ -233,14 +234,15 @@
 }
 
 /// Jobs whose last whole statement is about to leave the log.
-fn statements(replica: &Replica, timings: &Timings, unix: Unix) -> Vec<Entry> {
-    let far = |job: &&Job| {
-        let behind = replica.next().saturating_sub(job.stated) > timings.restate_records;
-        behind || unix.since(job.restated_at) > timings.restate_age
+fn due_snapshots(replica: &Replica, timings: &Timings, unix: Unix) -> Vec<Entry> {
+    let is_due = |job: &&Job| {
+        let behind =
+            replica.next_offset().saturating_sub(job.snapshot_offset) > timings.snapshot_records;
+        behind || unix.since(job.snapshot_read_at) > timings.snapshot_age
     };
-    let state = |job| Entry::Restated(Statement::from(job));
-    let jobs = replica.table.by_statement().take_while(far).take(MAX_STATEMENTS).map(state);
-    let board = replica.is_board_old(timings.restate_records).then(|| {
+    let snapshot = |job| Entry::Restated(JobSnapshot::from(job));
+    let jobs = replica.table.by_snapshot_age().take_while(is_due).take(MAX_SNAPSHOTS).map(snapshot);
+    let board = replica.is_board_snapshot_old(timings.snapshot_records).then(|| {
         let ledger = replica.board.ledger();
         Entry::Alerts(alert::wire::Ledger::from(&ledger))
     });
@@ -250,8 +252,8 @@
 impl Active {
     /// Content of the batch that `tag` names, if its answer is awaited.
     fn payload(&self, tag: Tag) -> Option<Bytes> {
-        let first = self.unlogged.front().filter(|parcel| parcel.tag == tag);
-        first.map(|parcel| parcel.payload.clone()).or_else(|| self.journal.payload(tag))
+        let first = self.unlogged.front().filter(|request| request.tag == tag);
+        first.map(|request| request.payload.clone()).or_else(|| self.journal.payload(tag))
     }
 
     fn place(&mut self, tasks: Vec<Assignment>) {
--- a/src/owner/peer_commit.rs
+++ b/src/owner/peer_commit.rs
@@ -14,7 +14,7 @@
 use crate::codec;
 use crate::domain::{self, Epoch, Instance};
 use crate::owner::active::Active;
-use crate::owner::journal::{Parcel, Tag};
+use crate::owner::journal::{AppendRequest, Tag};
 use crate::owner::machine::{Effect, Heartbeat, Machine, Role};
 use crate::owner::record::{Entry, Record};
 
@@ -126,7 +126,7 @@
         unix: Unix,
     ) {
         let Role::Owner(active) = &mut self.role else { return };
-        let is_in_flight = active.journal.flight_tag() == Some(Tag::Batch { epoch, sequence });
+        let is_in_flight = active.journal.in_flight_tag() == Some(Tag::Batch { epoch, sequence });
         if epoch != active.epoch || !is_in_flight {
             return;
         }
@@ -140,7 +140,7 @@
         if !active.commits_by_peers(now) || now < active.next_copy_at {
             return;
         }
-        let Some((sequence, payload)) = active.journal.flight() else { return };
+        let Some((sequence, payload)) = active.journal.in_flight() else { return };
         active.next_copy_at = now.after(RETRY_INTERVAL);
         let domain = self.domain.clone();
         let copy = BatchCopy { domain, epoch: active.epoch, sequence, payload: payload.to_vec() };
@@ -161,11 +161,11 @@
         if !all_stored || !active.commits_by_peers(now) {
             return;
         }
-        let Some(parcel) = active.journal.take_flight() else { return };
+        let Some(request) = active.journal.stop_retries() else { return };
         active.stored_by.clear();
         active.next_copy_at = now;
-        let Ok(Record::Batch(batch)) = codec::decode(&parcel.payload) else { return };
-        active.unlogged.push_back(parcel);
+        let Ok(Record::Batch(batch)) = codec::decode(&request.payload) else { return };
+        active.unlogged.push_back(request);
         if self.replica.apply_unlogged(&batch, unix) {
             self.on_changed(&batch, now, unix);
         }
@@ -174,7 +174,7 @@
     /// Takes in that a record of this owner is now in the log, which had taken effect before.
     pub(super) fn on_unlogged_batch_read(&mut self, payload: &[u8], now: Instant, unix: Unix) {
         let Role::Owner(active) = &mut self.role else { return };
-        let first = active.unlogged.front().is_some_and(|parcel| parcel.payload == payload);
+        let first = active.unlogged.front().is_some_and(|request| request.payload == payload);
         if !first {
             return;
         }
@@ -185,8 +185,8 @@
         }
         if active.unlogged.is_empty() {
             log::info!("event=owner.log_caught_up epoch={}", active.epoch);
-            active.journal.recovered();
-            active.journal.rearm(now);
+            active.journal.mark_log_available();
+            active.journal.schedule_append(now);
         }
     }
 }
@@ -214,12 +214,12 @@
     }
 
     /// The record to append next of those that took effect without the log.
-    pub(super) fn next_unlogged(&mut self, now: Instant) -> Option<Parcel> {
+    pub(super) fn next_unlogged(&mut self, now: Instant) -> Option<AppendRequest> {
         if now < self.next_append_at {
             return None;
         }
-        let parcel = self.unlogged.front().cloned()?;
+        let request = self.unlogged.front().cloned()?;
         self.next_append_at = now.after(RETRY_INTERVAL * 4);
-        Some(parcel)
+        Some(request)
     }
 }
--- a/src/owner/reconcile.rs
+++ b/src/owner/reconcile.rs
@@ -8,7 +8,7 @@
 use crate::owner::active::{Active, stray};
 use crate::owner::machine::{Machine, Role};
 use crate::owner::on_commit::start;
-use crate::owner::record::{Entry, Placement, Position};
+use crate::owner::record::{AttemptState, Entry, Placement};
 use crate::owner::replica::Replica;
 use crate::owner::session::{Channel, Findings};
 use crate::owner::table::{Table, Task};
@@ -102,7 +102,7 @@
             }
             Phase::Running if here => {
                 let unresolved =
-                    current.is_some_and(|t| matches!(t.position, Position::Unresolved { .. }));
+                    current.is_some_and(|t| matches!(t.state, AttemptState::Unresolved { .. }));
                 let cancelled = table.get(id.job).is_some_and(|job| job.cancelled.is_some());
                 if cancelled {
                     // The order to stop may have gone down with an earlier owner or connection.
@@ -137,8 +137,8 @@
     /// a task that may run only once would run again.
     fn true_end(&self, worker: &worker::Name, task: Option<&Task>, end: End) -> End {
         let run = self.sessions.get(worker).map_or(0, |session| session.run);
-        match task.map(|task| &task.position) {
-            Some(Position::Placed { run: placed, .. })
+        match task.map(|task| &task.state) {
+            Some(AttemptState::Placed { run: placed, .. })
                 if end == End::Rejected && *placed != run =>
             {
                 End::Lapsed
@@ -150,7 +150,7 @@
     /// Whether a worker's word on a try that the log has waiting is the truth: an owner before this
     /// one started it without the log, and this one has not placed it itself.
     fn is_adoptable(&self, current: Option<&Task>, id: task::Id) -> bool {
-        let waits = current.is_some_and(|task| task.position == Position::Pending);
+        let waits = current.is_some_and(|task| task.state == AttemptState::Pending);
         waits && self.cautious && !self.placing.contains(&id) && !self.concluding.contains(&id)
     }
 
@@ -282,8 +282,8 @@
         unix: Unix,
     ) {
         let table = &replica.table;
-        let alone = replica.formers().is_empty()
-            && now.since(self.alone_since) > timings.lease + timings.margin;
+        let alone = replica.former_owners().is_empty()
+            && now.since(self.alone_since) > timings.lease + timings.lease_margin;
         let silent: Vec<worker::Name> = self
             .sessions
             .iter()
@@ -331,15 +331,15 @@
 fn unresolved_on(table: &Table, worker: &worker::Name) -> Vec<task::Id> {
     let unresolved = |id: &task::Id| {
         let current = table.get(id.job).and_then(|job| job.current(*id));
-        current.is_some_and(|task| matches!(task.position, Position::Unresolved { .. }))
+        current.is_some_and(|task| matches!(task.state, AttemptState::Unresolved { .. }))
     };
     table.placed_on(worker).filter(unresolved).collect()
 }
 
 /// Present tries that the log places on `worker`, with the worker's process when placing.
 fn placed_on(table: &Table, worker: &worker::Name) -> Vec<(task::Id, u64)> {
-    let run = |id: task::Id| match &table.get(id.job)?.current(id)?.position {
-        Position::Placed { run, .. } => Some((id, *run)),
+    let run = |id: task::Id| match &table.get(id.job)?.current(id)?.state {
+        AttemptState::Placed { run, .. } => Some((id, *run)),
         _ => None,
     };
     table.placed_on(worker).filter_map(run).collect()
--- a/src/owner/record.rs
+++ b/src/owner/record.rs
@@ -29,12 +29,13 @@
     /// Claimant.
     pub instance: Instance,
     /// Earlier owners that may still renew leases, because nobody has seen them gone.
-    pub formers: Vec<Instance>,
+    #[serde(rename = "formers")]
+    pub former_owners: Vec<Instance>,
 }
 
-/// Position from which reading the stream yields the whole state.
+/// AttemptState from which reading the stream yields the whole state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Floor {
+pub struct ReplayPoint {
     /// First offset to read.
     pub offset: Offset,
     /// Epoch in force just before it.
@@ -54,7 +55,8 @@
     /// Count of the writer's earlier batches in this epoch.
     pub sequence: u64,
     /// Where a new reader has to start.
-    pub floor: Floor,
+    #[serde(rename = "floor")]
+    pub replay_point: ReplayPoint,
     /// Changes in order.
     pub entries: Vec<Entry>,
 }
@@ -73,7 +75,7 @@
     /// A job is to be stopped.
     Cancelled(Cancellation),
     /// The whole state of a job, repeated before its older records are dropped.
-    Restated(Statement),
+    Restated(JobSnapshot),
     /// A finished job left the table.
     Pruned(job::Id),
     /// An earlier owner has surely ended its ownership.
@@ -131,7 +133,7 @@
 
 /// Whole state of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Statement {
+pub struct JobSnapshot {
     /// Identity and description.
     pub acceptance: Acceptance,
     /// When it was cancelled.
@@ -139,23 +141,24 @@
     /// When its last task ended.
     pub ended: Option<Unix>,
     /// State of each task.
-    pub tasks: Vec<Standing>,
+    pub tasks: Vec<TaskSnapshot>,
 }
 
 /// State of one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct TaskSnapshot {
     /// Count of earlier tries.
     pub attempt: u32,
     /// Count of tries that failed.
     pub failures: u32,
     /// Where the present try stands.
-    pub position: Position,
+    #[serde(rename = "position")]
+    pub state: AttemptState,
 }
 
 /// Where a try stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Position {
+pub enum AttemptState {
     /// Waits for a worker.
     Pending,
     /// Assigned to a worker.
--- a/src/owner/replica.rs
+++ b/src/owner/replica.rs
@@ -9,7 +9,7 @@
 use crate::clock::Unix;
 use crate::codec;
 use crate::domain::{Epoch, Instance};
-use crate::owner::record::{Batch, Claim, Entry, Floor, Record};
+use crate::owner::record::{Batch, Claim, Entry, Record, ReplayPoint};
 use crate::owner::table::Table;
 use crate::store::{Offset, Page};
 
@@ -22,7 +22,7 @@
     Changed(Batch),
     /// The record has no effect: a late claim, a copy of an earlier batch, a batch of an owner
     /// that was already superseded, or content that cannot be read.
-    Void,
+    NoEffect,
 }
 
 /// State built from the stream up to an offset.
@@ -33,29 +33,29 @@
     /// Alerts.
     pub board: Board,
     /// Offset at which the alerts were last stated whole.
-    board_stated: Offset,
+    board_snapshot_offset: Offset,
     epoch: Epoch,
     owner: Option<Instance>,
-    formers: Vec<Instance>,
+    former_owners: Vec<Instance>,
     claimed_at: Offset,
-    sequence: u64,
-    previous: Epoch,
+    next_sequence: u64,
+    previous_epoch: Epoch,
     /// Batches that took effect before they were read from the log.
-    ahead: u64,
-    next: Offset,
-    /// What was in force before each record read, so that a floor can name it.
-    marks: VecDeque<Floor>,
+    unlogged_batches: u64,
+    next_offset: Offset,
+    /// What was in force before each record read, for use as a replay point.
+    replay_points: VecDeque<ReplayPoint>,
 }
 
 impl Replica {
     /// An empty state that starts reading at `floor`.
-    pub fn starting_at(floor: Floor) -> Self {
+    pub fn starting_at(replay_point: ReplayPoint) -> Self {
         Self {
-            epoch: floor.epoch,
-            sequence: floor.sequence,
-            next: floor.offset,
-            claimed_at: floor.offset,
-            board_stated: floor.offset,
+            epoch: replay_point.epoch,
+            next_sequence: replay_point.sequence,
+            next_offset: replay_point.offset,
+            claimed_at: replay_point.offset,
+            board_snapshot_offset: replay_point.offset,
             ..Self::default()
         }
     }
@@ -72,81 +72,83 @@
 
     /// Earlier owners that nobody has seen gone. One that was cut off may not know that it was
     /// superseded, and may still renew leases on workers that the present owner cannot reach.
-    pub fn formers(&self) -> &[Instance] {
-        &self.formers
+    pub fn former_owners(&self) -> &[Instance] {
+        &self.former_owners
     }
 
     /// The claim by which `instance` would become the owner in `epoch`.
     pub fn claim_for(&self, instance: &Instance, epoch: Epoch) -> Claim {
         // A process that listens where a former owner did proves that one gone.
-        let elsewhere = |former: &&Instance| former.peer != instance.peer;
-        let formers = self.formers.iter().chain(&self.owner).filter(elsewhere).cloned().collect();
-        Claim { epoch, instance: instance.clone(), formers }
+        let other_address = |former: &&Instance| former.peer != instance.peer;
+        let former_owners =
+            self.former_owners.iter().chain(&self.owner).filter(other_address).cloned().collect();
+        Claim { epoch, instance: instance.clone(), former_owners }
     }
 
     /// Epoch in force before the latest claim.
-    pub fn previous(&self) -> Epoch {
-        self.previous
+    pub fn previous_epoch(&self) -> Epoch {
+        self.previous_epoch
     }
 
     /// First offset not yet read.
-    pub fn next(&self) -> Offset {
-        self.next
+    pub fn next_offset(&self) -> Offset {
+        self.next_offset
     }
 
     /// Sequence of the next batch.
-    pub fn sequence(&self) -> u64 {
-        self.sequence
+    pub fn next_sequence(&self) -> u64 {
+        self.next_sequence
     }
 
     /// Where a new reader has to start so that it ends in this state.
     ///
     /// Nothing live was stated before the oldest statement; the claim in force must be read too,
     /// since only it names the owner.
-    pub fn floor(&self) -> Floor {
-        let jobs = self.table.oldest_statement().unwrap_or(self.next);
-        let needed = jobs.min(self.claimed_at).min(self.board_needed());
-        let after = self.marks.partition_point(|mark| mark.offset <= needed);
-        after.checked_sub(1).map(|index| self.marks[index]).unwrap_or_default()
+    pub fn replay_point(&self) -> ReplayPoint {
+        let jobs = self.table.oldest_snapshot().unwrap_or(self.next_offset);
+        let needed = jobs.min(self.claimed_at).min(self.board_replay_offset());
+        let after = self.replay_points.partition_point(|point| point.offset <= needed);
+        after.checked_sub(1).map(|index| self.replay_points[index]).unwrap_or_default()
     }
 
     /// Offset from which the alerts can be read; they matter as soon as one was ever raised.
-    fn board_needed(&self) -> Offset {
-        if self.board.is_blank() { self.next } else { self.board_stated }
+    fn board_replay_offset(&self) -> Offset {
+        if self.board.is_blank() { self.next_offset } else { self.board_snapshot_offset }
     }
 
     /// Whether the alerts were last stated whole more than `records` ago.
-    pub fn is_board_old(&self, records: Offset) -> bool {
-        !self.board.is_blank() && self.next.saturating_sub(self.board_stated) > records
+    pub fn is_board_snapshot_old(&self, records: Offset) -> bool {
+        !self.board.is_blank()
+            && self.next_offset.saturating_sub(self.board_snapshot_offset) > records
     }
 
-    fn mark(&mut self, offset: Offset) {
-        let floor = self.floor().offset;
-        while self.marks.len() > 1 && self.marks[1].offset <= floor {
-            self.marks.pop_front();
+    fn add_replay_point(&mut self, offset: Offset) {
+        let replay_point = self.replay_point().offset;
+        while self.replay_points.len() > 1 && self.replay_points[1].offset <= replay_point {
+            self.replay_points.pop_front();
         }
         // A new reader finds in the log what took effect here before it was there, so it has to
         // start with the sequence that the log has come to.
-        let sequence = self.sequence - self.ahead;
-        self.marks.push_back(Floor { offset, epoch: self.epoch, sequence });
+        let sequence = self.next_sequence - self.unlogged_batches;
+        self.replay_points.push_back(ReplayPoint { offset, epoch: self.epoch, sequence });
     }
 
     /// Whether records that this state still needs were dropped from the stream.
     pub fn has_gap(&self, page: &Page) -> bool {
-        page.oldest > self.next
+        page.oldest > self.next_offset
     }
 
     /// Reads one record. Records must come in the order of their offsets without a gap.
     pub fn apply(&mut self, offset: Offset, payload: &Bytes, now: Unix) -> Applied {
-        debug_assert_eq!(offset, self.next, "records are applied without a gap");
-        self.mark(offset);
-        self.next = offset + 1;
+        debug_assert_eq!(offset, self.next_offset, "records are applied without a gap");
+        self.add_replay_point(offset);
+        self.next_offset = offset + 1;
         match codec::decode::<Record>(payload) {
-            Ok(Record::Claim(claim)) => self.claim(offset, claim),
-            Ok(Record::Batch(batch)) => self.change(offset, batch, now),
+            Ok(Record::Claim(claim)) => self.apply_claim(offset, claim),
+            Ok(Record::Batch(batch)) => self.apply_batch(offset, batch, now),
             Err(error) => {
                 log::warn!("event=owner.record_unreadable offset={offset} cause=\"{error}\"");
-                Applied::Void
+                Applied::NoEffect
             }
         }
     }
@@ -157,28 +159,29 @@
     /// What it states counts as stated at the next offset, which is not after the place where it
     /// will stand.
     pub fn apply_unlogged(&mut self, batch: &Batch, now: Unix) -> bool {
-        let took_effect = matches!(self.change(self.next, batch.clone(), now), Applied::Changed(_));
-        self.ahead += u64::from(took_effect);
+        let took_effect =
+            matches!(self.apply_batch(self.next_offset, batch.clone(), now), Applied::Changed(_));
+        self.unlogged_batches += u64::from(took_effect);
         took_effect
     }
 
-    fn claim(&mut self, offset: Offset, claim: Claim) -> Applied {
+    fn apply_claim(&mut self, offset: Offset, claim: Claim) -> Applied {
         if !claim.epoch.follows(self.epoch) {
-            return Applied::Void;
+            return Applied::NoEffect;
         }
-        self.previous = self.epoch;
+        self.previous_epoch = self.epoch;
         self.epoch = claim.epoch;
         self.owner = Some(claim.instance.clone());
-        self.formers.clone_from(&claim.formers);
+        self.former_owners.clone_from(&claim.former_owners);
         self.claimed_at = offset;
-        self.sequence = 0;
-        self.ahead = 0;
+        self.next_sequence = 0;
+        self.unlogged_batches = 0;
         Applied::Claimed(claim)
     }
 
-    fn note(&mut self, entry: &Entry, offset: Offset) {
+    fn apply_domain_entry(&mut self, entry: &Entry, offset: Offset) {
         match entry {
-            Entry::Retired(instance) => self.formers.retain(|former| former != instance),
+            Entry::Retired(instance) => self.former_owners.retain(|former| former != instance),
             Entry::Alert(record) => match record.clone().try_into() {
                 Ok(record) => self.apply_alert(&record, offset),
                 Err(error) => log::warn!("event=owner.alert_unreadable {error}"),
@@ -186,7 +189,7 @@
             Entry::Alerts(ledger) => match ledger.clone().try_into() {
                 Ok(ledger) => {
                     self.board = Board::restore(ledger);
-                    self.board_stated = offset;
+                    self.board_snapshot_offset = offset;
                 }
                 Err(error) => log::warn!("event=owner.alerts_unreadable {error}"),
             },
@@ -196,23 +199,26 @@
 
     fn apply_alert(&mut self, record: &alert::Record, offset: Offset) {
         if self.board.is_blank() {
-            self.board_stated = offset;
+            self.board_snapshot_offset = offset;
         }
         self.board.apply(record);
     }
 
-    fn change(&mut self, offset: Offset, batch: Batch, now: Unix) -> Applied {
-        if batch.epoch != self.epoch || batch.sequence != self.sequence {
-            let awaited = self.sequence - self.ahead;
-            if self.ahead > 0 && batch.epoch == self.epoch && batch.sequence == awaited {
-                self.ahead -= 1;
+    fn apply_batch(&mut self, offset: Offset, batch: Batch, now: Unix) -> Applied {
+        if batch.epoch != self.epoch || batch.sequence != self.next_sequence {
+            let next_logged = self.next_sequence - self.unlogged_batches;
+            if self.unlogged_batches > 0
+                && batch.epoch == self.epoch
+                && batch.sequence == next_logged
+            {
+                self.unlogged_batches -= 1;
             }
-            return Applied::Void;
+            return Applied::NoEffect;
         }
-        self.sequence += 1;
+        self.next_sequence += 1;
         for entry in &batch.entries {
             self.table.apply(entry, offset, now);
-            self.note(entry, offset);
+            self.apply_domain_entry(entry, offset);
         }
         Applied::Changed(batch)
     }
--- a/src/owner/session.rs
+++ b/src/owner/session.rs
@@ -195,7 +195,7 @@
     fn watch(&mut self, now: Instant, epoch: Epoch, timings: &Timings) -> Send {
         self.watching = true;
         let healthy = self.fenced && self.failing_since.is_none();
-        let wait = if healthy { timings.watch } else { Duration::ZERO };
+        let wait = if healthy { timings.exchange_wait } else { Duration::ZERO };
         self.send(Channel::Watch, now, epoch, timings, Vec::new(), wait)
     }
 
@@ -253,7 +253,7 @@
     /// answer was lost still renewed.
     pub fn has_lapsed(&self, now: Instant, timings: &Timings) -> bool {
         let silent = self.failing_since.is_some();
-        let bound = timings.lease + timings.margin;
+        let bound = timings.lease + timings.lease_margin;
         silent && self.leased_at.is_some_and(|at| now.since(at) > bound)
     }
 
--- a/src/owner/table/job.rs
+++ b/src/owner/table/job.rs
@@ -2,7 +2,9 @@
 
 use crate::clock::Unix;
 use crate::job::{self, Effect, Kind};
-use crate::owner::record::{Acceptance, Conclusion, Placement, Position, Standing, Statement};
+use crate::owner::record::{
+    Acceptance, AttemptState, Conclusion, JobSnapshot, Placement, TaskSnapshot,
+};
 use crate::store::Offset;
 use crate::task::{self, End};
 use crate::worker;
@@ -28,9 +30,9 @@
     /// Tasks by index.
     pub tasks: Vec<Task>,
     /// Offset of the latest record that states the whole job.
-    pub stated: Offset,
+    pub snapshot_offset: Offset,
     /// Wall-clock time at which the reader saw that record.
-    pub restated_at: Unix,
+    pub snapshot_read_at: Unix,
 }
 
 /// A task of a job.
@@ -41,30 +43,32 @@
     /// Count of tries that failed.
     pub failures: u32,
     /// Where the present try stands.
-    pub position: Position,
+    pub state: AttemptState,
 }
 
 impl Task {
     fn new() -> Self {
-        Self { attempt: 0, failures: 0, position: Position::Pending }
+        Self { attempt: 0, failures: 0, state: AttemptState::Pending }
     }
 
     /// The worker that may hold resources for the present try.
     pub fn worker(&self) -> Option<&worker::Name> {
-        match &self.position {
-            Position::Placed { worker, .. } | Position::Unresolved { worker } => Some(worker),
-            Position::Pending | Position::Done(_) => None,
+        match &self.state {
+            AttemptState::Placed { worker, .. } | AttemptState::Unresolved { worker } => {
+                Some(worker)
+            }
+            AttemptState::Pending | AttemptState::Done(_) => None,
         }
     }
 
     /// Whether it ended for good otherwise than in success.
     fn is_lost(&self) -> bool {
-        matches!(self.position, Position::Done(end) if end != End::Succeeded)
+        matches!(self.state, AttemptState::Done(end) if end != End::Succeeded)
     }
 
     fn retry(&mut self) {
         self.attempt += 1;
-        self.position = Position::Pending;
+        self.state = AttemptState::Pending;
     }
 }
 
@@ -82,7 +86,7 @@
 
     /// The present tries that wait for a worker.
     pub fn pending(&self) -> impl Iterator<Item = task::Id> {
-        let waits = |task: &Task| task.position == Position::Pending;
+        let waits = |task: &Task| task.state == AttemptState::Pending;
         self.tries().zip(&self.tasks).filter(move |(_, task)| waits(task)).map(|(id, _)| id)
     }
 
@@ -93,7 +97,7 @@
 
     /// Whether every task has ended for good.
     pub fn is_over(&self) -> bool {
-        self.tasks.iter().all(|task| matches!(task.position, Position::Done(_)))
+        self.tasks.iter().all(|task| matches!(task.state, AttemptState::Done(_)))
     }
 
     /// Whether any task ended for good otherwise than in success, though nobody cancelled the job.
@@ -107,7 +111,7 @@
         self.spec.kind == Kind::Gang && self.tasks.iter().any(Task::is_lost) && !self.is_over()
     }
 
-    pub(super) fn new(acceptance: &Acceptance, stated: Offset, now: Unix) -> Self {
+    pub(super) fn new(acceptance: &Acceptance, snapshot_offset: Offset, now: Unix) -> Self {
         let count = acceptance.spec.tasks as usize;
         Self {
             id: acceptance.job,
@@ -117,22 +121,22 @@
             cancelled: None,
             ended: None,
             tasks: (0..count).map(|_| Task::new()).collect(),
-            stated,
-            restated_at: now,
+            snapshot_offset,
+            snapshot_read_at: now,
         }
     }
 
-    pub(super) fn restated(statement: &Statement, offset: Offset, now: Unix) -> Self {
-        let task = |standing: &Standing| Task {
-            attempt: standing.attempt,
-            failures: standing.failures,
-            position: standing.position.clone(),
+    pub(super) fn from_snapshot(snapshot: &JobSnapshot, offset: Offset, now: Unix) -> Self {
+        let task = |snapshot: &TaskSnapshot| Task {
+            attempt: snapshot.attempt,
+            failures: snapshot.failures,
+            state: snapshot.state.clone(),
         };
         Self {
-            cancelled: statement.cancelled,
-            ended: statement.ended,
-            tasks: statement.tasks.iter().map(task).collect(),
-            ..Self::new(&statement.acceptance, offset, now)
+            cancelled: snapshot.cancelled,
+            ended: snapshot.ended,
+            tasks: snapshot.tasks.iter().map(task).collect(),
+            ..Self::new(&snapshot.acceptance, offset, now)
         }
     }
 
@@ -146,12 +150,13 @@
 
     pub(super) fn place(&mut self, placement: &Placement) {
         let Some(task) = self.tasks.get_mut(placement.task.index as usize) else { return };
-        let adoptable = matches!(task.position, Position::Pending | Position::Unresolved { .. });
-        if !adoptable || task.attempt > placement.task.attempt {
+        let placeable =
+            matches!(task.state, AttemptState::Pending | AttemptState::Unresolved { .. });
+        if !placeable || task.attempt > placement.task.attempt {
             return;
         }
         task.attempt = placement.task.attempt;
-        task.position = Position::Placed { worker: placement.worker.clone(), run: placement.run };
+        task.state = AttemptState::Placed { worker: placement.worker.clone(), run: placement.run };
     }
 
     pub(super) fn conclude(&mut self, conclusion: &Conclusion) {
@@ -159,74 +164,74 @@
             return;
         }
         let index = conclusion.task.index as usize;
-        if matches!(self.tasks[index].position, Position::Done(_)) {
+        if matches!(self.tasks[index].state, AttemptState::Done(_)) {
             return;
         }
-        self.settle(index, conclusion.end);
+        self.end_attempt(index, conclusion.end);
         self.restart_gang();
         if self.is_over() {
             self.ended = Some(conclusion.at);
         }
     }
 
-    fn settle(&mut self, index: usize, end: End) {
-        let verdict = self.verdict(&self.tasks[index], end);
+    fn end_attempt(&mut self, index: usize, end: End) {
+        let transition = self.transition(&self.tasks[index], end);
         let task = &mut self.tasks[index];
         if matches!(end, End::Failed) {
             task.failures += 1;
         }
-        match verdict {
-            Verdict::Retry => task.retry(),
-            Verdict::Finish => task.position = Position::Done(end),
-            Verdict::Unresolved => {
+        match transition {
+            Transition::Retry => task.retry(),
+            Transition::Finish => task.state = AttemptState::Done(end),
+            Transition::Unresolved => {
                 if let Some(worker) = task.worker().cloned() {
-                    task.position = Position::Unresolved { worker };
+                    task.state = AttemptState::Unresolved { worker };
                 }
             }
         }
     }
 
-    fn verdict(&self, task: &Task, end: End) -> Verdict {
+    fn transition(&self, task: &Task, end: End) -> Transition {
         if self.cancelled.is_some() {
-            return Verdict::Finish;
+            return Transition::Finish;
         }
-        let unresolved = matches!(task.position, Position::Unresolved { .. });
+        let unresolved = matches!(task.state, AttemptState::Unresolved { .. });
         // A process that rejects a start says nothing of the one before it, on which the try became
         // uncertain; taken for "never ran", a task that may run only once would run again.
         if end == End::Rejected && self.spec.kind != Kind::Gang && !unresolved {
-            return Verdict::Retry;
+            return Transition::Retry;
         }
         if self.spec.effect == Effect::AtMostOnce {
             return match end {
                 // Told a second time, the worker is back without the task or given up for good.
-                End::Lapsed if !unresolved => Verdict::Unresolved,
-                _ => Verdict::Finish,
+                End::Lapsed if !unresolved => Transition::Unresolved,
+                _ => Transition::Finish,
             };
         }
         if self.spec.kind == Kind::Gang {
-            return Verdict::Finish;
+            return Transition::Finish;
         }
         match end {
-            End::Succeeded if self.spec.kind != Kind::LongRunning => Verdict::Finish,
+            End::Succeeded if self.spec.kind != Kind::LongRunning => Transition::Finish,
             End::Failed
                 if self.spec.kind != Kind::LongRunning && task.failures + 1 >= MAX_FAILURES =>
             {
-                Verdict::Finish
+                Transition::Finish
             }
-            _ => Verdict::Retry,
+            _ => Transition::Retry,
         }
     }
 
     /// Puts a whole gang back to waiting once none of its tasks holds a worker, if one of them
     /// ended without success and tries are left.
     fn restart_gang(&mut self) {
-        let retryable = self.spec.kind == Kind::Gang
+        let can_restart = self.spec.kind == Kind::Gang
             && self.spec.effect == Effect::Idempotent
             && self.cancelled.is_none()
             && self.is_over()
             && self.is_lost()
             && self.tasks.iter().all(|task| task.failures < MAX_FAILURES);
-        if retryable {
+        if can_restart {
             self.tasks.iter_mut().for_each(Task::retry);
         }
     }
@@ -236,8 +241,8 @@
         if task.attempt != id.attempt {
             return;
         }
-        if let Position::Placed { worker, .. } = &task.position {
-            task.position = Position::Unresolved { worker: worker.clone() };
+        if let AttemptState::Placed { worker, .. } = &task.state {
+            task.state = AttemptState::Unresolved { worker: worker.clone() };
         }
     }
 
@@ -247,8 +252,8 @@
         }
         self.cancelled = Some(at);
         for task in &mut self.tasks {
-            if task.position == Position::Pending {
-                task.position = Position::Done(End::Stopped);
+            if task.state == AttemptState::Pending {
+                task.state = AttemptState::Done(End::Stopped);
             }
         }
         if self.is_over() {
@@ -257,18 +262,18 @@
     }
 }
 
-enum Verdict {
+enum Transition {
     Retry,
     Finish,
     Unresolved,
 }
 
-impl From<&Job> for Statement {
+impl From<&Job> for JobSnapshot {
     fn from(job: &Job) -> Self {
-        let standing = |task: &Task| Standing {
+        let snapshot = |task: &Task| TaskSnapshot {
             attempt: task.attempt,
             failures: task.failures,
-            position: task.position.clone(),
+            state: task.state.clone(),
         };
         Self {
             acceptance: Acceptance {
@@ -279,7 +284,7 @@
             },
             cancelled: job.cancelled,
             ended: job.ended,
-            tasks: job.tasks.iter().map(standing).collect(),
+            tasks: job.tasks.iter().map(snapshot).collect(),
         }
     }
 }
--- a/src/owner/table/mod.rs
+++ b/src/owner/table/mod.rs
@@ -21,7 +21,7 @@
 pub struct Table {
     jobs: BTreeMap<Id, Job>,
     /// Jobs by the offset of their last whole statement.
-    stated: BTreeSet<(Offset, Id)>,
+    snapshots: BTreeSet<(Offset, Id)>,
     /// Present tries by the worker that may hold resources for them.
     placed: BTreeMap<worker::Name, BTreeSet<task::Id>>,
 }
@@ -54,13 +54,13 @@
     }
 
     /// Oldest offset at which a job is stated whole.
-    pub fn oldest_statement(&self) -> Option<Offset> {
-        self.stated.first().map(|(offset, _)| *offset)
+    pub fn oldest_snapshot(&self) -> Option<Offset> {
+        self.snapshots.first().map(|(offset, _)| *offset)
     }
 
     /// Jobs by the age of their last whole statement, oldest first.
-    pub fn by_statement(&self) -> impl Iterator<Item = &Job> {
-        self.stated.iter().filter_map(|(_, id)| self.jobs.get(id))
+    pub fn by_snapshot_age(&self) -> impl Iterator<Item = &Job> {
+        self.snapshots.iter().filter_map(|(_, id)| self.jobs.get(id))
     }
 
     /// Present tries for which `worker` may hold resources.
@@ -88,7 +88,7 @@
             Entry::Cancelled(cancellation) => {
                 self.update(cancellation.job, |job| job.cancel(cancellation.at));
             }
-            Entry::Restated(statement) => self.insert(Job::restated(statement, offset, now)),
+            Entry::Restated(snapshot) => self.insert(Job::from_snapshot(snapshot, offset, now)),
             Entry::Pruned(job) => {
                 self.remove(*job);
             }
@@ -105,7 +105,7 @@
 
     fn remove(&mut self, id: Id) -> Option<Job> {
         let job = self.jobs.remove(&id)?;
-        self.stated.remove(&(job.stated, id));
+        self.snapshots.remove(&(job.snapshot_offset, id));
         for (worker, task) in job.placements() {
             if let Some(tasks) = self.placed.get_mut(worker) {
                 tasks.remove(&task);
@@ -116,7 +116,7 @@
 
     fn insert(&mut self, job: Job) {
         self.remove(job.id);
-        self.stated.insert((job.stated, job.id));
+        self.snapshots.insert((job.snapshot_offset, job.id));
         for (worker, task) in job.placements() {
             self.placed.entry(worker.clone()).or_default().insert(task);
         }
--- a/tests/logic/owner.rs
+++ b/tests/logic/owner.rs
@@ -6,9 +6,9 @@
 use oriolefork::clock::{Instant, Unix};
 use oriolefork::domain::Epoch;
 use oriolefork::job::{self, Effect, Kind, Spec, Urgency};
-use oriolefork::owner::journal::{Journal, Position};
+use oriolefork::owner::journal::{BatchPosition, Journal};
 use oriolefork::owner::machine::{Answer, Call, Refusal};
-use oriolefork::owner::record::{Acceptance, Conclusion, Entry, Floor, Placement};
+use oriolefork::owner::record::{Acceptance, Conclusion, Entry, Placement, ReplayPoint};
 use oriolefork::owner::table::Table;
 use oriolefork::resource::Amount;
 use oriolefork::task::End;
@@ -147,13 +147,13 @@
     let epoch = Epoch::FIRST;
     let mut journal = Journal::new(epoch, Duration::ZERO);
     let now = Instant::from_millis(0);
-    let at = |sequence| Position { sequence, floor: Floor::default() };
-    let first = journal.depart(now, at(0), Vec::new()).expect("the first batch").tag;
-    journal.failed(first, now);
+    let at = |sequence| BatchPosition { sequence, replay_point: ReplayPoint::default() };
+    let first = journal.send_batch(now, at(0), Vec::new()).expect("the first batch").tag;
+    journal.on_append_failed(first, now);
     journal.retry(Instant::from_millis(60_000)).expect("the second copy");
     journal.committed(0);
     journal.push(Entry::Pruned(job::Id::from_raw(1)), None);
-    let second = journal.depart(now, at(1), Vec::new()).expect("the next batch").tag;
+    let second = journal.send_batch(now, at(1), Vec::new()).expect("the next batch").tag;
     assert_eq!(journal.payload(first), None);
     assert!(journal.payload(second).is_some());
 }
@@ -197,7 +197,7 @@
     let refused = world.call(second, submit("new", spec(Kind::Batch, 1, Effect::Idempotent, 100)));
     world.run(60_000);
     assert_eq!(world.runs_of(job::Id::derive("shop", "service")), 4, "nothing stopped");
-    assert_eq!(world.answers.get(&refused), Some(&Answer::Refused(Refusal::LogAway)));
+    assert_eq!(world.answers.get(&refused), Some(&Answer::Refused(Refusal::LogUnavailable)));
     world.faults.log_down = false;
     world.run(5_000);
     let owner = world.owner().expect("an owner once the log is back");
@@ -349,9 +349,9 @@
 // It has to end in the same state as those that were there; starting with a sequence that the log
 // reached only later, it would pass over those batches and lose the jobs in them.
 #[test]
-fn floor_after_outage() {
+fn replay_point_after_outage() {
     let mut world = started(12);
-    world.timings.restate_records = 2;
+    world.timings.snapshot_records = 2;
     for node in 0..3 {
         world.kill(node);
         world.start(node);
@@ -451,7 +451,7 @@
     world.run(500);
     assert_eq!(
         world.answers.get(&refused),
-        Some(&Answer::Refused(Refusal::WorkerAnswers)),
+        Some(&Answer::Refused(Refusal::WorkerReachable)),
         "what an answering worker runs is known"
     );
     assert_eq!(world.answers.get(&taken), Some(&Answer::GivenUp));
@@ -567,7 +567,7 @@
         });
         let stuck = !job.is_over();
         let unresolved = job.tasks.iter().any(|task| {
-            matches!(task.position, oriolefork::owner::record::Position::Unresolved { .. })
+            matches!(task.state, oriolefork::owner::record::AttemptState::Unresolved { .. })
         });
         let waits = match &world.machine(owner).role {
             oriolefork::owner::Role::Owner(active) => active.engine.explain(job.id),
--- a/tests/logic/world.rs
+++ b/tests/logic/world.rs
@@ -9,7 +9,7 @@
 use oriolefork::domain::{Epoch, Instance};
 use oriolefork::job;
 use oriolefork::membership::{Member, Role, State};
-use oriolefork::owner::journal::{Parcel, Tag};
+use oriolefork::owner::journal::{AppendRequest, Tag};
 use oriolefork::owner::machine::{Answer, Call, Effect, Machine, Message};
 use oriolefork::owner::session::{Channel, Send};
 use oriolefork::owner::{BatchCopy, Heartbeat, Ticket, Timings};
@@ -82,7 +82,7 @@
     Append {
         node: usize,
         run: u64,
-        parcel: Parcel,
+        request: AppendRequest,
         answer: bool,
     },
     Exchange {
@@ -388,7 +388,9 @@
                 }
             }
             Event::Read { node, run, from, until } => self.read(node, run, from, until),
-            Event::Append { node, run, parcel, answer } => self.append(node, run, &parcel, answer),
+            Event::Append { node, run, request, answer } => {
+                self.append(node, run, &request, answer)
+            }
             Event::Exchange { node, run, epoch, worker, send, until, first } => {
                 self.exchange(node, run, epoch, worker, send, until, first);
             }
@@ -432,7 +434,7 @@
                 let until = self.now + u64::try_from(wait.as_millis()).unwrap();
                 self.push(delay, Event::Read { node, run, from, until });
             }
-            Effect::Append(parcel) => self.send_append(node, run, parcel, delay),
+            Effect::Append(request) => self.send_append(node, run, request, delay),
             Effect::Exchange { epoch, worker, send } => {
                 let worker = worker.as_str().to_owned();
                 let until = self.now + u64::try_from(send.exchange.wait.as_millis()).unwrap();
@@ -479,18 +481,18 @@
         }
     }
 
-    fn send_append(&mut self, node: usize, run: u64, parcel: Parcel, delay: u64) {
+    fn send_append(&mut self, node: usize, run: u64, request: AppendRequest, delay: u64) {
         let (loss, late) = (self.faults.loss, self.faults.late);
         if late > 0.0 && self.rng.random_bool(late) {
             let hold = self.rng.random_range(500..6_000);
-            let tag = parcel.tag;
-            self.push(hold, Event::Append { node, run, parcel, answer: false });
+            let tag = request.tag;
+            self.push(hold, Event::Append { node, run, request, answer: false });
             return self.fail_append(node, run, tag, Outcome::Unknown, 400);
         }
         if loss > 0.0 && self.rng.random_bool(loss) {
-            return self.fail_append(node, run, parcel.tag, Outcome::Unknown, 400);
+            return self.fail_append(node, run, request.tag, Outcome::Unknown, 400);
         }
-        self.push(delay, Event::Append { node, run, parcel, answer: true });
+        self.push(delay, Event::Append { node, run, request, answer: true });
     }
 
     fn fail_append(&mut self, node: usize, run: u64, tag: Tag, outcome: Outcome, delay: u64) {
@@ -501,19 +503,19 @@
         );
     }
 
-    fn append(&mut self, node: usize, run: u64, parcel: &Parcel, answer: bool) {
+    fn append(&mut self, node: usize, run: u64, request: &AppendRequest, answer: bool) {
         if self.faults.log_down || self.nodes[node].cut {
             if answer {
-                self.fail_append(node, run, parcel.tag, Outcome::NotWritten, 2);
+                self.fail_append(node, run, request.tag, Outcome::NotWritten, 2);
             }
             return;
         }
-        let offset = self.log.append(STREAM, parcel.payload.clone());
+        let offset = self.log.append(STREAM, request.payload.clone());
         if !answer {
             return;
         }
         if self.lost() {
-            return self.fail_append(node, run, parcel.tag, Outcome::Unknown, 400);
+            return self.fail_append(node, run, request.tag, Outcome::Unknown, 400);
         }
         let delay = self.latency();
         self.push(
@@ -521,7 +523,7 @@
             Event::ToNode {
                 node,
                 run,
-                message: Message::Appended { tag: parcel.tag, result: Ok(offset) },
+                message: Message::Appended { tag: request.tag, result: Ok(offset) },
             },
         );
     }
