--- a/src/entry/controller.rs
+++ b/src/entry/controller.rs
@@ -15,7 +15,7 @@
 use crate::entry::witness::Witness;
 use crate::owner::journal::AppendRequest;
 use crate::owner::machine::{Answer, Call, Effect, Heartbeat, Machine, Message};
-use crate::owner::session::Send;
+use crate::owner::session::ExchangeRequest;
 use crate::owner::{BatchCopy, Ticket, machine};
 use crate::peer;
 use crate::store::{Offset, Store};
@@ -177,7 +177,9 @@
             match effect {
                 Effect::Read { from, wait } => self.read(from, wait),
                 Effect::Append(request) => self.append(request),
-                Effect::Exchange { epoch, worker, send } => self.exchange(epoch, worker, send),
+                Effect::Exchange { epoch, worker, request } => {
+                    self.exchange(epoch, worker, request)
+                }
                 Effect::Heartbeat { to, heartbeat } => self.send_heartbeat(&to, &heartbeat),
                 Effect::StoreBatch { to, copy } => self.store_batch(&to, &copy),
                 Effect::Handover { to, epoch } => self.hand_over(to, epoch),
@@ -209,13 +211,14 @@
         });
     }
 
-    fn exchange(&self, epoch: Epoch, worker: worker::Name, send: Send) {
+    fn exchange(&self, epoch: Epoch, worker: worker::Name, request: ExchangeRequest) {
         let (borders, handle) = (self.borders.clone(), self.handle.clone());
         monoio::spawn(async move {
             let timeout = borders.worker_timeout;
-            let result = borders.workers.exchange(send.peer, &send.exchange, timeout).await;
+            let result =
+                borders.workers.exchange(request.address, &request.exchange, timeout).await;
             borders.witness.exchanged(&worker, &result);
-            handle.send(Message::Exchanged { epoch, worker, channel: send.channel, result });
+            handle.send(Message::Exchanged { epoch, worker, channel: request.channel, result });
         });
     }
 
--- a/src/entry/views.rs
+++ b/src/entry/views.rs
@@ -112,7 +112,7 @@
     if job.is_over() {
         let stopped =
             any(|state| matches!(state, AttemptState::Done(end) if *end != End::Succeeded));
-        return match (job.cancelled.is_some() && stopped, job.is_lost()) {
+        return match (job.cancelled.is_some() && stopped, job.ended_without_success()) {
             (true, _) => State::Cancelled,
             (false, true) => State::Failed,
             (false, false) => State::Succeeded,
--- a/src/owner/active.rs
+++ b/src/owner/active.rs
@@ -28,12 +28,12 @@
     pub epoch: Epoch,
     /// Whether the claim of this epoch is in the log. Without it nothing is placed: the owner only
     /// renews the leases of what runs.
-    pub logged: bool,
+    pub claim_logged: bool,
     /// Whether changes kept for an earlier owner are still on their way to the log.
     pub recovering: bool,
     /// Whether an earlier owner may have started what the log does not say. What waited before this
     /// epoch is then placed only once every worker has told all it runs.
-    pub cautious: bool,
+    pub awaiting_reports: bool,
     /// Instances that keep batches while the log is away, by peer address.
     pub(super) enrolled: BTreeMap<SocketAddr, Instance>,
     /// Those of them that keep the batch under way.
@@ -41,9 +41,9 @@
     /// Batches that took effect without the log, in order.
     pub(super) unlogged: VecDeque<AppendRequest>,
     /// Placements that took effect without the log and may start only once they are in it.
-    pub(super) deferred: BTreeSet<task::Id>,
+    pub(super) deferred_starts: BTreeSet<task::Id>,
     /// Callers whose changes took effect without the log and are answered once they are in it.
-    pub(super) owed: BTreeMap<u64, Vec<Ticket>>,
+    pub(super) deferred_replies: BTreeMap<u64, Vec<Ticket>>,
     pub(super) next_copy_at: Instant,
     pub(super) next_append_at: Instant,
     /// Changes on their way to the log.
@@ -59,7 +59,7 @@
     /// Settings of operators in force.
     settings: Rc<config::Value>,
     /// Kind of each call under way.
-    pub(super) calls: BTreeMap<Ticket, Pending>,
+    pub(super) calls: BTreeMap<Ticket, PendingCall>,
     /// Jobs on their way into the table, with the callers beyond the first.
     pub(super) accepting: BTreeMap<job::Id, Vec<Ticket>>,
     /// Tries whose end is on its way to the log.
@@ -67,30 +67,30 @@
     /// Tries whose placement is on its way to the log.
     pub(super) placing: BTreeSet<task::Id>,
     /// Tries that the engine holds resources for, by worker.
-    pub(super) held: BTreeMap<task::Id, worker::Name>,
+    pub(super) reserved: BTreeMap<task::Id, worker::Name>,
     /// Tries that wait for the end of a pause before they are placed again.
-    pub(super) resting: BTreeSet<(Instant, task::Id)>,
+    pub(super) retry_queue: BTreeSet<(Instant, task::Id)>,
     /// Callers that were answered before their change was settled.
-    pub(super) muted: BTreeSet<Ticket>,
+    pub(super) answered_early: BTreeSet<Ticket>,
     /// Earlier owners whose end is on its way to the log.
-    pub(super) retiring: Vec<Instance>,
+    pub(super) retired: Vec<Instance>,
     /// Since when no earlier owner can have renewed a lease, if nothing else stands against it.
-    pub(super) alone_since: Instant,
+    pub(super) sole_owner_since: Instant,
     /// When it claimed the domain.
-    pub(super) began: Instant,
+    pub(super) owner_since: Instant,
     /// When each other instance last answered a heartbeat, by name.
-    pub(super) heard_by: BTreeMap<String, Instant>,
+    pub(super) last_acks: BTreeMap<String, Instant>,
     pub(super) next_heartbeat_at: Instant,
-    pub(super) sweep_at: Instant,
-    pub(super) account_at: Instant,
+    pub(super) next_sweep_at: Instant,
+    pub(super) next_resync_at: Instant,
     /// Tries that the log places on workers which did not name them at the last look.
-    pub(super) unaccounted: BTreeSet<task::Id>,
-    pub(super) jobs_at: Instant,
+    pub(super) unreported: BTreeSet<task::Id>,
+    pub(super) next_job_check_at: Instant,
 }
 
 /// A call that waits for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Pending {
+pub(super) enum PendingCall {
     Submit(job::Id),
     Cancel,
     Acknowledge,
@@ -109,14 +109,14 @@
     ) -> Self {
         Self {
             epoch,
-            logged: true,
+            claim_logged: true,
             recovering: false,
-            cautious: false,
+            awaiting_reports: false,
             enrolled: BTreeMap::new(),
             stored_by: BTreeSet::new(),
             unlogged: VecDeque::new(),
-            deferred: BTreeSet::new(),
-            owed: BTreeMap::new(),
+            deferred_starts: BTreeSet::new(),
+            deferred_replies: BTreeMap::new(),
             next_copy_at: now,
             next_append_at: now,
             journal: Journal::new(epoch, timings.commit_delay),
@@ -129,18 +129,18 @@
             accepting: BTreeMap::new(),
             concluding: BTreeSet::new(),
             placing: BTreeSet::new(),
-            held: BTreeMap::new(),
-            resting: BTreeSet::new(),
-            muted: BTreeSet::new(),
-            retiring: Vec::new(),
-            alone_since: now,
-            began: now,
-            heard_by: BTreeMap::new(),
+            reserved: BTreeMap::new(),
+            retry_queue: BTreeSet::new(),
+            answered_early: BTreeSet::new(),
+            retired: Vec::new(),
+            sole_owner_since: now,
+            owner_since: now,
+            last_acks: BTreeMap::new(),
             next_heartbeat_at: now,
-            sweep_at: now,
-            account_at: now,
-            unaccounted: BTreeSet::new(),
-            jobs_at: now,
+            next_sweep_at: now,
+            next_resync_at: now,
+            unreported: BTreeSet::new(),
+            next_job_check_at: now,
         }
     }
 
@@ -171,7 +171,7 @@
             let name = worker::Name::from(member.name.as_str());
             let session =
                 self.sessions.entry(name).or_insert_with(|| Session::new(member.address, rack));
-            session.peer = member.address;
+            session.address = member.address;
             session.leaving = member.state == State::Leaving;
         }
         let listed: BTreeSet<&str> = members
@@ -203,7 +203,7 @@
                 _ => {}
             }
         }
-        if !self.cautious {
+        if !self.awaiting_reports {
             let waited = unix.since(job.accepted);
             self.enqueue(job, waiting, now, waited);
         }
@@ -211,7 +211,7 @@
 
     pub(super) fn adopt(&mut self, id: task::Id, worker: &worker::Name, job: &Job, now: Instant) {
         self.engine.adopt(id, worker, &holding(&job.spec, now));
-        self.held.insert(id, worker.clone());
+        self.reserved.insert(id, worker.clone());
     }
 
     /// Queues tasks of a job that have waited for `waited` already.
@@ -253,7 +253,7 @@
 
     /// Frees what the engine reserved for a try that surely holds nothing any more.
     pub(super) fn release(&mut self, task: task::Id) {
-        if self.held.remove(&task).is_some() {
+        if self.reserved.remove(&task).is_some() {
             self.engine.release(task);
         }
     }
@@ -279,29 +279,30 @@
 
     /// Records, once, that an earlier owner has ended its ownership.
     pub(super) fn retire(&mut self, former: &Instance) {
-        if !self.retiring.contains(former) {
-            self.retiring.push(former.clone());
+        if !self.retired.contains(former) {
+            self.retired.push(former.clone());
             self.journal.push(Entry::Retired(former.clone()), None);
         }
     }
 
     /// Whether this owner decides and draws conclusions: its claim and all that was kept for
     /// earlier owners are in the log.
-    pub fn is_settled(&self) -> bool {
-        self.logged && !self.recovering
+    pub fn is_established(&self) -> bool {
+        self.claim_logged && !self.recovering
     }
 
     /// Ends caution once every worker has told what it runs, or holds nothing for certain.
-    pub(super) fn end_caution(&mut self, table: &Table, now: Instant, unix: Unix) {
-        let told = !self.sessions.is_empty() && self.sessions.values().all(Session::is_told);
-        if !self.cautious || !told {
+    pub(super) fn finish_awaiting_reports(&mut self, table: &Table, now: Instant, unix: Unix) {
+        let all_reported =
+            !self.sessions.is_empty() && self.sessions.values().all(Session::has_reported);
+        if !self.awaiting_reports || !all_reported {
             return;
         }
-        self.cautious = false;
+        self.awaiting_reports = false;
         for job in table.jobs() {
             let waiting: Vec<task::Id> = job
                 .pending()
-                .filter(|id| !self.placing.contains(id) && !self.held.contains_key(id))
+                .filter(|id| !self.placing.contains(id) && !self.reserved.contains_key(id))
                 .collect();
             self.enqueue(job, waiting, now, unix.since(job.accepted));
         }
@@ -315,7 +316,7 @@
     }
 
     /// Whether every worker that the list names has told what it has.
-    pub(super) fn knows_all_workers(&self) -> bool {
+    pub(super) fn has_all_capacities(&self) -> bool {
         self.sessions.values().all(|session| !session.capacity.is_zero())
     }
 
@@ -325,25 +326,29 @@
         let refusal = Answer::Refused(Refusal::NotOwner(owner.cloned()));
         let mut answers = Vec::new();
         for ticket in abandoned.unsent {
-            answers
-                .extend(self.followers(ticket).into_iter().map(|ticket| (ticket, refusal.clone())));
+            answers.extend(
+                self.take_callers(ticket).into_iter().map(|ticket| (ticket, refusal.clone())),
+            );
         }
-        let owed = std::mem::take(&mut self.owed).into_values().flatten();
-        for ticket in abandoned.unknown.into_iter().chain(owed) {
-            answers
-                .extend(self.followers(ticket).into_iter().map(|ticket| (ticket, Answer::Unknown)));
+        let unconfirmed = std::mem::take(&mut self.deferred_replies).into_values().flatten();
+        for ticket in abandoned.unknown.into_iter().chain(unconfirmed) {
+            answers.extend(
+                self.take_callers(ticket).into_iter().map(|ticket| (ticket, Answer::Unknown)),
+            );
         }
         answers
     }
 
     /// The caller `ticket` and those who asked for the same job after it.
-    pub(super) fn followers(&mut self, ticket: Ticket) -> Vec<Ticket> {
+    pub(super) fn take_callers(&mut self, ticket: Ticket) -> Vec<Ticket> {
         let others = match self.calls.remove(&ticket) {
-            Some(Pending::Submit(job)) => self.accepting.remove(&job).unwrap_or_default(),
-            Some(Pending::Cancel | Pending::Acknowledge | Pending::GiveUp) | None => Vec::new(),
+            Some(PendingCall::Submit(job)) => self.accepting.remove(&job).unwrap_or_default(),
+            Some(PendingCall::Cancel | PendingCall::Acknowledge | PendingCall::GiveUp) | None => {
+                Vec::new()
+            }
         };
-        let everyone = std::iter::once(ticket).chain(others);
-        everyone.filter(|ticket| !self.muted.remove(ticket)).collect()
+        let callers = std::iter::once(ticket).chain(others);
+        callers.filter(|ticket| !self.answered_early.remove(ticket)).collect()
     }
 }
 
@@ -361,7 +366,7 @@
 }
 
 /// What a try of unknown origin holds.
-pub(super) fn stray(demand: Amount, started: Instant) -> Holding {
+pub(super) fn stray_holding(demand: Amount, started: Instant) -> Holding {
     Holding {
         demand,
         team: String::new(),
--- a/src/owner/alerts.rs
+++ b/src/owner/alerts.rs
@@ -27,22 +27,22 @@
 
 impl Active {
     /// Raises what the passing of time has brought about.
-    pub(super) fn watch(&mut self, table: &Table, now: Instant, unix: Unix) {
-        self.watch_workers(now, unix);
-        self.watch_log(now, unix);
-        self.take_findings(unix);
-        if now >= self.jobs_at {
-            self.jobs_at = now.after(JOBS_INTERVAL);
-            self.watch_jobs(table, now, unix);
+    pub(super) fn check_alerts(&mut self, table: &Table, now: Instant, unix: Unix) {
+        self.check_workers(now, unix);
+        self.check_log(now, unix);
+        self.raise_engine_events(unix);
+        if now >= self.next_job_check_at {
+            self.next_job_check_at = now.after(JOBS_INTERVAL);
+            self.check_jobs(table, now, unix);
         }
     }
 
-    fn watch_workers(&mut self, now: Instant, unix: Unix) {
-        let long = |since: Instant| now.since(since) > WORKER_SILENCE;
+    fn check_workers(&mut self, now: Instant, unix: Unix) {
+        let too_long = |since: Instant| now.since(since) > WORKER_SILENCE;
         let silent: Vec<(worker::Name, bool)> = self
             .sessions
             .iter()
-            .map(|(name, session)| (name.clone(), session.failing_since().is_some_and(long)))
+            .map(|(name, session)| (name.clone(), session.failing_since().is_some_and(too_long)))
             .collect();
         for (name, silent) in silent {
             let key = Key { kind: Kind::Unfenced, subject: Subject::Worker(name) };
@@ -53,7 +53,7 @@
         }
     }
 
-    fn watch_log(&mut self, now: Instant, unix: Unix) {
+    fn check_log(&mut self, now: Instant, unix: Unix) {
         let key = Key { kind: Kind::LogOutage, subject: Subject::Domain };
         match self.journal.failing_since() {
             Some(since) if now.since(since) > LOG_SILENCE => {
@@ -64,7 +64,7 @@
         }
     }
 
-    fn take_findings(&mut self, unix: Unix) {
+    fn raise_engine_events(&mut self, unix: Unix) {
         for event in self.engine.take_events() {
             let message = event.to_string();
             match event {
@@ -85,18 +85,18 @@
         }
     }
 
-    fn watch_jobs(&mut self, table: &Table, now: Instant, unix: Unix) {
+    fn check_jobs(&mut self, table: &Table, now: Instant, unix: Unix) {
         for risk in self.engine.at_risk(now, unix) {
             let key = Key { kind: Kind::AtRisk, subject: Subject::Job(risk.job) };
             self.raise(unix, key, &risk.to_string());
         }
         for job in table.jobs().filter(|job| job.ended.is_none()) {
-            self.watch_deadline(job, unix);
-            self.watch_room(job, unix);
+            self.check_deadline(job, unix);
+            self.check_feasible(job, unix);
         }
     }
 
-    fn watch_deadline(&mut self, job: &Job, unix: Unix) {
+    fn check_deadline(&mut self, job: &Job, unix: Unix) {
         if job.spec.deadline.is_some_and(|deadline| deadline < unix) {
             let key = Key { kind: Kind::Late, subject: Subject::Job(job.id) };
             self.raise(unix, key, &format!("job {} has missed its deadline", label(job)));
@@ -104,9 +104,9 @@
     }
 
     /// A job that was accepted may become impossible when the workers that fit it go away.
-    fn watch_room(&mut self, job: &Job, unix: Unix) {
-        let waits = job.tasks.iter().any(|task| task.state == AttemptState::Pending);
-        if !waits || !self.knows_all_workers() {
+    fn check_feasible(&mut self, job: &Job, unix: Unix) {
+        let has_pending = job.tasks.iter().any(|task| task.state == AttemptState::Pending);
+        if !has_pending || !self.has_all_capacities() {
             return;
         }
         let reason = self.engine.explain(job.id);
@@ -117,20 +117,20 @@
     }
 
     /// Raises and ends what the end of a try has brought about.
-    pub(super) fn tell_end(&mut self, job: &Job, task: task::Id, unix: Unix) {
+    pub(super) fn update_alerts_on_end(&mut self, job: &Job, task: task::Id, unix: Unix) {
         let resolved = job.current(task).is_none_or(|current| !is_unresolved(&current.state));
         let uncertain = Key { kind: Kind::Uncertain, subject: Subject::Task(task) };
         match resolved {
             true => self.end(unix, &uncertain),
-            false => self.tell_unresolved(job, task, unix),
+            false => self.raise_uncertain(job, task, unix),
         }
-        self.tell_flapping(job, task, unix);
+        self.check_repeated_failure(job, task, unix);
         if job.ended.is_some() {
-            self.tell_outcome(job, unix);
+            self.update_job_alerts(job, unix);
         }
     }
 
-    fn tell_unresolved(&mut self, job: &Job, task: task::Id, unix: Unix) {
+    fn raise_uncertain(&mut self, job: &Job, task: task::Id, unix: Unix) {
         let worker = job.current(task).and_then(|current| current.worker());
         let place = worker.map_or("a worker", |worker| worker.as_str());
         let message = format!(
@@ -142,7 +142,7 @@
         self.raise(unix, key, &message);
     }
 
-    fn tell_flapping(&mut self, job: &Job, task: task::Id, unix: Unix) {
+    fn check_repeated_failure(&mut self, job: &Job, task: task::Id, unix: Unix) {
         let failures = job.tasks.get(task.index as usize).map_or(0, |task| task.failures);
         if job.spec.kind == job::Kind::LongRunning && failures >= MAX_FAILURES {
             let key = Key { kind: Kind::AtRisk, subject: Subject::Job(job.id) };
@@ -150,7 +150,7 @@
         }
     }
 
-    fn tell_outcome(&mut self, job: &Job, unix: Unix) {
+    fn update_job_alerts(&mut self, job: &Job, unix: Unix) {
         let subject = Subject::Job(job.id);
         self.end(unix, &Key { kind: Kind::AtRisk, subject: subject.clone() });
         self.end(unix, &Key { kind: Kind::Impossible, subject: subject.clone() });
@@ -158,7 +158,7 @@
             let key = Key { kind: Kind::Late, subject: subject.clone() };
             self.raise(unix, key, &format!("job {} ended after its deadline", label(job)));
         }
-        if job.is_lost() {
+        if job.ended_without_success() {
             let key = Key { kind: Kind::Lost, subject };
             self.raise(unix, key, &format!("job {} ended without its work done", label(job)));
         }
@@ -175,7 +175,7 @@
             Err(_) => Some(Answer::NotFound),
             Ok(None) => Some(Answer::Acknowledged),
             Ok(Some(record)) => {
-                self.calls.insert(ticket, active::Pending::Acknowledge);
+                self.calls.insert(ticket, active::PendingCall::Acknowledge);
                 self.journal.push(Entry::Alert(wire::Record::from(&record)), Some(ticket));
                 None
             }
@@ -187,23 +187,23 @@
         if let Some(record) = self.board.raise(unix, key, message) {
             let message = crate::logging::value(message);
             log::warn!("event=alert.raised kind={kind} subject=\"{subject}\" message={message}");
-            self.write(&record);
+            self.record_alert(&record);
         }
     }
 
     fn end(&mut self, unix: Unix, key: &Key) {
         if let Some(record) = self.board.end(unix, key) {
-            self.write(&record);
+            self.record_alert(&record);
         }
     }
 
-    fn write(&mut self, record: &Record) {
+    fn record_alert(&mut self, record: &Record) {
         self.journal.push(Entry::Alert(wire::Record::from(record)), None);
     }
 }
 
-fn is_unresolved(position: &AttemptState) -> bool {
-    matches!(position, AttemptState::Unresolved { .. })
+fn is_unresolved(state: &AttemptState) -> bool {
+    matches!(state, AttemptState::Unresolved { .. })
 }
 
 fn label(job: &Job) -> String {
--- a/src/owner/calls.rs
+++ b/src/owner/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{Instant, Unix};
 use crate::owner::Ticket;
-use crate::owner::active::{Active, Pending};
+use crate::owner::active::{Active, PendingCall};
 use crate::owner::machine::{Answer, Call, Effect, Machine, Refusal, Role};
 use crate::owner::record::{Acceptance, Cancellation, Conclusion, Entry};
 use crate::owner::table::Table;
@@ -14,7 +14,7 @@
         let answer = match &mut self.role {
             Role::Follower => Some(Answer::Refused(Refusal::NotOwner(owner))),
             Role::Owner(_) if self.stopping => Some(Answer::Refused(Refusal::NotOwner(None))),
-            Role::Owner(active) if !active.is_settled() => {
+            Role::Owner(active) if !active.is_established() => {
                 Some(Answer::Refused(Refusal::LogUnavailable))
             }
             Role::Owner(active) => match call {
@@ -65,7 +65,7 @@
             return Some(Answer::Refused(Refusal::Impossible(reason)));
         }
         self.accepting.insert(id, Vec::new());
-        self.calls.insert(ticket, Pending::Submit(id));
+        self.calls.insert(ticket, PendingCall::Submit(id));
         self.journal.push(Entry::Accepted(acceptance), Some(ticket));
         None
     }
@@ -74,7 +74,7 @@
     /// has, so that a new owner refuses nothing that a worker it has not reached could run.
     fn impossible(&self, spec: &job::Spec) -> Option<placement::Reason> {
         let tasks = usize::try_from(spec.tasks).unwrap_or(usize::MAX);
-        self.knows_all_workers()
+        self.has_all_capacities()
             .then(|| self.engine.impossible(&spec.demand, spec.kind, tasks))
             .flatten()
     }
@@ -90,7 +90,7 @@
         if self.journal.is_full() {
             return Some(Answer::Refused(Refusal::Busy));
         }
-        self.calls.insert(ticket, Pending::Cancel);
+        self.calls.insert(ticket, PendingCall::Cancel);
         self.journal.push(Entry::Cancelled(Cancellation { job: id, at }), Some(ticket));
         None
     }
@@ -114,14 +114,14 @@
         }
         let Some((last, others)) = tasks.split_last() else { return Some(Answer::GivenUp) };
         for task in others {
-            self.abandon_try(*task, None, now, unix);
+            self.abandon_attempt(*task, None, now, unix);
         }
-        self.calls.insert(ticket, Pending::GiveUp);
-        self.abandon_try(*last, Some(ticket), now, unix);
+        self.calls.insert(ticket, PendingCall::GiveUp);
+        self.abandon_attempt(*last, Some(ticket), now, unix);
         None
     }
 
-    fn abandon_try(&mut self, task: task::Id, ticket: Option<Ticket>, now: Instant, at: Unix) {
+    fn abandon_attempt(&mut self, task: task::Id, ticket: Option<Ticket>, now: Instant, at: Unix) {
         let end = task::End::Lapsed;
         self.concluding.insert(task);
         self.journal.push(Entry::Ended(Conclusion { task, end, at }), ticket);
@@ -143,31 +143,33 @@
             return Vec::new();
         }
         let others_wait = match self.calls.get(&ticket) {
-            Some(Pending::Submit(job)) => self.accepting.get(job).is_some_and(|o| !o.is_empty()),
+            Some(PendingCall::Submit(job)) => {
+                self.accepting.get(job).is_some_and(|o| !o.is_empty())
+            }
             _ => false,
         };
         let retracted = !others_wait && self.journal.retract(ticket);
         if retracted {
             let refusal = Answer::Refused(Refusal::DeadlineExceeded);
             return self
-                .followers(ticket)
+                .take_callers(ticket)
                 .into_iter()
                 .map(|ticket| Effect::Reply { ticket, answer: refusal.clone() })
                 .collect();
         }
-        self.muted.insert(ticket);
+        self.answered_early.insert(ticket);
         vec![Effect::Reply { ticket, answer: Answer::Unknown }]
     }
 
     pub(super) fn answer_committed(&mut self, ticket: Ticket) -> Vec<Effect> {
         let answer = match self.calls.get(&ticket) {
-            Some(Pending::Submit(_)) => Answer::Accepted { duplicate: false },
-            Some(Pending::Cancel) => Answer::Cancelled,
-            Some(Pending::Acknowledge) => Answer::Acknowledged,
-            Some(Pending::GiveUp) => Answer::GivenUp,
+            Some(PendingCall::Submit(_)) => Answer::Accepted { duplicate: false },
+            Some(PendingCall::Cancel) => Answer::Cancelled,
+            Some(PendingCall::Acknowledge) => Answer::Acknowledged,
+            Some(PendingCall::GiveUp) => Answer::GivenUp,
             None => return Vec::new(),
         };
-        self.followers(ticket)
+        self.take_callers(ticket)
             .into_iter()
             .map(|ticket| Effect::Reply { ticket, answer: answer.clone() })
             .collect()
--- a/src/owner/election/claim.rs
+++ b/src/owner/election/claim.rs
@@ -11,7 +11,7 @@
 use crate::store::{self, Offset, Outcome};
 
 /// Share of the claim timeout that each further rank waits.
-const RANK_SHARE: u32 = 3;
+const RANK_DELAY_DIVISOR: u32 = 3;
 
 impl Machine {
     pub(in crate::owner) fn advance_follower(&mut self, now: Instant, unix: Unix) {
@@ -32,10 +32,10 @@
     /// Whether both the owner and the log have been silent for so long that the leases of all that
     /// runs in the domain would lapse before anybody could claim it.
     fn takeover_due(&self, now: Instant) -> bool {
-        let patience = self.timings.claim_timeout * 2 + self.rank_delay();
-        let log_away =
-            self.election.read_failing_since.is_some_and(|since| now.since(since) >= patience);
-        log_away && now.since(self.election.heard) >= patience
+        let timeout = self.timings.claim_timeout * 2 + self.rank_delay();
+        let log_unavailable =
+            self.election.read_failing_since.is_some_and(|since| now.since(since) >= timeout);
+        log_unavailable && now.since(self.election.last_heard) >= timeout
     }
 
     /// Takes the domain over without the log, to keep alive what runs.
@@ -51,33 +51,35 @@
         let epoch = self.known_epoch().next_sub(rank);
         log::warn!("event=owner.took_over_without_log domain={} epoch={epoch}", self.domain);
         let mut active = self.new_active(epoch, now, unix);
-        active.logged = false;
+        active.claim_logged = false;
         self.role = Role::Owner(Box::new(active));
-        self.election.leader = Some((epoch, self.me.clone()));
+        self.election.announced = Some((epoch, self.me.clone()));
     }
 
     fn claim_due(&self, now: Instant) -> bool {
-        let paused = self.election.claim_pause.is_some_and(|until| now < until);
-        let log_away = self.election.read_failing_since.is_some();
-        if paused || log_away {
+        let paused = self.election.claim_paused_until.is_some_and(|until| now < until);
+        let log_unavailable = self.election.read_failing_since.is_some();
+        if paused || log_unavailable {
             return false;
         }
-        let patience = self.timings.claim_timeout + self.rank_delay();
-        let silent = now.since(self.election.heard) >= patience;
-        let cut_off =
-            self.election.leader_without_log.is_some_and(|since| now.since(since) >= patience * 2);
-        silent || cut_off
+        let timeout = self.timings.claim_timeout + self.rank_delay();
+        let silent = now.since(self.election.last_heard) >= timeout;
+        let owner_cut_off = self
+            .election
+            .owner_without_log_since
+            .is_some_and(|since| now.since(since) >= timeout * 2);
+        silent || owner_cut_off
     }
 
     /// Instances claim in the order of their names, so that two seldom claim at once.
     fn rank_delay(&self) -> Duration {
         let steps = u32::try_from(self.rank()).unwrap_or(u32::MAX);
-        (self.timings.claim_timeout / RANK_SHARE).saturating_mul(steps)
+        (self.timings.claim_timeout / RANK_DELAY_DIVISOR).saturating_mul(steps)
     }
 
     fn rank(&self) -> usize {
-        let ahead = |name: &str| name < self.me.name.as_str();
-        self.peers().filter(|(name, _)| ahead(name)).count()
+        let ranks_before = |name: &str| name < self.me.name.as_str();
+        self.peers().filter(|(name, _)| ranks_before(name)).count()
     }
 
     pub(super) fn claim(&mut self, now: Instant) {
@@ -86,16 +88,16 @@
 
     /// Appends a claim unless one is under way.
     pub(in crate::owner) fn claim_epoch(&mut self, epoch: Epoch, now: Instant) {
-        let paused = self.election.claim_pause.is_some_and(|until| now < until);
-        if self.election.claiming || paused {
+        let paused = self.election.claim_paused_until.is_some_and(|until| now < until);
+        if self.election.claim_in_flight || paused {
             return;
         }
         let claim = self.replica.claim_for(&self.me, epoch);
         log::info!("event=owner.claiming domain={} epoch={}", self.domain, claim.epoch);
-        self.election.claim_pause = Some(now.after(self.timings.claim_timeout));
+        self.election.claim_paused_until = Some(now.after(self.timings.claim_timeout));
         match codec::encode(&Record::Claim(claim)) {
             Ok(payload) => {
-                self.election.claiming = true;
+                self.election.claim_in_flight = true;
                 self.out.push(Effect::Append(AppendRequest { tag: Tag::Claim, payload }));
             }
             Err(error) => log::error!("event=owner.claim_unwritable cause=\"{error}\""),
@@ -114,7 +116,7 @@
         unix: Unix,
     ) {
         if tag == Tag::Claim {
-            self.election.claiming = false;
+            self.election.claim_in_flight = false;
         }
         match result {
             Ok(offset) if tag != Tag::Claim => self.on_batch_written(tag, offset, now, unix),
--- a/src/owner/election/mod.rs
+++ b/src/owner/election/mod.rs
@@ -18,15 +18,15 @@
 #[derive(Clone, Debug)]
 pub struct Election {
     progress: Progress,
-    reading: bool,
-    read_at: Instant,
+    read_in_flight: bool,
+    next_read_at: Instant,
     read_failing_since: Option<Instant>,
-    heard: Instant,
-    leader: Option<(Epoch, Instance)>,
-    leader_without_log: Option<Instant>,
-    claiming: bool,
+    last_heard: Instant,
+    announced: Option<(Epoch, Instance)>,
+    owner_without_log_since: Option<Instant>,
+    claim_in_flight: bool,
     /// Claim whose append got no answer; it may still take effect.
-    claim_pause: Option<Instant>,
+    claim_paused_until: Option<Instant>,
 }
 
 impl Election {
@@ -34,14 +34,14 @@
     pub fn new(now: Instant) -> Self {
         Self {
             progress: Progress::FindEnd,
-            reading: false,
-            read_at: now,
+            read_in_flight: false,
+            next_read_at: now,
             read_failing_since: None,
-            heard: now,
-            leader: None,
-            leader_without_log: None,
-            claiming: false,
-            claim_pause: None,
+            last_heard: now,
+            announced: None,
+            owner_without_log_since: None,
+            claim_in_flight: false,
+            claim_paused_until: None,
         }
     }
 
@@ -56,34 +56,34 @@
     }
 
     /// The instance that says it owns the domain in an epoch not before `epoch`.
-    pub fn leader(&self, epoch: Epoch) -> Option<&Instance> {
-        self.leader.as_ref().filter(|(theirs, _)| *theirs >= epoch).map(|(_, owner)| owner)
+    pub fn announced_owner(&self, epoch: Epoch) -> Option<&Instance> {
+        self.announced.as_ref().filter(|(announced, _)| *announced >= epoch).map(|(_, owner)| owner)
     }
 
     /// Highest epoch that any instance has named.
-    pub fn highest(&self) -> Epoch {
-        self.leader.as_ref().map(|(epoch, _)| *epoch).unwrap_or_default()
+    pub fn highest_epoch(&self) -> Epoch {
+        self.announced.as_ref().map(|(epoch, _)| *epoch).unwrap_or_default()
     }
 
-    pub(in crate::owner) fn start_over(&mut self) {
+    pub(in crate::owner) fn restart_replay(&mut self) {
         self.progress = Progress::FindEnd;
     }
 
-    pub(in crate::owner) fn heard(&mut self, now: Instant) {
-        self.heard = now;
+    pub(in crate::owner) fn record_owner_alive(&mut self, now: Instant) {
+        self.last_heard = now;
     }
 
     /// An owner that still appends is alive, even if its heartbeats do not get through.
-    pub(in crate::owner) fn heard_through_log(&mut self, now: Instant) {
+    pub(in crate::owner) fn record_owner_append(&mut self, now: Instant) {
         if self.progress == Progress::Live {
-            self.heard = now;
+            self.last_heard = now;
         }
     }
 
-    pub(in crate::owner) fn claimed(&mut self, claim: &Claim, now: Instant) {
-        self.heard = now;
-        self.leader = Some((claim.epoch, claim.instance.clone()));
-        self.leader_without_log = None;
+    pub(in crate::owner) fn record_claim(&mut self, claim: &Claim, now: Instant) {
+        self.last_heard = now;
+        self.announced = Some((claim.epoch, claim.instance.clone()));
+        self.owner_without_log_since = None;
     }
 }
 
@@ -92,15 +92,16 @@
         if heartbeat.epoch < self.known_epoch() || heartbeat.owner == self.me {
             return;
         }
-        self.yield_to(heartbeat.epoch, "later_owner_spoke");
+        self.step_down_if_superseded(heartbeat.epoch, "later_owner_spoke");
         self.enroll(heartbeat);
-        self.election.heard(now);
-        self.election.leader = Some((heartbeat.epoch, heartbeat.owner.clone()));
+        self.election.record_owner_alive(now);
+        self.election.announced = Some((heartbeat.epoch, heartbeat.owner.clone()));
         // Only what this instance can reach and the owner cannot is a reason to take its place: an
         // outage that both had ends for one of them first.
-        let alone = heartbeat.without_log && self.election.read_failing_since.is_none();
-        self.election.leader_without_log = match alone {
-            true => Some(self.election.leader_without_log.unwrap_or(now)),
+        let only_owner_cut_off =
+            heartbeat.without_log && self.election.read_failing_since.is_none();
+        self.election.owner_without_log_since = match only_owner_cut_off {
+            true => Some(self.election.owner_without_log_since.unwrap_or(now)),
             false => None,
         };
     }
@@ -115,10 +116,10 @@
         epoch: Epoch,
         now: Instant,
     ) {
-        if self.yield_to(epoch, "peer_knows_later_epoch") {
-            self.election.heard(now);
+        if self.step_down_if_superseded(epoch, "peer_knows_later_epoch") {
+            self.election.record_owner_alive(now);
         }
-        let gone: Vec<Instance> = self
+        let replaced: Vec<Instance> = self
             .replica
             .former_owners()
             .iter()
@@ -126,11 +127,11 @@
             .cloned()
             .collect();
         let Role::Owner(active) = &mut self.role else { return };
-        active.heard_by.insert(from.name.clone(), now);
+        active.last_acks.insert(from.name.clone(), now);
         if epoch < active.epoch {
             return;
         }
-        for former in gone {
+        for former in replaced {
             active.retire(&former);
         }
         if epoch == active.epoch {
@@ -158,7 +159,7 @@
         // An owner before this one may have started what the log does not say, unless this
         // instance would keep the record of it.
         let previous = self.replica.previous_epoch();
-        active.cautious =
+        active.awaiting_reports =
             previous != Epoch::default() && self.copies.enrolled_epoch() != Some(previous);
         active.load(&self.replica.table, now, unix);
         active
@@ -178,7 +179,7 @@
             active.journal.push(entry, None);
         }
         self.role = Role::Owner(Box::new(active));
-        self.election.leader = Some((epoch, self.me.clone()));
+        self.election.announced = Some((epoch, self.me.clone()));
     }
 
     /// Entry instances of the domain other than this one, by name.
--- a/src/owner/election/reading.rs
+++ b/src/owner/election/reading.rs
@@ -38,7 +38,7 @@
     /// An owner learns of its own records from the answers to its appends, so it reads only to
     /// fill a gap or, at a slow pace, to find a rival's claim.
     pub(in crate::owner) fn read_on(&mut self, now: Instant) {
-        if self.election.reading || now < self.election.read_at {
+        if self.election.read_in_flight || now < self.election.next_read_at {
             return;
         }
         let wait = if self.is_owner() { Duration::ZERO } else { self.timings.read_wait };
@@ -48,13 +48,13 @@
             Progress::CatchUp(_) => (self.replica.next_offset(), Duration::ZERO),
             Progress::Live => (self.replica.next_offset(), wait),
         };
-        self.election.reading = true;
+        self.election.read_in_flight = true;
         self.out.push(Effect::Read { from, wait });
     }
 
     /// Makes the next read due at once, to find out what became of an append.
     pub(in crate::owner) fn read_soon(&mut self, now: Instant) {
-        self.election.read_at = now;
+        self.election.next_read_at = now;
     }
 
     pub(in crate::owner) fn on_read(
@@ -63,18 +63,18 @@
         now: Instant,
         unix: Unix,
     ) {
-        self.election.reading = false;
+        self.election.read_in_flight = false;
         let page = match result {
             Ok(page) => page,
             Err(error) => {
                 log::warn!("event=owner.read_failed domain={} {error}", self.domain);
                 self.election.read_failing_since.get_or_insert(now);
-                self.election.read_at = now.after(READ_RETRY_PAUSE);
+                self.election.next_read_at = now.after(READ_RETRY_PAUSE);
                 return;
             }
         };
         self.election.read_failing_since = None;
-        self.election.read_at =
+        self.election.next_read_at =
             if self.is_owner() { now.after(self.timings.rival_check_interval) } else { now };
         match self.election.progress {
             Progress::FindEnd => self.on_end(&page),
@@ -114,7 +114,7 @@
         }
         for record in &page.records {
             if record.offset == self.replica.next_offset() {
-                self.absorb(record.offset, &record.payload, now, unix);
+                self.apply_record(record.offset, &record.payload, now, unix);
             }
         }
         let behind = self.replica.next_offset() < page.end;
@@ -131,7 +131,7 @@
                 self.replica.table.len()
             );
             self.election.progress = Progress::Live;
-            self.election.heard(now);
+            self.election.record_owner_alive(now);
         }
     }
 
@@ -140,7 +140,7 @@
     fn restart_reading(&mut self, cause: &str) {
         log::warn!("event=owner.reading_restarted domain={} cause={cause}", self.domain);
         self.step_down(cause);
-        self.election.start_over();
+        self.election.restart_replay();
     }
 }
 
--- a/src/owner/machine/message.rs
+++ b/src/owner/machine/message.rs
@@ -11,7 +11,7 @@
 use crate::owner::Ticket;
 use crate::owner::journal::{AppendRequest, Tag};
 use crate::owner::peer_commit::BatchCopy;
-use crate::owner::session::{Channel, Send};
+use crate::owner::session::{Channel, ExchangeRequest};
 use crate::placement::Policy;
 use crate::store::{self, Offset, Page};
 use crate::{alert, config, job, placement, worker};
@@ -182,7 +182,7 @@
         /// The worker.
         worker: worker::Name,
         /// What to send.
-        send: Send,
+        request: ExchangeRequest,
     },
     /// Send a heartbeat and answer with [`Message::HeartbeatAnswered`] for each answer.
     Heartbeat {
--- a/src/owner/machine/mod.rs
+++ b/src/owner/machine/mod.rs
@@ -119,13 +119,15 @@
     pub fn owner(&self) -> Option<&Instance> {
         match &self.role {
             Role::Owner(_) => Some(&self.me),
-            Role::Follower => self.election.leader(self.replica.epoch()).or(self.replica.owner()),
+            Role::Follower => {
+                self.election.announced_owner(self.replica.epoch()).or(self.replica.owner())
+            }
         }
     }
 
     /// Latest epoch that this instance knows of.
     pub fn known_epoch(&self) -> Epoch {
-        self.replica.epoch().max(self.election.highest())
+        self.replica.epoch().max(self.election.highest_epoch())
     }
 
     /// Whether the state read from the stream is as new as the stream was after the start.
@@ -157,7 +159,7 @@
     }
 
     /// Takes in one record that follows what was read so far.
-    pub(in crate::owner) fn absorb(
+    pub(in crate::owner) fn apply_record(
         &mut self,
         offset: Offset,
         payload: &Bytes,
@@ -167,7 +169,7 @@
         match self.replica.apply(offset, payload, unix) {
             Applied::Claimed(claim) if claim.instance == self.me => self.become_owner(now, unix),
             Applied::Claimed(claim) => {
-                self.election.claimed(&claim, now);
+                self.election.record_claim(&claim, now);
                 self.step_down("claimed_by_other");
             }
             Applied::Changed(batch) => self.on_changed(&batch, now, unix),
@@ -189,7 +191,7 @@
         if !active.unlogged.is_empty() {
             // What took effect without the log is void now that another owns the domain. It cannot
             // be taken back out of the state, so the state is read anew.
-            self.election.start_over();
+            self.election.restart_replay();
         }
         let owner = self.owner().cloned();
         for (ticket, answer) in active.abandon(owner.as_ref()) {
@@ -198,7 +200,7 @@
     }
 
     /// Ends this instance's ownership if `epoch` supersedes it; whether it did.
-    pub(in crate::owner) fn yield_to(&mut self, epoch: Epoch, cause: &str) -> bool {
+    pub(in crate::owner) fn step_down_if_superseded(&mut self, epoch: Epoch, cause: &str) -> bool {
         let superseded = self.active().is_some_and(|active| epoch > active.epoch);
         if superseded {
             self.step_down(cause);
--- a/src/owner/on_commit.rs
+++ b/src/owner/on_commit.rs
@@ -29,7 +29,7 @@
         match entry {
             Entry::Accepted(acceptance) => {
                 if let Some(job) = table.get(acceptance.job) {
-                    let tasks = job.tries().collect();
+                    let tasks = job.attempts().collect();
                     self.enqueue(job, tasks, now, unix.since(job.accepted));
                 }
             }
@@ -41,7 +41,7 @@
             Entry::Ended(conclusion) => {
                 self.on_ended(conclusion, table, timings, now);
                 if let Some(job) = table.get(conclusion.task.job) {
-                    self.tell_end(job, conclusion.task, unix);
+                    self.update_alerts_on_end(job, conclusion.task, unix);
                 }
             }
             Entry::Cancelled(cancellation) => {
@@ -49,7 +49,7 @@
                     self.on_cancelled(job, now, unix);
                 }
             }
-            Entry::Retired(_) => self.alone_since = now,
+            Entry::Retired(_) => self.sole_owner_since = now,
             Entry::Unresolved(_)
             | Entry::Restated(_)
             | Entry::Pruned(_)
@@ -62,9 +62,9 @@
         let task = placement.task;
         self.placing.remove(&task);
         let Some(job) = table.get(task.job) else { return };
-        let stands =
+        let is_current =
             job.current(task).and_then(|current| current.worker()) == Some(&placement.worker);
-        if !stands {
+        if !is_current {
             // The job was cancelled while the placement was on its way: it must not start.
             self.release(task);
             return;
@@ -76,7 +76,7 @@
         let unlogged = !self.unlogged.is_empty();
         if unlogged && job.spec.effect == job::Effect::AtMostOnce {
             // Peers' memory may be lost with them; a second start elsewhere would follow.
-            self.deferred.insert(task);
+            self.deferred_starts.insert(task);
             return;
         }
         self.send_start(placement, job, now, unix);
@@ -104,8 +104,8 @@
                 self.forget(conclusion.task);
             }
         }
-        let owed = self.owed.remove(&batch.sequence).unwrap_or_default();
-        owed.into_iter().flat_map(|ticket| self.answer_committed(ticket)).collect()
+        let replies = self.deferred_replies.remove(&batch.sequence).unwrap_or_default();
+        replies.into_iter().flat_map(|ticket| self.answer_committed(ticket)).collect()
     }
 
     /// Starts what took effect without the log and had to wait for it.
@@ -115,8 +115,8 @@
             _ => None,
         });
         for placement in placed.flatten() {
-            let stands = self.deferred.remove(&placement.task);
-            if let Some(job) = table.get(placement.task.job).filter(|_| stands) {
+            let is_deferred = self.deferred_starts.remove(&placement.task);
+            if let Some(job) = table.get(placement.task.job).filter(|_| is_deferred) {
                 self.send_start(placement, job, now, unix);
             }
         }
@@ -126,7 +126,7 @@
         let task = placement.task;
         let same_run = |session: &&mut Session| session.run == placement.run;
         match self.sessions.get_mut(&placement.worker).filter(same_run) {
-            Some(session) => session.push(start(job, task)),
+            Some(session) => session.push(start_command(job, task)),
             // The worker's process changed while the placement was on its way. A start sent now
             // would run, while the log says that the process it was placed on is gone, and the
             // next full report would have the task run a second time.
@@ -149,8 +149,8 @@
         if job.is_gang_broken() {
             self.stop_job(job);
         }
-        let whole = job.spec.kind == Kind::Gang;
-        let again = job.pending().filter(|id| whole || id.index == conclusion.task.index);
+        let is_gang = job.spec.kind == Kind::Gang;
+        let pending = job.pending().filter(|id| is_gang || id.index == conclusion.task.index);
         let failures = job.tasks.iter().map(|task| task.failures).max().unwrap_or(0);
         let pause = match conclusion.end {
             task::End::Failed | task::End::Rejected => {
@@ -159,8 +159,8 @@
             task::End::Succeeded => timings.retry_min,
             _ => Duration::ZERO,
         };
-        for id in again {
-            self.resting.insert((now.after(pause), id));
+        for id in pending {
+            self.retry_queue.insert((now.after(pause), id));
         }
     }
 
@@ -174,7 +174,7 @@
         if job.spec.kind != Kind::Gang {
             self.enqueue(job, vec![id], now, Duration::ZERO);
         } else if id.index == 0 {
-            let tasks = job.tries().collect();
+            let tasks = job.attempts().collect();
             self.enqueue(job, tasks, now, Duration::ZERO);
         }
     }
@@ -185,7 +185,7 @@
             let id = job.task_id(index);
             let AttemptState::Placed { worker, .. } = &task.state else { continue };
             let Some(session) = self.sessions.get_mut(worker) else { continue };
-            if session.withdraw(id) {
+            if session.withdraw_start(id) {
                 self.conclude(id, task::End::Stopped, now, unix);
             } else {
                 session.push(Command::Stop(id));
@@ -216,6 +216,6 @@
 }
 
 /// The command that starts a task of `job`.
-pub(super) fn start(job: &Job, task: task::Id) -> Command {
+pub(super) fn start_command(job: &Job, task: task::Id) -> Command {
     Command::Start { task, demand: job.spec.demand, payload: job.spec.payload.clone() }
 }
--- a/src/owner/owner_step.rs
+++ b/src/owner/owner_step.rs
@@ -27,10 +27,10 @@
 impl Machine {
     pub(super) fn advance_owner(&mut self, now: Instant, unix: Unix) {
         self.send_heartbeats(now);
-        self.speak_through_log(now);
-        self.end_recovery(now, unix);
+        self.keep_alive_in_log(now);
+        self.finish_recovery(now, unix);
         self.sweep(now, unix);
-        self.wake_resting(now);
+        self.requeue_due(now);
         self.decide(now, unix);
         self.commit(now, unix);
         self.replicate_batch(now);
@@ -49,7 +49,7 @@
             domain: self.domain.clone(),
             owner: self.me.clone(),
             epoch: active.epoch,
-            without_log: active.journal.failing_since().is_some() || !active.logged,
+            without_log: active.journal.failing_since().is_some() || !active.claim_logged,
             enrolled: active.enrolled.values().cloned().collect(),
         };
         self.out.push(Effect::Heartbeat { to, heartbeat });
@@ -60,47 +60,49 @@
     /// Guards against two instances that reach the log and the workers but not each other. While
     /// nothing else is written, each would take the other for dead and claim the domain from it
     /// again and again, every time stopping placement until all workers are fenced anew.
-    fn speak_through_log(&mut self, now: Instant) {
-        let patience = self.timings.claim_timeout / 2;
+    fn keep_alive_in_log(&mut self, now: Instant) {
+        let silence = self.timings.claim_timeout / 2;
         let Role::Owner(active) = &self.role else { return };
-        let heard = |name| active.heard_by.get(name).copied().unwrap_or(active.began);
-        let unheard = self.peers().any(|(name, _)| now.since(heard(name)) > patience);
-        if let Some(active) = self.active().filter(|_| unheard) {
-            active.journal.keep_alive(now, patience);
+        let last_ack = |name| active.last_acks.get(name).copied().unwrap_or(active.owner_since);
+        let unacknowledged = self.peers().any(|(name, _)| now.since(last_ack(name)) > silence);
+        if let Some(active) = self.active().filter(|_| unacknowledged) {
+            active.journal.keep_alive(now, silence);
         }
     }
 
     fn sweep(&mut self, now: Instant, unix: Unix) {
         let Role::Owner(active) = &mut self.role else { return };
-        if now < active.sweep_at {
+        if now < active.next_sweep_at {
             return;
         }
-        active.sweep_at = now.after(SWEEP);
-        if active.is_settled() {
-            active.end_caution(&self.replica.table, now, unix);
-            active.account(&self.replica.table, now);
+        active.next_sweep_at = now.after(SWEEP);
+        if active.is_established() {
+            active.finish_awaiting_reports(&self.replica.table, now, unix);
+            active.resync_unreported(&self.replica.table, now);
             active.expire_leases(&self.replica, &self.timings, now, unix);
             active.prune(&self.replica.table, self.timings.ended_job_retention, unix);
         }
-        active.watch(&self.replica.table, now, unix);
+        active.check_alerts(&self.replica.table, now, unix);
     }
 
-    fn wake_resting(&mut self, now: Instant) {
+    fn requeue_due(&mut self, now: Instant) {
         let Role::Owner(active) = &mut self.role else { return };
-        while let Some(entry) = active.resting.first() {
+        while let Some(entry) = active.retry_queue.first() {
             let (due, id) = *entry;
             if due > now {
                 return;
             }
-            active.resting.pop_first();
+            active.retry_queue.pop_first();
             active.requeue(&self.replica.table, id, now);
         }
     }
 
     fn decide(&mut self, now: Instant, unix: Unix) {
         let Role::Owner(active) = &mut self.role else { return };
-        let log_away = active.journal.failing_since().is_some() && !active.commits_by_peers(now);
-        if log_away || !active.is_settled() || active.journal.is_full() || self.stopping {
+        let log_unavailable =
+            active.journal.failing_since().is_some() && !active.commits_by_peers(now);
+        if log_unavailable || !active.is_established() || active.journal.is_full() || self.stopping
+        {
             return;
         }
         for decision in active.engine.decide(now, unix, MAX_DECISIONS) {
@@ -121,7 +123,7 @@
             replay_point: self.replica.replay_point(),
         };
         let Role::Owner(active) = &mut self.role else { return };
-        if !active.logged {
+        if !active.claim_logged {
             let epoch = active.epoch;
             return self.claim_epoch(epoch, now);
         }
@@ -150,8 +152,8 @@
         let Role::Owner(active) = &mut self.role else { return };
         let epoch = active.epoch;
         for (worker, session) in &mut active.sessions {
-            for send in session.poll(now, epoch, &self.timings) {
-                self.out.push(Effect::Exchange { epoch, worker: worker.clone(), send });
+            for request in session.poll(now, epoch, &self.timings) {
+                self.out.push(Effect::Exchange { epoch, worker: worker.clone(), request });
             }
         }
     }
@@ -161,7 +163,7 @@
     fn hand_over(&mut self) {
         let settled = self.active().is_some_and(|active| {
             let written = active.journal.is_empty() && active.unlogged.is_empty();
-            written || !active.is_settled()
+            written || !active.is_established()
         });
         if !self.stopping || !settled {
             return;
@@ -184,15 +186,16 @@
         let next = self.replica.next_offset();
         let payload = self.active().and_then(|active| active.payload(tag));
         match payload {
-            Some(payload) if offset == next => self.absorb(offset, &payload, now, unix),
+            Some(payload) if offset == next => self.apply_record(offset, &payload, now, unix),
             _ if offset >= next => self.read_soon(now),
             _ => {}
         }
     }
 
     /// Begins anew once all that was kept for an earlier owner is in the log.
-    fn end_recovery(&mut self, now: Instant, unix: Unix) {
-        let ended = self.active().is_some_and(|a| a.recovering && a.journal.is_empty() && a.logged);
+    fn finish_recovery(&mut self, now: Instant, unix: Unix) {
+        let ended =
+            self.active().is_some_and(|a| a.recovering && a.journal.is_empty() && a.claim_logged);
         if ended {
             let epoch = self.replica.epoch();
             log::info!("event=owner.recovered epoch={epoch}");
@@ -206,7 +209,7 @@
         // count twice.
         self.copies.discard_before(batch.epoch, batch.sequence + 1);
         let Role::Owner(active) = &mut self.role else {
-            self.election.heard_through_log(now);
+            self.election.record_owner_append(now);
             return;
         };
         if batch.epoch != active.epoch {
@@ -214,8 +217,8 @@
         }
         // What was kept for an earlier owner only has to reach the table: this owner has no word from
         // the workers yet, and begins anew once all of it is written.
-        let acted_on = if active.is_settled() { batch.entries.as_slice() } else { &[] };
-        for entry in acted_on {
+        let entries = if active.is_established() { batch.entries.as_slice() } else { &[] };
+        for entry in entries {
             active.on_entry(entry, &self.replica.table, &self.timings, now, unix);
         }
         if active.unlogged.is_empty() {
@@ -224,7 +227,7 @@
         let tickets = active.journal.committed(batch.sequence);
         if !active.unlogged.is_empty() {
             // Peers' memory may be lost with them, so "accepted" is said once the log has it.
-            active.owed.insert(batch.sequence, tickets);
+            active.deferred_replies.insert(batch.sequence, tickets);
             return;
         }
         for ticket in tickets {
@@ -260,7 +263,7 @@
         let mut placements = Vec::with_capacity(tasks.len());
         for Assignment { task, worker } in tasks {
             self.placing.insert(task);
-            self.held.insert(task, worker.clone());
+            self.reserved.insert(task, worker.clone());
             let run = self.sessions.get(&worker).map_or(0, |session| session.run);
             placements.push(Placement { task, worker, run });
         }
--- a/src/owner/peer_commit.rs
+++ b/src/owner/peer_commit.rs
@@ -208,7 +208,10 @@
             // The process before it is gone, and with it the only one who could claim by that name.
             self.enrolled.remove(&from.peer);
         }
-        if self.is_settled() && self.journal.failing_since().is_none() && self.unlogged.is_empty() {
+        if self.is_established()
+            && self.journal.failing_since().is_none()
+            && self.unlogged.is_empty()
+        {
             self.enrolled.insert(from.peer, from.clone());
         }
     }
--- a/src/owner/reconcile.rs
+++ b/src/owner/reconcile.rs
@@ -5,18 +5,18 @@
 use crate::clock::{Instant, Unix};
 use crate::domain::Epoch;
 use crate::owner::Timings;
-use crate::owner::active::{Active, stray};
+use crate::owner::active::{Active, stray_holding};
 use crate::owner::machine::{Machine, Role};
-use crate::owner::on_commit::start;
+use crate::owner::on_commit::start_command;
 use crate::owner::record::{AttemptState, Entry, Placement};
 use crate::owner::replica::Replica;
-use crate::owner::session::{Channel, Findings};
+use crate::owner::session::{Channel, ReportSummary};
 use crate::owner::table::{Table, Task};
 use crate::task::{self, End, Phase};
 use crate::worker::{self, Command, Observation};
 
 /// Interval at which what the log places on workers is compared with their word.
-const ACCOUNT: std::time::Duration = std::time::Duration::from_secs(5);
+const RESYNC_INTERVAL: std::time::Duration = std::time::Duration::from_secs(5);
 
 impl Machine {
     pub(super) fn on_exchanged(
@@ -35,22 +35,22 @@
         let Some(session) = active.sessions.get_mut(worker) else { return };
         let fenced_by = match result {
             Ok(report) => {
-                let findings = session.answered(channel, &report);
+                let summary = session.on_report(channel, &report);
                 active.sync_worker(worker);
-                if let Some(findings) = findings.filter(|_| active.is_settled()) {
-                    active.reconcile(worker, &findings, &self.replica.table, now, unix);
+                if let Some(summary) = summary.filter(|_| active.is_established()) {
+                    active.reconcile(worker, &summary, &self.replica.table, now, unix);
                 }
                 None
             }
             Err(error) => {
-                let fenced_by = session.failed(channel, now, &error, &self.timings);
+                let fenced_by = session.on_failure(channel, now, &error, &self.timings);
                 log::debug!("event=owner.exchange_failed worker={worker} {error}");
                 active.sync_worker(worker);
                 fenced_by
             }
         };
         if let Some(rival) = fenced_by.filter(|rival| *rival > epoch) {
-            self.election.heard(now);
+            self.election.record_owner_alive(now);
             log::warn!("event=owner.fenced worker={worker} epoch={epoch} rival={rival}");
             self.step_down("fenced_at_worker");
         }
@@ -61,16 +61,16 @@
     fn reconcile(
         &mut self,
         worker: &worker::Name,
-        findings: &Findings,
+        summary: &ReportSummary,
         table: &Table,
         now: Instant,
         unix: Unix,
     ) {
-        for observation in &findings.tasks {
+        for observation in &summary.tasks {
             self.on_observed(worker, observation, table, now, unix);
         }
-        if findings.joined {
-            self.on_joined(worker, findings, table, now, unix);
+        if summary.resynced {
+            self.on_full_report(worker, summary, table, now, unix);
         }
         let usage = self.sessions.get(worker).map(|session| session.usage()).unwrap_or_default();
         self.engine.observe_usage(worker, usage);
@@ -86,47 +86,47 @@
     ) {
         let id = observation.task;
         let current = table.get(id.job).and_then(|job| job.current(id));
-        let here = current.is_some_and(|task| task.worker() == Some(worker));
+        let is_here = current.is_some_and(|task| task.worker() == Some(worker));
         match observation.phase {
-            Phase::Ended(end) if here => {
-                let end = self.true_end(worker, current, end);
+            Phase::Ended(end) if is_here => {
+                let end = self.effective_end(worker, current, end);
                 self.conclude(id, end, now, unix);
             }
             Phase::Ended(end) if self.is_adoptable(current, id) => {
-                self.resolve(worker, id);
+                self.record_placement(worker, id);
                 self.conclude(id, end, now, unix);
             }
             Phase::Ended(_) => {
                 self.release(id);
-                self.tell(worker, Command::Forget(id));
+                self.send_command(worker, Command::Forget(id));
             }
-            Phase::Running if here => {
+            Phase::Running if is_here => {
                 let unresolved =
                     current.is_some_and(|t| matches!(t.state, AttemptState::Unresolved { .. }));
                 let cancelled = table.get(id.job).is_some_and(|job| job.cancelled.is_some());
                 if cancelled {
                     // The order to stop may have gone down with an earlier owner or connection.
-                    self.tell(worker, Command::Stop(id));
+                    self.send_command(worker, Command::Stop(id));
                 }
                 if unresolved && let Some(job) = table.get(id.job) {
                     self.adopt(id, worker, job, now);
-                    self.resolve(worker, id);
+                    self.record_placement(worker, id);
                 }
             }
             Phase::Running if self.is_adoptable(current, id) => {
                 if let Some(job) = table.get(id.job) {
                     self.placing.insert(id);
                     self.adopt(id, worker, job, now);
-                    self.resolve(worker, id);
+                    self.record_placement(worker, id);
                 }
             }
             Phase::Running => {
                 // A try that the log does not place here must not run beside the one that counts.
-                self.hold_stray(worker, observation, now);
-                self.tell(worker, Command::Stop(id));
+                self.reserve_for_stray(worker, observation, now);
+                self.send_command(worker, Command::Stop(id));
             }
-            Phase::Stopping if here => {}
-            Phase::Stopping => self.hold_stray(worker, observation, now),
+            Phase::Stopping if is_here => {}
+            Phase::Stopping => self.reserve_for_stray(worker, observation, now),
         }
     }
 
@@ -135,7 +135,7 @@
     /// A worker's new process rejects a start that was repeated to it, though the process before
     /// may have run the task: the start's answer was lost and the process ended. Taken at its word,
     /// a task that may run only once would run again.
-    fn true_end(&self, worker: &worker::Name, task: Option<&Task>, end: End) -> End {
+    fn effective_end(&self, worker: &worker::Name, task: Option<&Task>, end: End) -> End {
         let run = self.sessions.get(worker).map_or(0, |session| session.run);
         match task.map(|task| &task.state) {
             Some(AttemptState::Placed { run: placed, .. })
@@ -150,8 +150,11 @@
     /// Whether a worker's word on a try that the log has waiting is the truth: an owner before this
     /// one started it without the log, and this one has not placed it itself.
     fn is_adoptable(&self, current: Option<&Task>, id: task::Id) -> bool {
-        let waits = current.is_some_and(|task| task.state == AttemptState::Pending);
-        waits && self.cautious && !self.placing.contains(&id) && !self.concluding.contains(&id)
+        let is_pending = current.is_some_and(|task| task.state == AttemptState::Pending);
+        is_pending
+            && self.awaiting_reports
+            && !self.placing.contains(&id)
+            && !self.concluding.contains(&id)
     }
 
     /// Asks workers anew for all they run where the log has placed a try that they have not named
@@ -160,44 +163,52 @@
     /// The failure: a start or a report is lost in a way that no rule foresees, and the try waits
     /// on a worker that has nothing to say of it, for ever. A full report settles it like a
     /// takeover does.
-    pub(super) fn account(&mut self, table: &Table, now: Instant) {
-        if now < self.account_at {
+    pub(super) fn resync_unreported(&mut self, table: &Table, now: Instant) {
+        if now < self.next_resync_at {
             return;
         }
-        self.account_at = now.after(ACCOUNT);
+        self.next_resync_at = now.after(RESYNC_INTERVAL);
         let mut missing = BTreeSet::new();
         for (worker, session) in &mut self.sessions {
-            let here: Vec<task::Id> = placed_on(table, worker)
+            let missing_here: Vec<task::Id> = placed_on(table, worker)
                 .into_iter()
                 .map(|(id, _)| id)
                 .filter(|id| !session.running.contains_key(id) && !session.is_starting(*id))
-                .filter(|id| !self.concluding.contains(id) && !self.deferred.contains(id))
+                .filter(|id| !self.concluding.contains(id) && !self.deferred_starts.contains(id))
                 .collect();
-            if session.is_open() && here.iter().any(|id| self.unaccounted.contains(id)) {
-                log::warn!("event=owner.worker_resynced worker={worker} tasks={}", here.len());
+            if session.is_open() && missing_here.iter().any(|id| self.unreported.contains(id)) {
+                log::warn!(
+                    "event=owner.worker_resynced worker={worker} tasks={}",
+                    missing_here.len()
+                );
                 session.resync();
             }
-            missing.extend(here);
+            missing.extend(missing_here);
         }
-        self.unaccounted = missing;
+        self.unreported = missing;
     }
 
     /// Counts what a try holds that the log does not place there, until the worker has stopped it.
     /// Otherwise its room would be given away while it is still in use.
-    fn hold_stray(&mut self, worker: &worker::Name, observation: &Observation, now: Instant) {
-        if !self.held.contains_key(&observation.task) {
-            self.engine.adopt(observation.task, worker, &stray(observation.demand, now));
-            self.held.insert(observation.task, worker.clone());
+    fn reserve_for_stray(
+        &mut self,
+        worker: &worker::Name,
+        observation: &Observation,
+        now: Instant,
+    ) {
+        if !self.reserved.contains_key(&observation.task) {
+            self.engine.adopt(observation.task, worker, &stray_holding(observation.demand, now));
+            self.reserved.insert(observation.task, worker.clone());
         }
     }
 
-    fn resolve(&mut self, worker: &worker::Name, task: task::Id) {
+    fn record_placement(&mut self, worker: &worker::Name, task: task::Id) {
         let run = self.sessions.get(worker).map_or(0, |session| session.run);
         let placement = Placement { task, worker: worker.clone(), run };
         self.journal.push(Entry::Placed(vec![placement]), None);
     }
 
-    fn tell(&mut self, worker: &worker::Name, command: Command) {
+    fn send_command(&mut self, worker: &worker::Name, command: Command) {
         if let Some(session) = self.sessions.get_mut(worker) {
             session.push(command);
         }
@@ -209,10 +220,10 @@
     /// any more. If its process is the one seen when placing, the task was never started, because
     /// ended tasks stay known until their end is in the log; it is started now. Otherwise the
     /// process that may have run it is gone and the try ended with it.
-    fn on_joined(
+    fn on_full_report(
         &mut self,
         worker: &worker::Name,
-        findings: &Findings,
+        summary: &ReportSummary,
         table: &Table,
         now: Instant,
         unix: Unix,
@@ -221,21 +232,21 @@
         log::info!(
             "event=owner.worker_fenced worker={worker} epoch={} restarted={} tasks={}",
             self.epoch,
-            findings.restarted,
-            findings.tasks.len()
+            summary.restarted,
+            summary.tasks.len()
         );
         for id in unresolved_on(table, worker) {
-            if !findings.tasks.iter().any(|observation| observation.task == id) {
+            if !summary.tasks.iter().any(|observation| observation.task == id) {
                 self.conclude(id, End::Lapsed, now, unix);
             }
         }
-        let known = |id| findings.tasks.iter().any(|observation| observation.task == id);
+        let known = |id| summary.tasks.iter().any(|observation| observation.task == id);
         for (id, placed_run) in placed_on(table, worker) {
             if known(id) || self.concluding.contains(&id) {
                 continue;
             }
             // What peers alone keep the record of waits for the log, also at a worker that is back.
-            let deferred = self.deferred.contains(&id);
+            let deferred = self.deferred_starts.contains(&id);
             if deferred && placed_run == run {
                 continue;
             }
@@ -247,14 +258,14 @@
             } else if let Some(job) = table.get(id.job) {
                 let command = match job.cancelled {
                     Some(_) => Command::Stop(id),
-                    None => start(job, id),
+                    None => start_command(job, id),
                 };
-                self.restart(worker, id, command, now, unix);
+                self.start_or_conclude(worker, id, command, now, unix);
             }
         }
     }
 
-    fn restart(
+    fn start_or_conclude(
         &mut self,
         worker: &worker::Name,
         id: task::Id,
@@ -264,7 +275,7 @@
     ) {
         match command {
             Command::Stop(_) => self.conclude(id, End::Stopped, now, unix),
-            command => self.tell(worker, command),
+            command => self.send_command(worker, command),
         }
     }
 
@@ -282,8 +293,8 @@
         unix: Unix,
     ) {
         let table = &replica.table;
-        let alone = replica.former_owners().is_empty()
-            && now.since(self.alone_since) > timings.lease + timings.lease_margin;
+        let sole_owner = replica.former_owners().is_empty()
+            && now.since(self.sole_owner_since) > timings.lease + timings.lease_margin;
         let silent: Vec<worker::Name> = self
             .sessions
             .iter()
@@ -293,9 +304,9 @@
         for worker in silent {
             self.expire_unsent(&worker, table, now, unix);
             let lapsed = self.sessions.get(&worker).is_some_and(|session| {
-                let ours = session.has_lapsed(now, timings);
-                let theirs = alone && !session.was_leased();
-                if session.is_fenced() { ours } else { theirs }
+                let lease_lapsed = session.has_lapsed(now, timings);
+                let never_leased = sole_owner && !session.was_leased();
+                if session.is_fenced() { lease_lapsed } else { never_leased }
             });
             if lapsed {
                 self.expire_worker(&worker, table, now, unix);
@@ -306,7 +317,7 @@
     fn expire_unsent(&mut self, worker: &worker::Name, table: &Table, now: Instant, unix: Unix) {
         for (id, _) in placed_on(table, worker) {
             let Some(session) = self.sessions.get_mut(worker) else { return };
-            if session.withdraw(id) {
+            if session.withdraw_start(id) {
                 self.conclude(id, End::Rejected, now, unix);
             }
         }
--- a/src/owner/session.rs
+++ b/src/owner/session.rs
@@ -27,23 +27,23 @@
 
 /// An exchange to send.
 #[derive(Clone, Debug)]
-pub struct Send {
+pub struct ExchangeRequest {
     /// Call it belongs to.
     pub channel: Channel,
     /// Where to send it.
-    pub peer: SocketAddr,
+    pub address: SocketAddr,
     /// Content.
     pub exchange: Exchange,
 }
 
 /// What a report means.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Findings {
+pub struct ReportSummary {
     /// The worker answered after being unfenced or out of reach, with all it knows.
-    pub joined: bool,
+    pub resynced: bool,
     /// The worker's process is another one than before; what ran there is gone.
     pub restarted: bool,
-    /// Tasks that changed, or all of them when `joined`.
+    /// Tasks that changed, or all of them when `resynced`.
     pub tasks: Vec<Observation>,
 }
 
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct Session {
     /// Where it is reached.
-    pub peer: SocketAddr,
+    pub address: SocketAddr,
     /// Rack it stands in.
     pub rack: String,
     /// Whether the list says that it is leaving.
@@ -64,56 +64,56 @@
     pub running: BTreeMap<task::Id, Observation>,
     fenced: bool,
     /// Whether the worker has told all it runs in this epoch, or surely runs nothing any more.
-    told: bool,
-    seen: u64,
+    reported: bool,
+    last_sequence: u64,
     leased_at: Option<Instant>,
     failing_since: Option<Instant>,
     failures: u32,
     retry_at: Option<Instant>,
     outbox: VecDeque<Command>,
     /// Commands at the head of the outbox that the call under way carries.
-    in_flight: usize,
+    commands_in_flight: usize,
     /// Whether a call with commands is under way.
-    commanding: bool,
-    watching: bool,
-    sent: BTreeMap<task::Id, Dispatch>,
+    command_call_in_flight: bool,
+    watch_call_in_flight: bool,
+    deliveries: BTreeMap<task::Id, Delivery>,
     /// Ended tasks that the worker still reports.
-    known: BTreeSet<task::Id>,
+    reported_ended: BTreeSet<task::Id>,
     /// Starts whose first try is the command exchange under way.
-    fresh: Vec<task::Id>,
+    first_sends: Vec<task::Id>,
 }
 
 /// Whether a start command may have reached the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Dispatch {
-    Unsent,
+enum Delivery {
+    NotSent,
     MaybeSent,
 }
 
 impl Session {
     /// A worker that was never reached in this epoch.
-    pub fn new(peer: SocketAddr, rack: &str) -> Self {
+    pub fn new(address: SocketAddr, rack: &str) -> Self {
         Self {
-            peer,
+            address,
             rack: rack.to_owned(),
             leaving: false,
             capacity: Amount::ZERO,
             run: 0,
             running: BTreeMap::new(),
             fenced: false,
-            told: false,
-            seen: 0,
+            reported: false,
+            last_sequence: 0,
             leased_at: None,
             failing_since: None,
             failures: 0,
             retry_at: None,
             outbox: VecDeque::new(),
-            in_flight: 0,
-            commanding: false,
-            watching: false,
-            sent: BTreeMap::new(),
-            known: BTreeSet::new(),
-            fresh: Vec::new(),
+            commands_in_flight: 0,
+            command_call_in_flight: false,
+            watch_call_in_flight: false,
+            deliveries: BTreeMap::new(),
+            reported_ended: BTreeSet::new(),
+            first_sends: Vec::new(),
         }
     }
 
@@ -129,12 +129,12 @@
 
     /// Whether the start of `task` is still to be sent or answered.
     pub fn is_starting(&self, task: task::Id) -> bool {
-        self.outbox.iter().any(|command| starts(command, task))
+        self.outbox.iter().any(|command| is_start_of(command, task))
     }
 
     /// Whether it is known what earlier owners left there.
-    pub fn is_told(&self) -> bool {
-        self.told
+    pub fn has_reported(&self) -> bool {
+        self.reported
     }
 
     /// Whether new tasks may go there.
@@ -151,21 +151,21 @@
     pub fn push(&mut self, command: Command) {
         if let Command::Start { task, .. } = &command {
             // A start that is repeated may have reached the worker the first time.
-            self.sent.entry(*task).or_insert(Dispatch::Unsent);
+            self.deliveries.entry(*task).or_insert(Delivery::NotSent);
         }
         self.outbox.push_back(command);
     }
 
     /// Whether the start of `task` has surely not reached the worker.
     pub fn is_unsent(&self, task: task::Id) -> bool {
-        self.sent.get(&task) == Some(&Dispatch::Unsent)
+        self.deliveries.get(&task) == Some(&Delivery::NotSent)
     }
 
     /// Withdraws a start that has surely not reached the worker.
-    pub fn withdraw(&mut self, task: task::Id) -> bool {
+    pub fn withdraw_start(&mut self, task: task::Id) -> bool {
         let unsent = self.is_unsent(task);
         if unsent {
-            self.sent.remove(&task);
+            self.deliveries.remove(&task);
             self.outbox.retain(
                 |command| !matches!(command, Command::Start { task: id, .. } if *id == task),
             );
@@ -174,48 +174,53 @@
     }
 
     /// Exchanges to send now.
-    pub fn poll(&mut self, now: Instant, epoch: Epoch, timings: &Timings) -> Vec<Send> {
-        let mut sends = Vec::new();
-        let resting = self.retry_at.is_some_and(|at| now < at);
+    pub fn poll(&mut self, now: Instant, epoch: Epoch, timings: &Timings) -> Vec<ExchangeRequest> {
+        let mut requests = Vec::new();
+        let backing_off = self.retry_at.is_some_and(|at| now < at);
         // A watch that names a later report than a command under way would overtake it, and the
         // worker would answer to the command without applying it.
-        if !self.watching && !resting && !self.commanding {
-            sends.push(self.watch(now, epoch, timings));
+        if !self.watch_call_in_flight && !backing_off && !self.command_call_in_flight {
+            requests.push(self.watch_request(now, epoch, timings));
         }
         let reachable = self.fenced && self.failing_since.is_none();
         // One call with commands at a time, also when the outbox was emptied under it: the failure of
         // an earlier call that nothing was sent would otherwise be taken for that of a later one, and
         // a start that has reached the worker would count as never sent and be placed elsewhere.
-        if reachable && !self.commanding && !self.outbox.is_empty() {
-            sends.push(self.command(now, epoch, timings));
+        if reachable && !self.command_call_in_flight && !self.outbox.is_empty() {
+            requests.push(self.command_request(now, epoch, timings));
         }
-        sends
+        requests
     }
 
-    fn watch(&mut self, now: Instant, epoch: Epoch, timings: &Timings) -> Send {
-        self.watching = true;
+    fn watch_request(&mut self, now: Instant, epoch: Epoch, timings: &Timings) -> ExchangeRequest {
+        self.watch_call_in_flight = true;
         let healthy = self.fenced && self.failing_since.is_none();
         let wait = if healthy { timings.exchange_wait } else { Duration::ZERO };
-        self.send(Channel::Watch, now, epoch, timings, Vec::new(), wait)
+        self.request(Channel::Watch, now, epoch, timings, Vec::new(), wait)
     }
 
-    fn command(&mut self, now: Instant, epoch: Epoch, timings: &Timings) -> Send {
+    fn command_request(
+        &mut self,
+        now: Instant,
+        epoch: Epoch,
+        timings: &Timings,
+    ) -> ExchangeRequest {
         let count = self.outbox.len().min(MAX_COMMANDS);
-        self.in_flight = count;
-        self.commanding = true;
+        self.commands_in_flight = count;
+        self.command_call_in_flight = true;
         let commands: Vec<Command> = self.outbox.iter().take(count).cloned().collect();
         for command in &commands {
             if let Command::Start { task, .. } = command {
-                let before = self.sent.insert(*task, Dispatch::MaybeSent);
-                if before == Some(Dispatch::Unsent) {
-                    self.fresh.push(*task);
+                let before = self.deliveries.insert(*task, Delivery::MaybeSent);
+                if before == Some(Delivery::NotSent) {
+                    self.first_sends.push(*task);
                 }
             }
         }
-        self.send(Channel::Command, now, epoch, timings, commands, Duration::ZERO)
+        self.request(Channel::Command, now, epoch, timings, commands, Duration::ZERO)
     }
 
-    fn send(
+    fn request(
         &mut self,
         channel: Channel,
         now: Instant,
@@ -223,14 +228,14 @@
         timings: &Timings,
         commands: Vec<Command>,
         wait: Duration,
-    ) -> Send {
+    ) -> ExchangeRequest {
         let lease = self.lease(now, timings);
         if !lease.is_zero() {
             self.leased_at = Some(now);
         }
-        let seen = if self.fenced { self.seen } else { 0 };
+        let seen = if self.fenced { self.last_sequence } else { 0 };
         let exchange = Exchange { epoch, lease, commands, seen, wait };
-        Send { channel, peer: self.peer, exchange }
+        ExchangeRequest { channel, address: self.address, exchange }
     }
 
     /// Lease to grant with the next exchange.
@@ -263,46 +268,46 @@
     }
 
     /// Takes in an answer. `None` when it is older than one already taken in.
-    pub fn answered(&mut self, channel: Channel, report: &Report) -> Option<Findings> {
-        self.landed(channel, true);
+    pub fn on_report(&mut self, channel: Channel, report: &Report) -> Option<ReportSummary> {
+        self.finish_exchange(channel, true);
         self.failing_since = None;
         self.failures = 0;
         self.retry_at = None;
         self.capacity = report.capacity;
         let restarted = self.run != 0 && self.run != report.run;
-        let joined = !self.fenced || restarted || report.full;
-        if self.fenced && !restarted && report.sequence < self.seen {
+        let resynced = !self.fenced || restarted || report.full;
+        if self.fenced && !restarted && report.sequence < self.last_sequence {
             return None;
         }
-        if joined && !report.full {
+        if resynced && !report.full {
             // The delta of a new process says nothing of what the old one ran; ask for all.
             self.fenced = false;
             return None;
         }
         self.fenced = true;
-        self.told = true;
+        self.reported = true;
         self.run = report.run;
-        self.seen = report.sequence;
-        self.note(report, joined);
-        Some(Findings { joined, restarted, tasks: report.tasks.clone() })
+        self.last_sequence = report.sequence;
+        self.apply_report(report, resynced);
+        Some(ReportSummary { resynced, restarted, tasks: report.tasks.clone() })
     }
 
-    fn note(&mut self, report: &Report, joined: bool) {
-        if joined {
+    fn apply_report(&mut self, report: &Report, resynced: bool) {
+        if resynced {
             self.running.clear();
-            self.known.clear();
+            self.reported_ended.clear();
             // What was on its way is derived anew from the log and this report. A start repeated
             // to a new process of the worker would run a task that the old process ran already.
             self.outbox.clear();
-            self.fresh.clear();
-            self.in_flight = 0;
+            self.first_sends.clear();
+            self.commands_in_flight = 0;
         }
         for observation in &report.tasks {
-            self.sent.remove(&observation.task);
+            self.deliveries.remove(&observation.task);
             match observation.phase {
                 task::Phase::Ended(_) => {
                     self.running.remove(&observation.task);
-                    self.known.insert(observation.task);
+                    self.reported_ended.insert(observation.task);
                 }
                 _ => {
                     self.running.insert(observation.task, observation.clone());
@@ -312,7 +317,7 @@
     }
 
     /// Takes in a failure and returns the epoch that fenced this owner off, if that was the cause.
-    pub fn failed(
+    pub fn on_failure(
         &mut self,
         channel: Channel,
         now: Instant,
@@ -320,10 +325,10 @@
         timings: &Timings,
     ) -> Option<Epoch> {
         if channel == Channel::Command && matches!(error.fault, Fault::NotSent(_)) {
-            let unsent = self.fresh.iter().map(|task| (*task, Dispatch::Unsent));
-            self.sent.extend(unsent);
+            let unsent = self.first_sends.iter().map(|task| (*task, Delivery::NotSent));
+            self.deliveries.extend(unsent);
         }
-        self.landed(channel, false);
+        self.finish_exchange(channel, false);
         self.failing_since.get_or_insert(now);
         self.failures = self.failures.saturating_add(1);
         let pause = timings.probe_min.saturating_mul(1 << self.failures.min(6));
@@ -334,23 +339,23 @@
         }
     }
 
-    fn landed(&mut self, channel: Channel, answered: bool) {
+    fn finish_exchange(&mut self, channel: Channel, answered: bool) {
         match channel {
-            Channel::Watch => self.watching = false,
+            Channel::Watch => self.watch_call_in_flight = false,
             Channel::Command => {
-                self.commanding = false;
+                self.command_call_in_flight = false;
                 if answered {
-                    self.outbox.drain(..self.in_flight.min(self.outbox.len()));
+                    self.outbox.drain(..self.commands_in_flight.min(self.outbox.len()));
                 }
-                self.in_flight = 0;
-                self.fresh.clear();
+                self.commands_in_flight = 0;
+                self.first_sends.clear();
             }
         }
     }
 
     /// Tells the worker to drop an ended task, if it may know it.
     pub fn forget(&mut self, task: task::Id) {
-        if self.known.remove(&task) {
+        if self.reported_ended.remove(&task) {
             self.outbox.push_back(Command::Forget(task));
         }
     }
@@ -365,15 +370,15 @@
     /// tell all that the worker runs before anything is placed there again.
     pub fn clear(&mut self) {
         self.fenced = false;
-        self.told = true;
+        self.reported = true;
         self.running.clear();
-        self.sent.clear();
-        self.fresh.clear();
+        self.deliveries.clear();
+        self.first_sends.clear();
         self.outbox.clear();
-        self.in_flight = 0;
+        self.commands_in_flight = 0;
     }
 }
 
-fn starts(command: &Command, task: task::Id) -> bool {
+fn is_start_of(command: &Command, task: task::Id) -> bool {
     matches!(command, Command::Start { task: id, .. } if *id == task)
 }
--- a/src/owner/table/job.rs
+++ b/src/owner/table/job.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether it ended for good otherwise than in success.
-    fn is_lost(&self) -> bool {
+    fn ended_without_success(&self) -> bool {
         matches!(self.state, AttemptState::Done(end) if end != End::Succeeded)
     }
 
@@ -80,14 +80,14 @@
     }
 
     /// The present try of every task.
-    pub fn tries(&self) -> impl Iterator<Item = task::Id> {
+    pub fn attempts(&self) -> impl Iterator<Item = task::Id> {
         (0..self.tasks.len()).map(|index| self.task_id(index))
     }
 
     /// The present tries that wait for a worker.
     pub fn pending(&self) -> impl Iterator<Item = task::Id> {
         let waits = |task: &Task| task.state == AttemptState::Pending;
-        self.tries().zip(&self.tasks).filter(move |(_, task)| waits(task)).map(|(id, _)| id)
+        self.attempts().zip(&self.tasks).filter(move |(_, task)| waits(task)).map(|(id, _)| id)
     }
 
     /// The task that `id` names, if `id` is its present try.
@@ -101,14 +101,16 @@
     }
 
     /// Whether any task ended for good otherwise than in success, though nobody cancelled the job.
-    pub fn is_lost(&self) -> bool {
-        self.cancelled.is_none() && self.tasks.iter().any(Task::is_lost)
+    pub fn ended_without_success(&self) -> bool {
+        self.cancelled.is_none() && self.tasks.iter().any(Task::ended_without_success)
     }
 
     /// Whether a task of a gang ended without success, so that the others must stop before the
     /// gang starts anew.
     pub fn is_gang_broken(&self) -> bool {
-        self.spec.kind == Kind::Gang && self.tasks.iter().any(Task::is_lost) && !self.is_over()
+        self.spec.kind == Kind::Gang
+            && self.tasks.iter().any(Task::ended_without_success)
+            && !self.is_over()
     }
 
     pub(super) fn new(acceptance: &Acceptance, snapshot_offset: Offset, now: Unix) -> Self {
@@ -229,7 +231,7 @@
             && self.spec.effect == Effect::Idempotent
             && self.cancelled.is_none()
             && self.is_over()
-            && self.is_lost()
+            && self.ended_without_success()
             && self.tasks.iter().all(|task| task.failures < MAX_FAILURES);
         if can_restart {
             self.tasks.iter_mut().for_each(Task::retry);
--- a/tests/logic/owner.rs
+++ b/tests/logic/owner.rs
@@ -342,7 +342,7 @@
     table.apply(&ended(End::Lapsed), 2, at);
     table.apply(&ended(End::Rejected), 3, at);
     let job = table.get(id).expect("the job");
-    assert!(job.is_over() && job.is_lost(), "it is not to be placed again: {job:?}");
+    assert!(job.is_over() && job.ended_without_success(), "it is not to be placed again: {job:?}");
 }
 
 // An instance is replaced after an outage in which batches took effect before they were in the log.
--- a/tests/logic/owner_session.rs
+++ b/tests/logic/owner_session.rs
@@ -6,7 +6,7 @@
 use oriolefork::domain::Epoch;
 use oriolefork::job;
 use oriolefork::owner::Timings;
-use oriolefork::owner::session::{Channel, Send, Session};
+use oriolefork::owner::session::{Channel, ExchangeRequest, Session};
 use oriolefork::resource::Amount;
 use oriolefork::task;
 use oriolefork::worker::{Command, Error, Fault, Report};
@@ -28,8 +28,8 @@
     Report { run, sequence: 1, full: true, tasks: Vec::new(), capacity: Amount::ZERO }
 }
 
-fn starts(sends: &[Send]) -> Vec<task::Id> {
-    let commands = sends.iter().flat_map(|send| &send.exchange.commands);
+fn starts(requests: &[ExchangeRequest]) -> Vec<task::Id> {
+    let commands = requests.iter().flat_map(|request| &request.exchange.commands);
     let starts = commands.filter_map(|command| match command {
         Command::Start { task, .. } => Some(*task),
         _ => None,
@@ -46,13 +46,13 @@
     let (now, timings) = (Instant::from_millis(1), Timings::default());
     let mut session = Session::new(peer(), "rack-1");
     session.poll(now, Epoch::FIRST, &timings);
-    session.answered(Channel::Watch, &report(1));
+    session.on_report(Channel::Watch, &report(1));
     session.push(start(0));
     assert_eq!(starts(&session.poll(now, Epoch::FIRST, &timings)), [task_id(0)]);
-    session.answered(Channel::Watch, &report(2));
+    session.on_report(Channel::Watch, &report(2));
     session.push(start(1));
     let sent = starts(&session.poll(now, Epoch::FIRST, &timings));
     let error = Error { peer: peer(), fault: Fault::NotSent("connect timed out".to_owned()) };
-    session.failed(Channel::Command, now, &error, &timings);
+    session.on_failure(Channel::Command, now, &error, &timings);
     assert!(!sent.contains(&task_id(1)) || !session.is_unsent(task_id(1)));
 }
--- a/tests/logic/world.rs
+++ b/tests/logic/world.rs
@@ -11,7 +11,7 @@
 use oriolefork::membership::{Member, Role, State};
 use oriolefork::owner::journal::{AppendRequest, Tag};
 use oriolefork::owner::machine::{Answer, Call, Effect, Machine, Message};
-use oriolefork::owner::session::{Channel, Send};
+use oriolefork::owner::session::{Channel, ExchangeRequest};
 use oriolefork::owner::{BatchCopy, Heartbeat, Ticket, Timings};
 use oriolefork::placement::{Leaning, Policy, Preset};
 use oriolefork::resource::Amount;
@@ -90,7 +90,7 @@
         run: u64,
         epoch: Epoch,
         worker: String,
-        send: Send,
+        request: ExchangeRequest,
         until: u64,
         first: bool,
     },
@@ -391,8 +391,8 @@
             Event::Append { node, run, request, answer } => {
                 self.append(node, run, &request, answer)
             }
-            Event::Exchange { node, run, epoch, worker, send, until, first } => {
-                self.exchange(node, run, epoch, worker, send, until, first);
+            Event::Exchange { node, run, epoch, worker, request, until, first } => {
+                self.exchange(node, run, epoch, worker, request, until, first);
             }
             Event::Heartbeat { from, run, to, heartbeat } => self.beat(from, run, to, heartbeat),
             Event::StoreBatch { from, run, to, copy } => self.hold(from, run, to, copy),
@@ -435,12 +435,12 @@
                 self.push(delay, Event::Read { node, run, from, until });
             }
             Effect::Append(request) => self.send_append(node, run, request, delay),
-            Effect::Exchange { epoch, worker, send } => {
+            Effect::Exchange { epoch, worker, request } => {
                 let worker = worker.as_str().to_owned();
-                let until = self.now + u64::try_from(send.exchange.wait.as_millis()).unwrap();
+                let until = self.now + u64::try_from(request.exchange.wait.as_millis()).unwrap();
                 self.push(
                     delay,
-                    Event::Exchange { node, run, epoch, worker, send, until, first: true },
+                    Event::Exchange { node, run, epoch, worker, request, until, first: true },
                 );
             }
             Effect::Heartbeat { to, heartbeat } => {
@@ -552,42 +552,42 @@
         run: u64,
         epoch: Epoch,
         name: String,
-        send: Send,
+        request: ExchangeRequest,
         until: u64,
         first: bool,
     ) {
         let lost = first && (self.lost() || self.workers[&name].cut);
         let halted = self.workers[&name].halted;
-        let peer = send.peer;
+        let peer = request.address;
         let answer = |fault| Err(worker::Error { peer, fault });
         if lost {
             let fault = Fault::Unknown("lost".to_owned());
-            return self.exchanged(node, run, epoch, &name, send.channel, answer(fault), 500);
+            return self.exchanged(node, run, epoch, &name, request.channel, answer(fault), 500);
         }
         if halted {
             let fault = Fault::NotSent("refused".to_owned());
-            return self.exchanged(node, run, epoch, &name, send.channel, answer(fault), 2);
+            return self.exchanged(node, run, epoch, &name, request.channel, answer(fault), 2);
         }
         let now = Instant::from_millis(self.now);
         let state = &mut self.workers.get_mut(&name).unwrap().state;
-        if first && let Err(rival) = state.apply(now, &send.exchange) {
+        if first && let Err(rival) = state.apply(now, &request.exchange) {
             let result = answer(Fault::Fenced(rival));
-            return self.exchanged(node, run, epoch, &name, send.channel, result, 2);
+            return self.exchanged(node, run, epoch, &name, request.channel, result, 2);
         }
         state.advance(now);
-        if !state.has_news(send.exchange.seen) && self.now < until {
+        if !state.has_news(request.exchange.seen) && self.now < until {
             return self.push(
                 POLL,
-                Event::Exchange { node, run, epoch, worker: name, send, until, first: false },
+                Event::Exchange { node, run, epoch, worker: name, request, until, first: false },
             );
         }
-        let report = state.report(now, send.exchange.seen);
+        let report = state.report(now, request.exchange.seen);
         if self.lost() || self.workers[&name].cut {
             let fault = Fault::Unknown("answer lost".to_owned());
-            return self.exchanged(node, run, epoch, &name, send.channel, answer(fault), 500);
+            return self.exchanged(node, run, epoch, &name, request.channel, answer(fault), 500);
         }
         let delay = self.latency();
-        self.exchanged(node, run, epoch, &name, send.channel, Ok(report), delay);
+        self.exchanged(node, run, epoch, &name, request.channel, Ok(report), delay);
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one event")]
