--- a/src/entry/controller.rs
+++ b/src/entry/controller.rs
@@ -13,10 +13,10 @@
 use crate::entry::peers::{Heard, Kept};
 use crate::entry::readiness::Readiness;
 use crate::entry::witness::Witness;
-use crate::owner::journal::Parcel;
-use crate::owner::machine::{Answer, Beat, Call, Effect, Machine, Message};
-use crate::owner::session::Send;
-use crate::owner::{Hold, Ticket, machine};
+use crate::owner::journal::AppendRequest;
+use crate::owner::machine::{Answer, Call, Effect, Heartbeat, Machine, Message};
+use crate::owner::session::ExchangeRequest;
+use crate::owner::{BatchCopy, Ticket, machine};
 use crate::peer;
 use crate::store::{Offset, Store};
 use crate::worker::{self, Link};
@@ -176,10 +176,12 @@
         for effect in self.machine.handle(message, now, unix) {
             match effect {
                 Effect::Read { from, wait } => self.read(from, wait),
-                Effect::Append(parcel) => self.append(parcel),
-                Effect::Exchange { epoch, worker, send } => self.exchange(epoch, worker, send),
-                Effect::Beat { to, beat } => self.beat(&to, &beat),
-                Effect::Hold { to, hold } => self.hold(&to, &hold),
+                Effect::Append(request) => self.append(request),
+                Effect::Exchange { epoch, worker, request } => {
+                    self.exchange(epoch, worker, request)
+                }
+                Effect::Heartbeat { to, heartbeat } => self.send_heartbeat(&to, &heartbeat),
+                Effect::StoreBatch { to, copy } => self.store_batch(&to, &copy),
                 Effect::Handover { to, epoch } => self.hand_over(to, epoch),
                 Effect::Reply { ticket, answer } => {
                     if let Some(reply) = self.waiting.remove(&ticket) {
@@ -201,7 +203,7 @@
         });
     }
 
-    fn append(&self, Parcel { tag, payload }: Parcel) {
+    fn append(&self, AppendRequest { tag, payload }: AppendRequest) {
         let (borders, handle) = (self.borders.clone(), self.handle.clone());
         monoio::spawn(async move {
             let result = borders.store.append(&borders.stream, payload).await;
@@ -209,39 +211,40 @@
         });
     }
 
-    fn exchange(&self, epoch: Epoch, worker: worker::Name, send: Send) {
+    fn exchange(&self, epoch: Epoch, worker: worker::Name, request: ExchangeRequest) {
         let (borders, handle) = (self.borders.clone(), self.handle.clone());
         monoio::spawn(async move {
             let timeout = borders.worker_timeout;
-            let result = borders.workers.exchange(send.peer, &send.exchange, timeout).await;
+            let result =
+                borders.workers.exchange(request.address, &request.exchange, timeout).await;
             borders.witness.exchanged(&worker, &result);
-            handle.send(Message::Exchanged { epoch, worker, channel: send.channel, result });
+            handle.send(Message::Exchanged { epoch, worker, channel: request.channel, result });
         });
     }
 
-    fn beat(&self, to: &[SocketAddr], beat: &Beat) {
+    fn send_heartbeat(&self, to: &[SocketAddr], heartbeat: &Heartbeat) {
         for peer in to.iter().copied() {
             let (borders, handle) = (self.borders.clone(), self.handle.clone());
-            let beat = beat.clone();
+            let heartbeat = heartbeat.clone();
             monoio::spawn(async move {
-                let answer = borders.peers.call(peer, BEAT, &beat, borders.peer_timeout).await;
+                let answer = borders.peers.call(peer, BEAT, &heartbeat, borders.peer_timeout).await;
                 borders.witness.called(peer, &answer);
                 if let Ok(Heard { from, epoch }) = answer {
-                    handle.send(Message::BeatAnswered { from, epoch });
+                    handle.send(Message::HeartbeatAnswered { from, epoch });
                 }
             });
         }
     }
 
-    fn hold(&self, to: &[SocketAddr], hold: &Hold) {
+    fn store_batch(&self, to: &[SocketAddr], copy: &BatchCopy) {
         for peer in to.iter().copied() {
             let (borders, handle) = (self.borders.clone(), self.handle.clone());
-            let hold = hold.clone();
+            let copy = copy.clone();
             monoio::spawn(async move {
-                let answer = borders.peers.call(peer, HOLD, &hold, borders.peer_timeout).await;
+                let answer = borders.peers.call(peer, HOLD, &copy, borders.peer_timeout).await;
                 if let Ok(Kept { from, kept: true }) = answer {
-                    let (epoch, sequence) = (hold.epoch, hold.sequence);
-                    handle.send(Message::Held { from, epoch, sequence });
+                    let (epoch, sequence) = (copy.epoch, copy.sequence);
+                    handle.send(Message::BatchStored { from, epoch, sequence });
                 }
             });
         }
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -141,13 +141,13 @@
 fn timings(settings: &Settings) -> Timings {
     let owner = &settings.owner;
     Timings {
-        beat: owner.heartbeat,
-        claim: owner.claim_timeout,
+        heartbeat_interval: owner.heartbeat,
+        claim_timeout: owner.claim_timeout,
         lease: owner.lease,
-        margin: owner.lease_margin,
-        watch: owner.exchange_wait,
-        commit: owner.commit_delay,
-        restate_records: owner.snapshot_records,
+        lease_margin: owner.lease_margin,
+        exchange_wait: owner.exchange_wait,
+        commit_delay: owner.commit_delay,
+        snapshot_records: owner.snapshot_records,
         ..Timings::default()
     }
 }
--- a/src/owner/machine/message.rs
+++ b/src/owner/machine/message.rs
@@ -9,9 +9,9 @@
 use crate::domain::{self, Epoch, Instance};
 use crate::membership::Member;
 use crate::owner::Ticket;
-use crate::owner::custody::Hold;
-use crate::owner::journal::{Parcel, Tag};
-use crate::owner::session::{Channel, Send};
+use crate::owner::journal::{AppendRequest, Tag};
+use crate::owner::peer_commit::BatchCopy;
+use crate::owner::session::{Channel, ExchangeRequest};
 use crate::placement::Policy;
 use crate::store::{self, Offset, Page};
 use crate::{alert, config, job, placement, worker};
@@ -44,18 +44,18 @@
     /// The list of instances was read.
     Members(Vec<Member>),
     /// Another instance of the domain says that it is the owner.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// An instance has taken in a heartbeat and answered.
-    BeatAnswered {
+    HeartbeatAnswered {
         /// The instance that answered.
         from: Instance,
         /// Latest epoch it knows.
         epoch: Epoch,
     },
     /// An owner without the log asks this instance to keep a batch.
-    Hold(Hold),
+    StoreBatch(BatchCopy),
     /// An instance keeps a batch.
-    Held {
+    BatchStored {
         /// The instance.
         from: Instance,
         /// Epoch of the batch.
@@ -84,7 +84,7 @@
 
 /// Heartbeat of an owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Failure domain it owns.
     pub domain: domain::Name,
     /// The owner.
@@ -150,7 +150,7 @@
     /// This instance does not own the domain.
     NotOwner(Option<Instance>),
     /// The worker answers, so it is not gone.
-    WorkerAnswers,
+    WorkerReachable,
     /// The key stands for another job.
     KeyReused,
     /// No worker could ever run it.
@@ -158,9 +158,9 @@
     /// Too much waits for the log.
     Busy,
     /// The log cannot be reached.
-    LogAway,
+    LogUnavailable,
     /// Time ran out before anything was written.
-    Expired,
+    DeadlineExceeded,
 }
 
 /// Something to do.
@@ -174,7 +174,7 @@
         wait: Duration,
     },
     /// Append to the stream and answer with [`Message::Appended`].
-    Append(Parcel),
+    Append(AppendRequest),
     /// Call a worker and answer with [`Message::Exchanged`].
     Exchange {
         /// Present epoch, to be returned with the result.
@@ -182,21 +182,21 @@
         /// The worker.
         worker: worker::Name,
         /// What to send.
-        send: Send,
+        request: ExchangeRequest,
     },
-    /// Send a heartbeat and answer with [`Message::BeatAnswered`] for each answer.
-    Beat {
+    /// Send a heartbeat and answer with [`Message::HeartbeatAnswered`] for each answer.
+    Heartbeat {
         /// Instances of the domain.
         to: Vec<SocketAddr>,
         /// Content.
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
-    /// Ask instances to keep a batch and answer with [`Message::Held`] for each that does.
-    Hold {
+    /// Ask instances to keep a batch and answer with [`Message::BatchStored`] for each that does.
+    StoreBatch {
         /// The instances.
         to: Vec<SocketAddr>,
         /// The batch.
-        hold: Hold,
+        copy: BatchCopy,
     },
     /// Ask an instance to take over.
     Handover {
--- a/src/owner/lead.rs
+++ b/src/owner/owner_step.rs
@@ -9,8 +9,8 @@
 use crate::owner::Timings;
 use crate::owner::active::Active;
 use crate::owner::journal::{self, Tag};
-use crate::owner::machine::{Beat, Effect, Machine, Role};
-use crate::owner::record::{Batch, Entry, Placement, Statement};
+use crate::owner::machine::{Effect, Heartbeat, Machine, Role};
+use crate::owner::record::{Batch, Entry, JobSnapshot, Placement};
 use crate::owner::replica::Replica;
 use crate::owner::table::Job;
 use crate::placement::{Assignment, Decision};
@@ -20,39 +20,39 @@
 /// Bound on the tasks placed in one step, so that messages are handled in between.
 const MAX_DECISIONS: usize = 256;
 /// Bound on the jobs stated anew in one batch.
-const MAX_STATEMENTS: usize = 64;
+const MAX_SNAPSHOTS: usize = 64;
 /// Interval of the checks that go over every job or worker.
 const SWEEP: Duration = Duration::from_millis(500);
 
 impl Machine {
     pub(super) fn advance_owner(&mut self, now: Instant, unix: Unix) {
-        self.beat(now);
-        self.speak_through_log(now);
-        self.end_recovery(now, unix);
+        self.send_heartbeats(now);
+        self.keep_alive_in_log(now);
+        self.finish_recovery(now, unix);
         self.sweep(now, unix);
-        self.wake_resting(now);
+        self.requeue_due(now);
         self.decide(now, unix);
         self.commit(now, unix);
-        self.hand_out(now);
+        self.replicate_batch(now);
         self.exchange(now);
         self.hand_over();
     }
 
-    fn beat(&mut self, now: Instant) {
-        if self.active().is_none_or(|active| now < active.beat_at) {
+    fn send_heartbeats(&mut self, now: Instant) {
+        if self.active().is_none_or(|active| now < active.next_heartbeat_at) {
             return;
         }
         let to = self.peers().map(|(_, address)| address).collect();
         let Role::Owner(active) = &mut self.role else { return };
-        active.beat_at = now.after(self.timings.beat);
-        let beat = Beat {
+        active.next_heartbeat_at = now.after(self.timings.heartbeat_interval);
+        let heartbeat = Heartbeat {
             domain: self.domain.clone(),
             owner: self.me.clone(),
             epoch: active.epoch,
-            without_log: active.journal.failing_since().is_some() || !active.logged,
+            without_log: active.journal.failing_since().is_some() || !active.claim_logged,
             enrolled: active.enrolled.values().cloned().collect(),
         };
-        self.out.push(Effect::Beat { to, beat });
+        self.out.push(Effect::Heartbeat { to, heartbeat });
     }
 
     /// Lets an instance that does not answer heartbeats read in the log that this owner lives.
@@ -60,47 +60,49 @@
     /// Guards against two instances that reach the log and the workers but not each other. While
     /// nothing else is written, each would take the other for dead and claim the domain from it
     /// again and again, every time stopping placement until all workers are fenced anew.
-    fn speak_through_log(&mut self, now: Instant) {
-        let patience = self.timings.claim / 2;
+    fn keep_alive_in_log(&mut self, now: Instant) {
+        let silence = self.timings.claim_timeout / 2;
         let Role::Owner(active) = &self.role else { return };
-        let heard = |name| active.heard_by.get(name).copied().unwrap_or(active.began);
-        let unheard = self.peers().any(|(name, _)| now.since(heard(name)) > patience);
-        if let Some(active) = self.active().filter(|_| unheard) {
-            active.journal.keep_alive(now, patience);
+        let last_ack = |name| active.last_acks.get(name).copied().unwrap_or(active.owner_since);
+        let unacknowledged = self.peers().any(|(name, _)| now.since(last_ack(name)) > silence);
+        if let Some(active) = self.active().filter(|_| unacknowledged) {
+            active.journal.keep_alive(now, silence);
         }
     }
 
     fn sweep(&mut self, now: Instant, unix: Unix) {
         let Role::Owner(active) = &mut self.role else { return };
-        if now < active.sweep_at {
+        if now < active.next_sweep_at {
             return;
         }
-        active.sweep_at = now.after(SWEEP);
-        if active.is_settled() {
-            active.end_caution(&self.replica.table, now, unix);
-            active.account(&self.replica.table, now);
+        active.next_sweep_at = now.after(SWEEP);
+        if active.is_established() {
+            active.finish_awaiting_reports(&self.replica.table, now, unix);
+            active.resync_unreported(&self.replica.table, now);
             active.expire_leases(&self.replica, &self.timings, now, unix);
-            active.prune(&self.replica.table, self.timings.history, unix);
+            active.prune(&self.replica.table, self.timings.ended_job_retention, unix);
         }
-        active.watch(&self.replica.table, now, unix);
+        active.check_alerts(&self.replica.table, now, unix);
     }
 
-    fn wake_resting(&mut self, now: Instant) {
+    fn requeue_due(&mut self, now: Instant) {
         let Role::Owner(active) = &mut self.role else { return };
-        while let Some(entry) = active.resting.first() {
+        while let Some(entry) = active.retry_queue.first() {
             let (due, id) = *entry;
             if due > now {
                 return;
             }
-            active.resting.pop_first();
+            active.retry_queue.pop_first();
             active.requeue(&self.replica.table, id, now);
         }
     }
 
     fn decide(&mut self, now: Instant, unix: Unix) {
         let Role::Owner(active) = &mut self.role else { return };
-        let log_away = active.journal.failing_since().is_some() && !active.can_hold(now);
-        if log_away || !active.is_settled() || active.journal.is_full() || self.stopping {
+        let log_unavailable =
+            active.journal.failing_since().is_some() && !active.commits_by_peers(now);
+        if log_unavailable || !active.is_established() || active.journal.is_full() || self.stopping
+        {
             return;
         }
         for decision in active.engine.decide(now, unix, MAX_DECISIONS) {
@@ -116,31 +118,33 @@
     }
 
     fn commit(&mut self, now: Instant, unix: Unix) {
-        let position =
-            journal::Position { sequence: self.replica.sequence(), floor: self.replica.floor() };
+        let position = journal::BatchPosition {
+            sequence: self.replica.next_sequence(),
+            replay_point: self.replica.replay_point(),
+        };
         let Role::Owner(active) = &mut self.role else { return };
-        if !active.logged {
+        if !active.claim_logged {
             let epoch = active.epoch;
             return self.claim_epoch(epoch, now);
         }
-        let parcel = match active.journal.retry(now) {
+        let request = match active.journal.retry(now) {
             _ if !active.unlogged.is_empty() => {
                 let due = active.next_unlogged(now);
                 // The next batch goes to peers, until the log has those before it.
                 if active.journal.is_idle(now) {
-                    active.journal.depart(now, position, Vec::new());
+                    active.journal.send_batch(now, position, Vec::new());
                 }
                 due
             }
-            Some(parcel) => Some(parcel),
+            Some(request) => Some(request),
             None if active.journal.is_idle(now) => {
-                let due = statements(&self.replica, &self.timings, unix);
-                active.journal.depart(now, position, due)
+                let snapshots = due_snapshots(&self.replica, &self.timings, unix);
+                active.journal.send_batch(now, position, snapshots)
             }
             None => None,
         };
-        if let Some(parcel) = parcel {
-            self.out.push(Effect::Append(parcel));
+        if let Some(request) = request {
+            self.out.push(Effect::Append(request));
         }
     }
 
@@ -148,8 +152,8 @@
         let Role::Owner(active) = &mut self.role else { return };
         let epoch = active.epoch;
         for (worker, session) in &mut active.sessions {
-            for send in session.poll(now, epoch, &self.timings) {
-                self.out.push(Effect::Exchange { epoch, worker: worker.clone(), send });
+            for request in session.poll(now, epoch, &self.timings) {
+                self.out.push(Effect::Exchange { epoch, worker: worker.clone(), request });
             }
         }
     }
@@ -158,14 +162,14 @@
     /// waiting for the claim timeout.
     fn hand_over(&mut self) {
         let settled = self.active().is_some_and(|active| {
-            let written = active.journal.is_settled() && active.unlogged.is_empty();
-            written || !active.is_settled()
+            let written = active.journal.is_empty() && active.unlogged.is_empty();
+            written || !active.is_established()
         });
         if !self.stopping || !settled {
             return;
         }
-        let heir = self.peers().map(|(_, address)| address).next();
-        if let (Some(to), Some(active)) = (heir, self.active()) {
+        let successor = self.peers().map(|(_, address)| address).next();
+        if let (Some(to), Some(active)) = (successor, self.active()) {
             let epoch = active.epoch;
             self.out.push(Effect::Handover { to, epoch });
         }
@@ -179,23 +183,23 @@
     /// precede it. Otherwise the records in between are read before anything is acted on, since an
     /// owner that was paused may write after a rival's claim, and the batch is then void.
     pub(super) fn on_batch_written(&mut self, tag: Tag, offset: Offset, now: Instant, unix: Unix) {
-        let next = self.replica.next();
+        let next = self.replica.next_offset();
         let payload = self.active().and_then(|active| active.payload(tag));
         match payload {
-            Some(payload) if offset == next => self.absorb(offset, &payload, now, unix),
+            Some(payload) if offset == next => self.apply_record(offset, &payload, now, unix),
             _ if offset >= next => self.read_soon(now),
             _ => {}
         }
     }
 
     /// Begins anew once all that was kept for an earlier owner is in the log.
-    fn end_recovery(&mut self, now: Instant, unix: Unix) {
+    fn finish_recovery(&mut self, now: Instant, unix: Unix) {
         let ended =
-            self.active().is_some_and(|a| a.recovering && a.journal.is_settled() && a.logged);
+            self.active().is_some_and(|a| a.recovering && a.journal.is_empty() && a.claim_logged);
         if ended {
             let epoch = self.replica.epoch();
             log::info!("event=owner.recovered epoch={epoch}");
-            self.custody.release();
+            self.copies.clear();
             self.role = Role::Owner(Box::new(self.new_active(epoch, now, unix)));
         }
     }
@@ -203,9 +207,9 @@
     pub(super) fn on_changed(&mut self, batch: &Batch, now: Instant, unix: Unix) {
         // What is in the log must not be written a second time by the next owner: its ends would
         // count twice.
-        self.custody.logged(batch.epoch, batch.sequence + 1);
+        self.copies.discard_before(batch.epoch, batch.sequence + 1);
         let Role::Owner(active) = &mut self.role else {
-            self.election.heard_through_log(now);
+            self.election.record_owner_append(now);
             return;
         };
         if batch.epoch != active.epoch {
@@ -213,17 +217,17 @@
         }
         // What was kept for an earlier owner only has to reach the table: this owner has no word from
         // the workers yet, and begins anew once all of it is written.
-        let acted_on = if active.is_settled() { batch.entries.as_slice() } else { &[] };
-        for entry in acted_on {
+        let entries = if active.is_established() { batch.entries.as_slice() } else { &[] };
+        for entry in entries {
             active.on_entry(entry, &self.replica.table, &self.timings, now, unix);
         }
         if active.unlogged.is_empty() {
-            active.journal.recovered();
+            active.journal.mark_log_available();
         }
         let tickets = active.journal.committed(batch.sequence);
         if !active.unlogged.is_empty() {
             // Peers' memory may be lost with them, so "accepted" is said once the log has it.
-            active.owed.insert(batch.sequence, tickets);
+            active.deferred_replies.insert(batch.sequence, tickets);
             return;
         }
         for ticket in tickets {
@@ -233,14 +237,15 @@
 }
 
 /// Jobs whose last whole statement is about to leave the log.
-fn statements(replica: &Replica, timings: &Timings, unix: Unix) -> Vec<Entry> {
-    let far = |job: &&Job| {
-        let behind = replica.next().saturating_sub(job.stated) > timings.restate_records;
-        behind || unix.since(job.restated_at) > timings.restate_age
+fn due_snapshots(replica: &Replica, timings: &Timings, unix: Unix) -> Vec<Entry> {
+    let is_due = |job: &&Job| {
+        let behind =
+            replica.next_offset().saturating_sub(job.snapshot_offset) > timings.snapshot_records;
+        behind || unix.since(job.snapshot_read_at) > timings.snapshot_age
     };
-    let state = |job| Entry::Restated(Statement::from(job));
-    let jobs = replica.table.by_statement().take_while(far).take(MAX_STATEMENTS).map(state);
-    let board = replica.is_board_old(timings.restate_records).then(|| {
+    let snapshot = |job| Entry::Restated(JobSnapshot::from(job));
+    let jobs = replica.table.by_snapshot_age().take_while(is_due).take(MAX_SNAPSHOTS).map(snapshot);
+    let board = replica.is_board_snapshot_old(timings.snapshot_records).then(|| {
         let ledger = replica.board.ledger();
         Entry::Alerts(alert::wire::Ledger::from(&ledger))
     });
@@ -250,15 +255,15 @@
 impl Active {
     /// Content of the batch that `tag` names, if its answer is awaited.
     fn payload(&self, tag: Tag) -> Option<Bytes> {
-        let first = self.unlogged.front().filter(|parcel| parcel.tag == tag);
-        first.map(|parcel| parcel.payload.clone()).or_else(|| self.journal.payload(tag))
+        let first = self.unlogged.front().filter(|request| request.tag == tag);
+        first.map(|request| request.payload.clone()).or_else(|| self.journal.payload(tag))
     }
 
     fn place(&mut self, tasks: Vec<Assignment>) {
         let mut placements = Vec::with_capacity(tasks.len());
         for Assignment { task, worker } in tasks {
             self.placing.insert(task);
-            self.held.insert(task, worker.clone());
+            self.reserved.insert(task, worker.clone());
             let run = self.sessions.get(&worker).map_or(0, |session| session.run);
             placements.push(Placement { task, worker, run });
         }
--- a/tests/logic/world.rs
+++ b/tests/logic/world.rs
@@ -9,10 +9,10 @@
 use oriolefork::domain::{Epoch, Instance};
 use oriolefork::job;
 use oriolefork::membership::{Member, Role, State};
-use oriolefork::owner::journal::{Parcel, Tag};
+use oriolefork::owner::journal::{AppendRequest, Tag};
 use oriolefork::owner::machine::{Answer, Call, Effect, Machine, Message};
-use oriolefork::owner::session::{Channel, Send};
-use oriolefork::owner::{Beat, Hold, Ticket, Timings};
+use oriolefork::owner::session::{Channel, ExchangeRequest};
+use oriolefork::owner::{BatchCopy, Heartbeat, Ticket, Timings};
 use oriolefork::placement::{Objective, Policy, Preset};
 use oriolefork::resource::Amount;
 use oriolefork::standin::{log as fake_log, worker as fake};
@@ -82,7 +82,7 @@
     Append {
         node: usize,
         run: u64,
-        parcel: Parcel,
+        request: AppendRequest,
         answer: bool,
     },
     Exchange {
@@ -90,21 +90,21 @@
         run: u64,
         epoch: Epoch,
         worker: String,
-        send: Send,
+        request: ExchangeRequest,
         until: u64,
         first: bool,
     },
-    Beat {
+    Heartbeat {
         from: usize,
         run: u64,
         to: usize,
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
-    Hold {
+    StoreBatch {
         from: usize,
         run: u64,
         to: usize,
-        hold: Hold,
+        copy: BatchCopy,
     },
     Handover {
         to: usize,
@@ -388,12 +388,14 @@
                 }
             }
             Event::Read { node, run, from, until } => self.read(node, run, from, until),
-            Event::Append { node, run, parcel, answer } => self.append(node, run, &parcel, answer),
-            Event::Exchange { node, run, epoch, worker, send, until, first } => {
-                self.exchange(node, run, epoch, worker, send, until, first);
+            Event::Append { node, run, request, answer } => {
+                self.append(node, run, &request, answer)
             }
-            Event::Beat { from, run, to, beat } => self.beat(from, run, to, beat),
-            Event::Hold { from, run, to, hold } => self.hold(from, run, to, hold),
+            Event::Exchange { node, run, epoch, worker, request, until, first } => {
+                self.exchange(node, run, epoch, worker, request, until, first);
+            }
+            Event::Heartbeat { from, run, to, heartbeat } => self.beat(from, run, to, heartbeat),
+            Event::StoreBatch { from, run, to, copy } => self.hold(from, run, to, copy),
             Event::Handover { to, epoch } => {
                 if self.is_up(to) {
                     self.deliver(to, Message::Handover(epoch));
@@ -406,9 +408,9 @@
     fn blocked(&self, event: &Event) -> Option<u64> {
         let until = match event {
             Event::Tick(node) | Event::ToNode { node, .. } => self.nodes[*node].frozen_until,
-            Event::Beat { to, .. } | Event::Hold { to, .. } | Event::Handover { to, .. } => {
-                self.nodes[*to].frozen_until
-            }
+            Event::Heartbeat { to, .. }
+            | Event::StoreBatch { to, .. }
+            | Event::Handover { to, .. } => self.nodes[*to].frozen_until,
             Event::Exchange { worker, .. } => self.workers[worker].frozen_until,
             Event::Read { .. } | Event::Append { .. } => 0,
         };
@@ -432,34 +434,34 @@
                 let until = self.now + u64::try_from(wait.as_millis()).unwrap();
                 self.push(delay, Event::Read { node, run, from, until });
             }
-            Effect::Append(parcel) => self.send_append(node, run, parcel, delay),
-            Effect::Exchange { epoch, worker, send } => {
+            Effect::Append(request) => self.send_append(node, run, request, delay),
+            Effect::Exchange { epoch, worker, request } => {
                 let worker = worker.as_str().to_owned();
-                let until = self.now + u64::try_from(send.exchange.wait.as_millis()).unwrap();
+                let until = self.now + u64::try_from(request.exchange.wait.as_millis()).unwrap();
                 self.push(
                     delay,
-                    Event::Exchange { node, run, epoch, worker, send, until, first: true },
+                    Event::Exchange { node, run, epoch, worker, request, until, first: true },
                 );
             }
-            Effect::Beat { to, beat } => {
+            Effect::Heartbeat { to, heartbeat } => {
                 for peer in to {
                     let to = (0..self.nodes.len()).find(|index| address(1, *index) == peer);
-                    let beat = beat.clone();
+                    let heartbeat = heartbeat.clone();
                     if let Some(to) = to
                         && !self.lost()
                     {
-                        self.push(delay, Event::Beat { from: node, run, to, beat });
+                        self.push(delay, Event::Heartbeat { from: node, run, to, heartbeat });
                     }
                 }
             }
-            Effect::Hold { to, hold } => {
+            Effect::StoreBatch { to, copy } => {
                 for peer in to {
                     let to = (0..self.nodes.len()).find(|index| address(1, *index) == peer);
                     if let Some(to) = to
                         && !self.lost()
                     {
-                        let hold = hold.clone();
-                        self.push(delay, Event::Hold { from: node, run, to, hold });
+                        let copy = copy.clone();
+                        self.push(delay, Event::StoreBatch { from: node, run, to, copy });
                     }
                 }
             }
@@ -479,18 +481,18 @@
         }
     }
 
-    fn send_append(&mut self, node: usize, run: u64, parcel: Parcel, delay: u64) {
+    fn send_append(&mut self, node: usize, run: u64, request: AppendRequest, delay: u64) {
         let (loss, late) = (self.faults.loss, self.faults.late);
         if late > 0.0 && self.rng.random_bool(late) {
             let hold = self.rng.random_range(500..6_000);
-            let tag = parcel.tag;
-            self.push(hold, Event::Append { node, run, parcel, answer: false });
+            let tag = request.tag;
+            self.push(hold, Event::Append { node, run, request, answer: false });
             return self.fail_append(node, run, tag, Outcome::Unknown, 400);
         }
         if loss > 0.0 && self.rng.random_bool(loss) {
-            return self.fail_append(node, run, parcel.tag, Outcome::Unknown, 400);
+            return self.fail_append(node, run, request.tag, Outcome::Unknown, 400);
         }
-        self.push(delay, Event::Append { node, run, parcel, answer: true });
+        self.push(delay, Event::Append { node, run, request, answer: true });
     }
 
     fn fail_append(&mut self, node: usize, run: u64, tag: Tag, outcome: Outcome, delay: u64) {
@@ -501,19 +503,19 @@
         );
     }
 
-    fn append(&mut self, node: usize, run: u64, parcel: &Parcel, answer: bool) {
+    fn append(&mut self, node: usize, run: u64, request: &AppendRequest, answer: bool) {
         if self.faults.log_down || self.nodes[node].cut {
             if answer {
-                self.fail_append(node, run, parcel.tag, Outcome::NotWritten, 2);
+                self.fail_append(node, run, request.tag, Outcome::NotWritten, 2);
             }
             return;
         }
-        let offset = self.log.append(STREAM, parcel.payload.clone());
+        let offset = self.log.append(STREAM, request.payload.clone());
         if !answer {
             return;
         }
         if self.lost() {
-            return self.fail_append(node, run, parcel.tag, Outcome::Unknown, 400);
+            return self.fail_append(node, run, request.tag, Outcome::Unknown, 400);
         }
         let delay = self.latency();
         self.push(
@@ -521,7 +523,7 @@
             Event::ToNode {
                 node,
                 run,
-                message: Message::Appended { tag: parcel.tag, result: Ok(offset) },
+                message: Message::Appended { tag: request.tag, result: Ok(offset) },
             },
         );
     }
@@ -550,42 +552,42 @@
         run: u64,
         epoch: Epoch,
         name: String,
-        send: Send,
+        request: ExchangeRequest,
         until: u64,
         first: bool,
     ) {
         let lost = first && (self.lost() || self.workers[&name].cut);
         let halted = self.workers[&name].halted;
-        let peer = send.peer;
+        let peer = request.address;
         let answer = |fault| Err(worker::Error { peer, fault });
         if lost {
             let fault = Fault::Unknown("lost".to_owned());
-            return self.exchanged(node, run, epoch, &name, send.channel, answer(fault), 500);
+            return self.exchanged(node, run, epoch, &name, request.channel, answer(fault), 500);
         }
         if halted {
             let fault = Fault::NotSent("refused".to_owned());
-            return self.exchanged(node, run, epoch, &name, send.channel, answer(fault), 2);
+            return self.exchanged(node, run, epoch, &name, request.channel, answer(fault), 2);
         }
         let now = Instant::from_millis(self.now);
         let state = &mut self.workers.get_mut(&name).unwrap().state;
-        if first && let Err(rival) = state.apply(now, &send.exchange) {
+        if first && let Err(rival) = state.apply(now, &request.exchange) {
             let result = answer(Fault::Fenced(rival));
-            return self.exchanged(node, run, epoch, &name, send.channel, result, 2);
+            return self.exchanged(node, run, epoch, &name, request.channel, result, 2);
         }
         state.advance(now);
-        if !state.has_news(send.exchange.seen) && self.now < until {
+        if !state.has_news(request.exchange.seen) && self.now < until {
             return self.push(
                 POLL,
-                Event::Exchange { node, run, epoch, worker: name, send, until, first: false },
+                Event::Exchange { node, run, epoch, worker: name, request, until, first: false },
             );
         }
-        let report = state.report(now, send.exchange.seen);
+        let report = state.report(now, request.exchange.seen);
         if self.lost() || self.workers[&name].cut {
             let fault = Fault::Unknown("answer lost".to_owned());
-            return self.exchanged(node, run, epoch, &name, send.channel, answer(fault), 500);
+            return self.exchanged(node, run, epoch, &name, request.channel, answer(fault), 500);
         }
         let delay = self.latency();
-        self.exchanged(node, run, epoch, &name, send.channel, Ok(report), delay);
+        self.exchanged(node, run, epoch, &name, request.channel, Ok(report), delay);
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one event")]
@@ -603,31 +605,31 @@
         self.push(delay, Event::ToNode { node, run, message });
     }
 
-    fn beat(&mut self, from: usize, run: u64, to: usize, beat: Beat) {
+    fn beat(&mut self, from: usize, run: u64, to: usize, heartbeat: Heartbeat) {
         if self.faults.deaf || self.nodes[from].cut || self.nodes[to].cut || !self.is_up(to) {
             return;
         }
-        self.deliver(to, Message::Beat(beat));
+        self.deliver(to, Message::Heartbeat(heartbeat));
         if !self.is_up(to) {
             return;
         }
         let known = self.machine(to).known_epoch();
         let delay = self.latency();
         let from_instance = self.machine(to).me.clone();
-        let message = Message::BeatAnswered { from: from_instance, epoch: known };
+        let message = Message::HeartbeatAnswered { from: from_instance, epoch: known };
         self.push(delay, Event::ToNode { node: from, run, message });
     }
 
-    fn hold(&mut self, from: usize, run: u64, to: usize, hold: Hold) {
+    fn hold(&mut self, from: usize, run: u64, to: usize, copy: BatchCopy) {
         if self.nodes[from].cut || self.nodes[to].cut || !self.is_up(to) {
             return;
         }
-        let (epoch, sequence) = (hold.epoch, hold.sequence);
-        self.deliver(to, Message::Hold(hold));
-        let kept = self.is_up(to) && self.machine(to).custody.keeps(epoch, sequence);
+        let (epoch, sequence) = (copy.epoch, copy.sequence);
+        self.deliver(to, Message::StoreBatch(copy));
+        let kept = self.is_up(to) && self.machine(to).copies.contains(epoch, sequence);
         if kept && !self.lost() {
             let from_instance = self.machine(to).me.clone();
-            let message = Message::Held { from: from_instance, epoch, sequence };
+            let message = Message::BatchStored { from: from_instance, epoch, sequence };
             let delay = self.latency();
             self.push(delay, Event::ToNode { node: from, run, message });
         }
