--- a/src/cell/machine/active_run.rs
+++ b/src/cell/machine/active_run.rs
@@ -47,7 +47,8 @@
     pub start_confirmed: bool,
     /// When the next command is due.
     pub next_command: Instant,
-    /// When it was placed, or when its worker acknowledged the start.
+    /// When it was placed, its placement was stored, or its start was acknowledged, whichever came
+    /// last.
     pub since: Instant,
     /// Whether it is to be stopped as soon as possible.
     pub stop_requested: bool,
--- a/src/cell/machine/journal_queue.rs
+++ b/src/cell/machine/journal_queue.rs
@@ -209,8 +209,8 @@
             }
             self.journal.batches.push_back(PendingBatch::default());
         }
-        let Some(batches) = self.journal.batches.front() else { return };
-        let batch = Batch { epoch: self.epoch, at: self.unix, records: batches.records.clone() };
+        let Some(first) = self.journal.batches.front() else { return };
+        let batch = Batch { epoch: self.epoch, at: self.unix, records: first.records.clone() };
         match codec::encode(&batch) {
             Ok(batch) => {
                 self.journal.in_flight += 1;
--- a/src/cell/machine/mod.rs
+++ b/src/cell/machine/mod.rs
@@ -99,11 +99,14 @@
     /// New jobs that are delayed by a slow store.
     delayed_jobs: Vec<(CallId, Job)>,
     claimed: Instant,
+    /// Worker incarnations that have ended but may still be listed.
     dead_workers: BTreeSet<WorkerId>,
     snapshot_due: bool,
+    /// Jobs whose final phase is not stored yet.
     unstored_ends: BTreeSet<Id>,
     round_jobs: RoundJobs,
     backlog: BacklogLog,
+    /// Workers on which tasks of a step have failed.
     failed_workers: BTreeMap<StepKey, BTreeSet<WorkerId>>,
     /// Attempts of tasks that are suspected of crashing their workers.
     suspects: BTreeSet<Run>,
@@ -117,16 +120,20 @@
     views: WorkerViews,
     /// Attempts of earlier owners on workers that have not been listed yet.
     unlisted_runs: BTreeSet<Run>,
+    /// Instances that follow the owner, by address.
     proxies: BTreeMap<SocketAddr, PolicyProxy>,
     succession: Succession,
+    /// Policy queries in flight, by number.
     queries: BTreeMap<u64, PolicyQuery>,
     last_query: u64,
     effects: Vec<Effect>,
     next_preemptible_scan: Instant,
     next_lease_check: Instant,
     next_round: Instant,
+    /// When the next round starts even if nothing changes.
     round_by: Instant,
     next_forget: Instant,
+    /// Whether something has changed that may let a task be placed.
     needs_placement: bool,
     now: Instant,
     unix: Unix,
--- a/src/cell/machine/preemption.rs
+++ b/src/cell/machine/preemption.rs
@@ -19,7 +19,7 @@
 
 /// Interval between two searches of one step for victims, and between two scans of all attempts for
 /// preemptible ones. Each takes up to a few milliseconds on a site of 350 workers.
-const ATTEMPT_INTERVAL: Duration = Duration::from_millis(60);
+const SEARCH_INTERVAL: Duration = Duration::from_millis(60);
 const SCAN_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time that a task must have left beyond its expected end to be preempted. Restarting it takes a
@@ -87,7 +87,7 @@
         let cooling_down =
             self.next_preemption.get(&step.key).is_some_and(|until| self.now < *until);
         if !cooling_down {
-            self.next_preemption.insert(step.key, self.now.after(ATTEMPT_INTERVAL));
+            self.next_preemption.insert(step.key, self.now.after(SEARCH_INTERVAL));
         }
         !cooling_down
     }
--- a/src/cell/machine/proxy.rs
+++ b/src/cell/machine/proxy.rs
@@ -5,7 +5,8 @@
 use crate::cell::timings::{ASKER_MOST_RESTS, ASKER_REST, PRESENCE};
 use crate::clock::Instant;
 
-/// An instance that can send queries to the policy service, one at a time.
+/// An instance that follows the owner. It can send queries to the policy service, one at a time,
+/// and take the cell over.
 #[derive(Clone, Debug)]
 pub(super) struct PolicyProxy {
     pub(super) last_seen: Instant,
--- a/src/cell/machine/roster.rs
+++ b/src/cell/machine/roster.rs
@@ -25,7 +25,7 @@
             any_new |= self.add_listed(id, listed);
         }
         if any_new {
-            self.reserve_recovered();
+            self.allocate_recovered();
         }
         for entry in roster.gone {
             self.mark_incarnations_unlisted(&entry);
@@ -67,7 +67,7 @@
     }
 
     /// Allocates capacity to the attempts of earlier owners on workers that have just been listed.
-    fn reserve_recovered(&mut self) {
+    fn allocate_recovered(&mut self) {
         for run in std::mem::take(&mut self.unlisted_runs) {
             let Some(active) = self.runs.get(&run) else { continue };
             match self.workers.get_mut(&active.worker) {
