--- a/src/owner/active.rs
+++ b/src/owner/active.rs
@@ -1,5 +1,5 @@
-//! What an owner holds beyond the state that every instance reads: workers, decisions under way,
-//! callers who wait.
+//! State that only the owner has, beyond the replicated state: workers, decisions in progress, and
+//! waiting callers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -26,64 +26,69 @@
 pub struct Active {
     /// Epoch in which it owns the domain.
     pub epoch: Epoch,
-    /// Whether the claim of this epoch is in the log. Without it nothing is placed: the owner only
-    /// renews the leases of what runs.
+    /// Whether the claim of this epoch is in the log. Until then nothing is placed; the owner only
+    /// renews the leases of running tasks.
     pub claim_logged: bool,
-    /// Whether changes kept for an earlier owner are still on their way to the log.
+    /// Whether changes stored for an earlier owner are still to be written to the log.
     pub recovering: bool,
-    /// Whether an earlier owner may have started what the log does not say. What waited before this
-    /// epoch is then placed only once every worker has told all it runs.
+    /// Whether an earlier owner may have started tasks whose placement is not in the log. Tasks
+    /// that were pending before this epoch are then placed only once every worker has sent a full
+    /// report.
     pub awaiting_reports: bool,
-    /// Instances that keep batches while the log is away, by peer address.
+    /// Instances that store batches while the log is unreachable, by peer address.
     pub(super) enrolled: BTreeMap<SocketAddr, Instance>,
-    /// Those of them that keep the batch under way.
+    /// Enrolled instances that have confirmed a copy of the batch in flight.
     pub(super) stored_by: BTreeSet<Instance>,
     /// Batches that took effect without the log, in order.
     pub(super) unlogged: VecDeque<AppendRequest>,
-    /// Placements that took effect without the log and may start only once they are in it.
+    /// Attempts whose placement took effect without the log; they start only once it is in the log.
     pub(super) deferred_starts: BTreeSet<task::Id>,
-    /// Callers whose changes took effect without the log and are answered once they are in it.
+    /// Callers whose changes took effect without the log, by the sequence number of the batch; they
+    /// are answered once it is in the log.
     pub(super) deferred_replies: BTreeMap<u64, Vec<Ticket>>,
     pub(super) next_copy_at: Instant,
     pub(super) next_append_at: Instant,
-    /// Changes on their way to the log.
+    /// Changes to be written to the log.
     pub journal: Journal,
-    /// Alerts, with those on their way to the log.
+    /// Alerts, including those not yet in the log.
     pub board: Board,
-    /// Placement of tasks.
+    /// Placement engine.
     pub engine: Engine,
     /// Workers by name.
     pub sessions: BTreeMap<worker::Name, Session>,
     /// Failure domain that it owns.
     domain: domain::Name,
-    /// Settings of operators in force.
+    /// Operators' settings in force.
     settings: Rc<config::Value>,
-    /// Kind of each call under way.
+    /// Calls that wait for the log.
     pub(super) calls: BTreeMap<Ticket, PendingCall>,
-    /// Jobs on their way into the table, with the callers beyond the first.
+    /// Jobs whose acceptance is not in the log yet, with the further callers that submitted the
+    /// same job.
     pub(super) accepting: BTreeMap<job::Id, Vec<Ticket>>,
-    /// Tries whose end is on its way to the log.
+    /// Attempts whose end is not in the log yet.
     pub(super) concluding: BTreeSet<task::Id>,
-    /// Tries whose placement is on its way to the log.
+    /// Attempts whose placement is not in the log yet.
     pub(super) placing: BTreeSet<task::Id>,
-    /// Tries that the engine holds resources for, by worker.
+    /// Attempts for which the engine reserves resources, with their worker.
     pub(super) reserved: BTreeMap<task::Id, worker::Name>,
-    /// Tries that wait for the end of a pause before they are placed again.
+    /// Attempts that wait before they are placed again, by the time at which they are due.
     pub(super) retry_queue: BTreeSet<(Instant, task::Id)>,
-    /// Callers that were answered before their change was settled.
+    /// Callers that were answered before their change was in the log.
     pub(super) answered_early: BTreeSet<Ticket>,
-    /// Earlier owners whose end is on its way to the log.
+    /// Earlier owners whose end this owner has submitted to the log.
     pub(super) retired: Vec<Instance>,
-    /// Since when no earlier owner can have renewed a lease, if nothing else stands against it.
+    /// Time of the latest evidence that an earlier owner is gone, or of the claim. Once all are
+    /// gone, no earlier owner can have renewed a lease after it.
     pub(super) sole_owner_since: Instant,
-    /// When it claimed the domain.
+    /// When this owner took over the domain.
     pub(super) owner_since: Instant,
     /// When each other instance last answered a heartbeat, by name.
     pub(super) last_acks: BTreeMap<String, Instant>,
     pub(super) next_heartbeat_at: Instant,
     pub(super) next_sweep_at: Instant,
     pub(super) next_resync_at: Instant,
-    /// Tries that the log places on workers which did not name them at the last look.
+    /// Attempts that the log places on workers but that were missing from their reports at the last
+    /// check.
     pub(super) unreported: BTreeSet<task::Id>,
     pub(super) next_job_check_at: Instant,
 }
@@ -98,7 +103,7 @@
 }
 
 impl Active {
-    /// State of an owner that has just claimed `epoch`.
+    /// Creates the state of an owner that has just claimed `epoch`.
     pub fn new(
         epoch: Epoch,
         domain: domain::Name,
@@ -144,7 +149,7 @@
         }
     }
 
-    /// Takes in the settings in force: quotas of teams, and which workers take no new tasks.
+    /// Applies the operators' settings: quotas of teams, and workers that take no new tasks.
     pub fn set_settings(&mut self, settings: &Rc<config::Value>) {
         for team in self.settings.quotas.keys() {
             self.engine.set_quota(team, None);
@@ -156,15 +161,15 @@
         self.sync_workers();
     }
 
-    /// Whether operators want no new tasks on a worker.
+    /// Whether operators have drained the worker.
     pub fn is_drained(&self, name: &worker::Name, session: &Session) -> bool {
         self.settings.is_drained(&self.domain, name, &session.rack)
     }
 
-    /// Takes in the workers that the list names.
+    /// Applies the workers of the instance list.
     ///
-    /// A worker that vanished from the list keeps its session while tasks may run there: the list
-    /// lags and may be wrong, so only the worker's own word or its lapsed lease frees them.
+    /// A worker that is missing from the list keeps its session while tasks may run there. The list
+    /// lags and may be wrong, so only a report of the worker or its expired lease releases them.
     pub fn set_members(&mut self, members: &[Member]) {
         for member in members {
             let Role::Worker { rack } = &member.role else { continue };
@@ -185,8 +190,8 @@
         self.sync_workers();
     }
 
-    /// Takes over the jobs of the table: waiting tasks are queued, and those on workers keep their
-    /// room reserved there until the worker has spoken.
+    /// Loads the jobs of the table. Pending tasks are queued; tasks on workers keep their resources
+    /// reserved until the worker reports.
     pub fn load(&mut self, table: &Table, now: Instant, unix: Unix) {
         for job in table.jobs() {
             self.load_job(job, now, unix);
@@ -214,7 +219,7 @@
         self.reserved.insert(id, worker.clone());
     }
 
-    /// Queues tasks of a job that have waited for `waited` already.
+    /// Queues tasks of a job that have already waited for `waited`.
     pub(super) fn enqueue(
         &mut self,
         job: &Job,
@@ -241,7 +246,7 @@
         });
     }
 
-    /// Records that a try has ended, once.
+    /// Records the end of an attempt, once.
     pub(super) fn conclude(&mut self, task: task::Id, end: task::End, now: Instant, at: Unix) {
         if !self.concluding.insert(task) {
             return;
@@ -251,7 +256,7 @@
         self.release(task);
     }
 
-    /// Frees what the engine reserved for a try that surely holds nothing any more.
+    /// Releases the resources reserved for an attempt that certainly uses none any more.
     pub(super) fn release(&mut self, task: task::Id) {
         if self.reserved.remove(&task).is_some() {
             self.engine.release(task);
@@ -265,7 +270,7 @@
         }
     }
 
-    /// Tells the engine how a worker stands.
+    /// Updates the engine with a worker's resources and availability.
     pub(super) fn sync_worker(&mut self, name: &worker::Name) {
         let Some(session) = self.sessions.get(name) else { return };
         let is_drained = self.is_drained(name, session);
@@ -285,13 +290,14 @@
         }
     }
 
-    /// Whether this owner decides and draws conclusions: its claim and all that was kept for
-    /// earlier owners are in the log.
+    /// Whether this owner makes decisions: its claim, and all batches stored for earlier owners,
+    /// are in the log.
     pub fn is_established(&self) -> bool {
         self.claim_logged && !self.recovering
     }
 
-    /// Ends caution once every worker has told what it runs, or holds nothing for certain.
+    /// Queues the pending tasks that were held back, once every worker has sent a full report or
+    /// certainly runs nothing.
     pub(super) fn finish_awaiting_reports(&mut self, table: &Table, now: Instant, unix: Unix) {
         let all_reported =
             !self.sessions.is_empty() && self.sessions.values().all(Session::has_reported);
@@ -308,19 +314,19 @@
         }
     }
 
-    /// Takes in that an append failed whose batch has taken effect already.
+    /// Handles a failed append of a batch that has already taken effect.
     pub(super) fn on_append_failed(&mut self, tag: Tag, now: Instant) {
         if self.unlogged.front().is_some_and(|request| request.tag == tag) {
             self.journal.mark_log_unavailable(now);
         }
     }
 
-    /// Whether every worker that the list names has told what it has.
+    /// Whether the capacity of every listed worker is known.
     pub(super) fn has_all_capacities(&self) -> bool {
         self.sessions.values().all(|session| !session.capacity.is_zero())
     }
 
-    /// Ends ownership and returns the answers to those who wait.
+    /// Ends ownership and returns the answers to all waiting callers.
     pub fn abandon(&mut self, owner: Option<&Instance>) -> Vec<(Ticket, Answer)> {
         let abandoned = self.journal.abandon();
         let refusal = Answer::Refused(Refusal::NotOwner(owner.cloned()));
@@ -339,7 +345,8 @@
         answers
     }
 
-    /// The caller `ticket` and those who asked for the same job after it.
+    /// Removes and returns the caller `ticket` and those that submitted the same job after it,
+    /// except callers that were answered early.
     pub(super) fn take_callers(&mut self, ticket: Ticket) -> Vec<Ticket> {
         let others = match self.calls.remove(&ticket) {
             Some(PendingCall::Submit(job)) => self.accepting.remove(&job).unwrap_or_default(),
@@ -365,7 +372,7 @@
     }
 }
 
-/// What a try of unknown origin holds.
+/// Resources held by an attempt that is not in the table.
 pub(super) fn stray_holding(demand: Amount, started: Instant) -> Holding {
     Holding {
         demand,
--- a/src/owner/alerts.rs
+++ b/src/owner/alerts.rs
@@ -1,8 +1,8 @@
-//! What an owner tells people: jobs that are late, lost or uncertain, workers out of reach, a log
-//! that is away.
+//! Alerts that the owner raises: jobs that are late, lost or uncertain, unreachable workers,
+//! outages of the log.
 //!
-//! Alerts are raised on the owner's own board at once and written to the domain's stream with the
-//! other changes, so that the next owner has them even if this one dies.
+//! An alert is raised on the owner's board at once, and written to the domain's stream with the
+//! other changes so that the next owner has it too.
 
 use std::time::Duration;
 
@@ -18,15 +18,15 @@
 use crate::task;
 use crate::worker;
 
-/// Silence of a worker after which a person is told.
+/// Time a worker has to be unreachable before an alert is raised.
 const WORKER_SILENCE: Duration = Duration::from_secs(10);
-/// Failure of the log after which a person is told.
+/// Time the log has to fail before an alert is raised.
 const LOG_SILENCE: Duration = Duration::from_secs(5);
-/// Interval of the checks that go over every job.
+/// Interval of the checks that visit every job.
 const JOBS_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Active {
-    /// Raises what the passing of time has brought about.
+    /// Raises and ends the alerts that depend on time.
     pub(super) fn check_alerts(&mut self, table: &Table, now: Instant, unix: Unix) {
         self.check_workers(now, unix);
         self.check_log(now, unix);
@@ -47,7 +47,9 @@
         for (name, silent) in silent {
             let key = Key { kind: Kind::Unfenced, subject: Subject::Worker(name) };
             match silent {
-                true => self.raise(unix, key, "the worker does not answer and gets no work"),
+                true => {
+                    self.raise(unix, key, "the worker is unreachable; no tasks are placed on it")
+                }
                 false => self.end(unix, &key),
             }
         }
@@ -57,7 +59,7 @@
         let key = Key { kind: Kind::LogOutage, subject: Subject::Domain };
         match self.journal.failing_since() {
             Some(since) if now.since(since) > LOG_SILENCE => {
-                self.raise(unix, key, "the log takes no records; nothing new can be accepted");
+                self.raise(unix, key, "the log accepts no records; no new job can be accepted");
             }
             Some(_) => {}
             None => self.end(unix, &key),
@@ -103,7 +105,7 @@
         }
     }
 
-    /// A job that was accepted may become impossible when the workers that fit it go away.
+    /// Raises an alert if a pending job can no longer run because the workers that fit it are gone.
     fn check_feasible(&mut self, job: &Job, unix: Unix) {
         let has_pending = job.tasks.iter().any(|task| task.state == AttemptState::Pending);
         if !has_pending || !self.has_all_capacities() {
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Raises and ends what the end of a try has brought about.
+    /// Raises and ends the alerts that depend on the end of an attempt.
     pub(super) fn update_alerts_on_end(&mut self, job: &Job, task: task::Id, unix: Unix) {
         let resolved = job.current(task).is_none_or(|current| !is_unresolved(&current.state));
         let uncertain = Key { kind: Kind::Uncertain, subject: Subject::Task(task) };
@@ -134,7 +136,7 @@
         let worker = job.current(task).and_then(|current| current.worker());
         let place = worker.map_or("a worker", |worker| worker.as_str());
         let message = format!(
-            "task {task} of job {} was on {place}, which is gone; it may run only once and is not \
+            "task {task} of job {} was on {place}, which is lost; it may run only once and is not \
              started again",
             label(job)
         );
@@ -146,7 +148,7 @@
         let failures = job.tasks.get(task.index as usize).map_or(0, |task| task.failures);
         if job.spec.kind == job::Kind::LongRunning && failures >= MAX_FAILURES {
             let key = Key { kind: Kind::AtRisk, subject: Subject::Job(job.id) };
-            self.raise(unix, key, &format!("job {} fails again and again", label(job)));
+            self.raise(unix, key, &format!("job {} has failed repeatedly", label(job)));
         }
     }
 
@@ -160,7 +162,7 @@
         }
         if job.ended_without_success() {
             let key = Key { kind: Kind::Lost, subject };
-            self.raise(unix, key, &format!("job {} ended without its work done", label(job)));
+            self.raise(unix, key, &format!("job {} ended without success", label(job)));
         }
     }
 
--- a/src/owner/calls.rs
+++ b/src/owner/calls.rs
@@ -1,4 +1,4 @@
-//! What callers ask of the owner, and when they are answered.
+//! Calls to the owner, and when they are answered.
 
 use crate::clock::{Instant, Unix};
 use crate::owner::Ticket;
@@ -70,8 +70,9 @@
         None
     }
 
-    /// Why no worker could ever run such a job. Unknown until every listed worker has told what it
-    /// has, so that a new owner refuses nothing that a worker it has not reached could run.
+    /// Why no worker could ever run such a job. `None` until the capacity of every listed worker is
+    /// known, so that a new owner does not refuse a job that a worker it has not reached yet could
+    /// run.
     fn impossible(&self, spec: &job::Spec) -> Option<placement::Reason> {
         let tasks = usize::try_from(spec.tasks).unwrap_or(usize::MAX);
         self.has_all_capacities()
@@ -95,7 +96,7 @@
         None
     }
 
-    /// Takes an operator's word that a worker is gone for good, with all that it ran.
+    /// Declares a worker lost on behalf of an operator, with all attempts on it.
     fn give_up(
         &mut self,
         ticket: Ticket,
@@ -129,14 +130,15 @@
         self.release(task);
     }
 
-    /// Answers a caller whose time is up. What was not handed to the log is taken back, so that
-    /// "not run" is true; what was may be written, and the caller has to ask again.
+    /// Answers a caller whose deadline has passed. A change that was not sent to the log is
+    /// withdrawn, so that "not run" is correct. Otherwise it may have been written, and the caller
+    /// has to ask again.
     fn expire(&mut self, ticket: Ticket) -> Vec<Effect> {
-        let follower = self.accepting.values_mut().find_map(|tickets| {
+        let other_caller = self.accepting.values_mut().find_map(|tickets| {
             let at = tickets.iter().position(|other| *other == ticket)?;
             Some(tickets.swap_remove(at))
         });
-        if follower.is_some() {
+        if other_caller.is_some() {
             return vec![Effect::Reply { ticket, answer: Answer::Unknown }];
         }
         if !self.calls.contains_key(&ticket) {
--- a/src/owner/election/claim.rs
+++ b/src/owner/election/claim.rs
@@ -1,4 +1,4 @@
-//! Taking the domain over: by a claim in the log, or without the log while it is away.
+//! Taking over the domain: by a claim in the log, or without the log while it is unreachable.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::owner::record::Record;
 use crate::store::{self, Offset, Outcome};
 
-/// Share of the claim timeout that each further rank waits.
+/// The claim timeout divided by this is the additional delay of each rank.
 const RANK_DELAY_DIVISOR: u32 = 3;
 
 impl Machine {
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Whether both the owner and the log have been silent for so long that the leases of all that
-    /// runs in the domain would lapse before anybody could claim it.
+    /// Whether the owner and the log have both been silent for so long that the leases of the
+    /// running tasks would expire before an instance could claim the domain.
     fn takeover_due(&self, now: Instant) -> bool {
         let timeout = self.timings.claim_timeout * 2 + self.rank_delay();
         let log_unavailable =
@@ -38,14 +38,15 @@
         log_unavailable && now.since(self.election.last_heard) >= timeout
     }
 
-    /// Takes the domain over without the log, to keep alive what runs.
+    /// Takes over the domain without the log, to renew the leases of running tasks.
     ///
-    /// The failure: the owner dies while the log is away, nobody can claim, and ten seconds later
-    /// every service of the domain stops with its lease. A worker obeys the largest epoch, and
-    /// ranks keep the epochs of two takers apart, so renewing needs no agreement. Placing does: it
-    /// waits until the claim of this epoch is in the log, where a claim of a later term wins. Until
-    /// then what this instance has read may be far behind the log, so it draws no conclusion from
-    /// what workers report either; ownership begins anew once the claim is read.
+    /// If the owner dies during an outage of the log, no instance can claim the domain, and ten
+    /// seconds later every service in it would stop with its lease. A worker obeys the largest
+    /// epoch, and each rank uses an epoch of its own, so renewing leases needs no agreement.
+    /// Placement does need it: it waits until the claim of this epoch is in the log, where a claim
+    /// of a later term wins. Until then the state of this instance may lag far behind the log, so
+    /// it does not act on the reports of workers either. Once the claim is read, ownership starts
+    /// again from a new state.
     pub(super) fn take_over(&mut self, now: Instant, unix: Unix) {
         let rank = u8::try_from(self.rank()).unwrap_or(u8::MAX);
         let epoch = self.known_epoch().next_sub(rank);
@@ -71,7 +72,8 @@
         silent || owner_cut_off
     }
 
-    /// Instances claim in the order of their names, so that two seldom claim at once.
+    /// Delay of this instance by its rank. Instances claim in the order of their names, so that two
+    /// rarely claim at the same time.
     fn rank_delay(&self) -> Duration {
         let steps = u32::try_from(self.rank()).unwrap_or(u32::MAX);
         (self.timings.claim_timeout / RANK_DELAY_DIVISOR).saturating_mul(steps)
@@ -86,7 +88,7 @@
         self.claim_epoch(self.replica.epoch().next_term(), now);
     }
 
-    /// Appends a claim unless one is under way.
+    /// Appends a claim unless one is in flight or was appended recently.
     pub(in crate::owner) fn claim_epoch(&mut self, epoch: Epoch, now: Instant) {
         let paused = self.election.claim_paused_until.is_some_and(|until| now < until);
         if self.election.claim_in_flight || paused {
@@ -104,10 +106,11 @@
         }
     }
 
-    /// Takes in the end of an append.
+    /// Handles the result of an append.
     ///
-    /// A failed append may have been written. A claim takes effect whenever it is read, and a
-    /// batch is appended again under the same epoch and sequence, so neither is lost or doubled.
+    /// A failed append may still have been written. A claim takes effect whenever it is read, and a
+    /// batch is appended again with the same epoch and sequence number, so neither is lost or
+    /// applied twice.
     pub(in crate::owner) fn on_appended(
         &mut self,
         tag: Tag,
--- a/src/owner/election/mod.rs
+++ b/src/owner/election/mod.rs
@@ -1,4 +1,4 @@
-//! Following the stream, noticing that the owner is gone, and claiming its place.
+//! Reading the stream, detecting the loss of the owner, and claiming the domain.
 
 mod claim;
 mod reading;
@@ -14,7 +14,7 @@
 use crate::owner::machine::{Heartbeat, Machine, Role};
 use crate::owner::record::Claim;
 
-/// What this instance knows of the owner and of the stream.
+/// What this instance has learned about the owner, and its progress in the stream.
 #[derive(Clone, Debug)]
 pub struct Election {
     progress: Progress,
@@ -25,12 +25,12 @@
     announced: Option<(Epoch, Instance)>,
     owner_without_log_since: Option<Instant>,
     claim_in_flight: bool,
-    /// Claim whose append got no answer; it may still take effect.
+    /// When the next claim may be appended. An earlier claim may still take effect until then.
     claim_paused_until: Option<Instant>,
 }
 
 impl Election {
-    /// State of a process that starts now.
+    /// State of a process that starts at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
             progress: Progress::FindEnd,
@@ -45,22 +45,22 @@
         }
     }
 
-    /// Whether all that the stream held at the start has been read.
+    /// Whether the stream has been read up to the end that it had when reading began.
     pub fn is_caught_up(&self) -> bool {
         self.progress == Progress::Live
     }
 
-    /// Since when reading the log has failed.
+    /// Time since which reads of the log have failed.
     pub fn read_failing_since(&self) -> Option<Instant> {
         self.read_failing_since
     }
 
-    /// The instance that says it owns the domain in an epoch not before `epoch`.
+    /// The instance that announced itself as owner in `epoch` or later.
     pub fn announced_owner(&self, epoch: Epoch) -> Option<&Instance> {
         self.announced.as_ref().filter(|(announced, _)| *announced >= epoch).map(|(_, owner)| owner)
     }
 
-    /// Highest epoch that any instance has named.
+    /// Highest epoch that an owner has announced.
     pub fn highest_epoch(&self) -> Epoch {
         self.announced.as_ref().map(|(epoch, _)| *epoch).unwrap_or_default()
     }
@@ -73,7 +73,7 @@
         self.last_heard = now;
     }
 
-    /// An owner that still appends is alive, even if its heartbeats do not get through.
+    /// Records that the owner is alive because it appends, even if its heartbeats do not arrive.
     pub(in crate::owner) fn record_owner_append(&mut self, now: Instant) {
         if self.progress == Progress::Live {
             self.last_heard = now;
@@ -96,8 +96,9 @@
         self.enroll(heartbeat);
         self.election.record_owner_alive(now);
         self.election.announced = Some((heartbeat.epoch, heartbeat.owner.clone()));
-        // Only what this instance can reach and the owner cannot is a reason to take its place: an
-        // outage that both had ends for one of them first.
+        // The owner is replaced only if this instance can reach the log and the owner cannot. In an
+        // outage of both, the one that recovers first would otherwise replace the other for no
+        // reason.
         let only_owner_cut_off =
             heartbeat.without_log && self.election.read_failing_since.is_none();
         self.election.owner_without_log_since = match only_owner_cut_off {
@@ -106,10 +107,10 @@
         };
     }
 
-    /// Takes in that `from` has heard this owner and knows of `epoch`.
+    /// Handles the answer of `from` to a heartbeat; `epoch` is the latest epoch that it has seen.
     ///
-    /// An earlier owner that has heard of a later epoch has stepped down, and a new process at its
-    /// address proves the old one gone.
+    /// A former owner that has seen a later epoch has stepped down, and a new process at the
+    /// address of a former owner shows that the old process is gone.
     pub(in crate::owner) fn on_heartbeat_answered(
         &mut self,
         from: &Instance,
@@ -156,8 +157,8 @@
         let mut active = Active::new(epoch, domain, &self.timings, self.policy, board, now);
         active.set_settings(&self.settings);
         active.set_members(&self.members);
-        // An owner before this one may have started what the log does not say, unless this
-        // instance would keep the record of it.
+        // An earlier owner may have started tasks whose placement is not in the log, unless this
+        // instance was enrolled and would store a copy of it.
         let previous = self.replica.previous_epoch();
         active.awaiting_reports =
             previous != Epoch::default() && self.copies.enrolled_epoch() != Some(previous);
@@ -182,7 +183,7 @@
         self.election.announced = Some((epoch, self.me.clone()));
     }
 
-    /// Entry instances of the domain other than this one, by name.
+    /// Names and addresses of the other live entry instances of the domain.
     pub(in crate::owner) fn peers(&self) -> impl Iterator<Item = (&str, SocketAddr)> {
         self.members
             .iter()
--- a/src/owner/election/reading.rs
+++ b/src/owner/election/reading.rs
@@ -1,4 +1,4 @@
-//! Reading the stream: where to begin, and how far this instance has come.
+//! Reading the stream: where to start, and how far this instance has read.
 
 use std::time::Duration;
 
@@ -10,33 +10,33 @@
 use crate::owner::replica::Replica;
 use crate::store::{self, Offset, Page};
 
-/// Records at the end of the stream in which a new reader first looks for a floor.
+/// Number of records at the end of the stream in which a new reader first looks for a replay point.
 const TAIL_WINDOW: Offset = 64;
 
-/// Factor by which that window grows while it holds no floor.
+/// Factor by which that window grows while it contains no replay point.
 const TAIL_WINDOW_GROWTH: Offset = 16;
 
 /// Pause after a failed read.
 const READ_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// How far this instance has come with reading the stream.
+/// Progress of this instance in reading the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// Asks where the stream ends.
+    /// Reads the end offset of the stream.
     FindEnd,
-    /// Looks through this many last records for a floor.
+    /// Reads from this offset to the end to find a replay point.
     FindReplayPoint(Offset),
-    /// Reads from the floor to the end that the stream had at the start.
+    /// Reads from the replay point to this offset, the end of the stream when reading began.
     CatchUp(Offset),
-    /// Has read all that there was at the start.
+    /// Has read everything up to that end, and follows new records.
     Live,
 }
 
 impl Machine {
-    /// Issues the next read unless one is under way.
+    /// Issues the next read unless one is in flight.
     ///
-    /// An owner learns of its own records from the answers to its appends, so it reads only to
-    /// fill a gap or, at a slow pace, to find a rival's claim.
+    /// An owner learns of its own records from the answers to its appends. It reads only to fill a
+    /// gap or, at a slow pace, to find the claim of a rival.
     pub(in crate::owner) fn read_on(&mut self, now: Instant) {
         if self.election.read_in_flight || now < self.election.next_read_at {
             return;
@@ -52,7 +52,7 @@
         self.out.push(Effect::Read { from, wait });
     }
 
-    /// Makes the next read due at once, to find out what became of an append.
+    /// Makes the next read due at once, to find the result of an append.
     pub(in crate::owner) fn read_soon(&mut self, now: Instant) {
         self.election.next_read_at = now;
     }
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Retention has dropped records this instance never read. What it holds may be wrong in any
-    /// part, so it starts over from a floor near the end.
+    /// Starts reading again from a replay point near the end. Retention has dropped records that
+    /// this instance never read, so any part of its state may be wrong.
     fn restart_reading(&mut self, cause: &str) {
         log::warn!("event=owner.reading_restarted domain={} cause={cause}", self.domain);
         self.step_down(cause);
@@ -144,7 +144,7 @@
     }
 }
 
-/// The latest floor that a batch of the page names.
+/// The latest replay point that a batch of the page names.
 fn find_replay_point(page: &Page) -> Option<ReplayPoint> {
     let replay_point = |payload| match codec::decode::<Record>(payload) {
         Ok(Record::Batch(batch)) => Some(batch.replay_point),
@@ -156,7 +156,8 @@
         .max_by_key(|point| point.offset)
 }
 
-/// Where to start when no floor is left: at the oldest record, in the epoch that makes it hold.
+/// Replay point to use if no batch names one: the oldest record, with the epoch and sequence number
+/// that let it take effect.
 fn oldest_replay_point(page: &Page) -> ReplayPoint {
     let Some(first) = page.records.first() else {
         return ReplayPoint { offset: page.oldest, ..ReplayPoint::default() };
--- a/src/owner/journal.rs
+++ b/src/owner/journal.rs
@@ -1,7 +1,7 @@
-//! Group commit of an owner's changes to the log.
+//! Group commit of the owner's changes to the log.
 //!
-//! At most one batch is under way. Its epoch and sequence make it idempotent, so a batch whose
-//! answer was lost is appended again until the stream shows it.
+//! At most one batch is in flight. Its epoch and sequence number make it idempotent, so a batch
+//! whose answer was lost is appended again until it is read from the stream.
 
 use std::time::Duration;
 
@@ -13,22 +13,22 @@
 use crate::owner::Ticket;
 use crate::owner::record::{Batch, Entry, Record, ReplayPoint};
 
-/// Bound on the entries of one batch.
+/// Maximum number of entries in one batch.
 const MAX_ENTRIES: usize = 512;
-/// Bound on the bytes of one batch, exceeded only by a first entry that is larger.
+/// Maximum size of one batch in bytes. Only a single larger entry exceeds it.
 const MAX_BYTES: usize = 256 * 1024;
-/// Bound on the entries that wait; beyond it new work is refused.
+/// New work is refused while this many entries are pending.
 pub const MAX_PENDING: usize = 16_384;
-/// First pause before a batch is appended again.
+/// Pause before a batch is appended again for the first time; it doubles with every retry.
 const RETRY_MIN: Duration = Duration::from_millis(100);
-/// Longest pause before a batch is appended again.
+/// Upper limit of that pause.
 const RETRY_MAX: Duration = Duration::from_secs(2);
 
-/// What an append carries, so that its answer is matched to it.
+/// Identifies an append, so that its answer is matched to it.
 ///
-/// Answers may cross: a batch whose answer was late is appended twice, and the second answer comes
-/// when the next batch is under way already. Taken for that one's, it would pass a batch for
-/// written that is not.
+/// Answers can arrive out of order: a batch whose answer is late is appended twice, and the second
+/// answer arrives when the next batch is already in flight. Without the tag it would be taken for
+/// the answer to that batch, which may not have been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tag {
     /// A claim.
@@ -37,7 +37,7 @@
     Batch {
         /// Epoch of the owner.
         epoch: Epoch,
-        /// Its place in the epoch.
+        /// Sequence number of the batch in that epoch.
         sequence: u64,
     },
 }
@@ -45,13 +45,13 @@
 /// A record to append.
 #[derive(Clone, Debug)]
 pub struct AppendRequest {
-    /// What it carries.
+    /// Identifies the append.
     pub tag: Tag,
-    /// Its bytes.
+    /// The encoded record.
     pub payload: Bytes,
 }
 
-/// A change that waits for the log, with the caller to answer once it is there.
+/// A change to be written, with the caller to answer once it is in the log.
 #[derive(Clone, Debug)]
 struct PendingEntry {
     entry: Entry,
@@ -59,7 +59,7 @@
     bytes: usize,
 }
 
-/// The batch under way.
+/// The batch in flight.
 #[derive(Clone, Debug)]
 struct InFlight {
     sequence: u64,
@@ -69,7 +69,7 @@
     retries: u32,
 }
 
-/// Changes on their way to the log.
+/// Changes to be written to the log, and the batch in flight.
 #[derive(Clone, Debug)]
 pub struct Journal {
     epoch: Epoch,
@@ -78,22 +78,23 @@
     in_flight: Option<InFlight>,
     last_sent_at: Option<Instant>,
     failing_since: Option<Instant>,
-    /// Whether a batch is owed even when it is empty: the first one, so that the end of the stream
-    /// soon names a floor for new readers, and those that show others that the owner lives.
+    /// Whether the next batch is sent even if it is empty: the first one, so that the stream soon
+    /// contains a replay point for new readers, and those that show other instances that the owner
+    /// is alive.
     send_empty: bool,
 }
 
-/// Place of a batch in its epoch, and the floor it names.
+/// Sequence number of a batch, and the replay point that it names.
 #[derive(Clone, Copy, Debug)]
 pub struct BatchPosition {
-    /// Count of earlier batches.
+    /// Number of earlier batches in the epoch.
     pub sequence: u64,
-    /// Where new readers start.
+    /// Where a new reader starts its replay.
     pub replay_point: ReplayPoint,
 }
 
 impl Journal {
-    /// A journal of the owner of `epoch` that leaves at least `delay` between appends.
+    /// Creates the journal of the owner of `epoch`, with at least `delay` between two batches.
     pub fn new(epoch: Epoch, delay: Duration) -> Self {
         Self {
             epoch,
@@ -106,48 +107,49 @@
         }
     }
 
-    /// Adds a change. Callers' fields are bounded far below what one record may hold.
+    /// Adds a change, with the caller to answer. The size of fields set by callers is limited far
+    /// below the size limit of a record.
     pub fn push(&mut self, entry: Entry, ticket: Option<Ticket>) {
         let bytes = codec::encode(&entry).map_or(MAX_BYTES, |encoded| encoded.len());
         self.pending.push(PendingEntry { entry, ticket, bytes });
     }
 
-    /// Whether no further change should be taken in.
+    /// Whether new changes should be refused.
     pub fn is_full(&self) -> bool {
         self.pending.len() >= MAX_PENDING
     }
 
-    /// Whether everything pushed is in the log.
+    /// Whether no change is pending and no batch is in flight.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty() && self.in_flight.is_none()
     }
 
-    /// Since when the log has not taken a batch.
+    /// Time since which appends have failed.
     pub fn failing_since(&self) -> Option<Instant> {
         self.failing_since
     }
 
-    /// The payload of the batch under way, when it is due to be appended again.
+    /// The append of the batch in flight, if it is due again.
     pub fn retry(&mut self, now: Instant) -> Option<AppendRequest> {
         let batch = self.in_flight.as_mut()?;
         batch.retry_at.take_if(|at| now >= *at)?;
         self.append_request()
     }
 
-    /// Makes the next batch go out even when empty, unless one set out within `span`.
+    /// Makes the next batch due even if it is empty, unless one was sent within `interval`.
     pub fn keep_alive(&mut self, now: Instant, interval: Duration) {
         self.send_empty |= self.last_sent_at.is_none_or(|sent| now.since(sent) >= interval);
     }
 
-    /// Whether a new batch may set out.
+    /// Whether a new batch may be sent.
     pub fn is_idle(&self, now: Instant) -> bool {
         let too_early = self.last_sent_at.is_some_and(|sent| now.since(sent) < self.delay);
         self.in_flight.is_none() && !too_early
     }
 
-    /// Forms the next batch and returns the payload to append; `None` when there is nothing.
+    /// Forms the next batch and returns its append; `None` if there is nothing to write.
     ///
-    /// `snapshots` describe the state just before the batch, so they go ahead of the changes.
+    /// `snapshots` describe the state before the batch, so they precede its changes.
     pub fn send_batch(
         &mut self,
         now: Instant,
@@ -167,7 +169,7 @@
         let BatchPosition { sequence, replay_point } = position;
         let batch = Batch { epoch: self.epoch, sequence, replay_point, entries };
         let payload = codec::encode(&Record::Batch(batch)).unwrap_or_else(|error| {
-            // Bounded entries make this unreachable; an empty record is void to every reader.
+            // Unreachable, because the size of entries is limited; readers ignore an empty record.
             log::error!("event=owner.batch_unwritable entries={count} cause=\"{error}\"");
             Bytes::new()
         });
@@ -175,7 +177,7 @@
         self.append_request()
     }
 
-    /// How many of the waiting changes the next batch takes.
+    /// Number of pending changes that the next batch takes.
     fn next_batch_len(&self) -> usize {
         let mut bytes = 0;
         let fits = |pending: &&PendingEntry| {
@@ -186,7 +188,7 @@
         self.pending.iter().take(MAX_ENTRIES).take_while(fits).count()
     }
 
-    /// Notes that the append failed or that its outcome is unknown; it is due again after a pause.
+    /// Schedules the batch in flight again after its append failed or its outcome is unknown.
     pub fn on_append_failed(&mut self, tag: Tag, now: Instant) {
         let epoch = self.epoch;
         let is_in_flight =
@@ -199,43 +201,43 @@
         }
     }
 
-    /// Content of the batch under way, if it is the one that `tag` names.
+    /// Content of the batch in flight, if `tag` identifies it.
     pub fn payload(&self, tag: Tag) -> Option<Bytes> {
         let batch = self.in_flight.as_ref().filter(|batch| self.tag(batch.sequence) == tag)?;
         Some(batch.payload.clone())
     }
 
-    /// What the batch under way is.
+    /// Tag of the batch in flight.
     pub fn in_flight_tag(&self) -> Option<Tag> {
         self.in_flight.as_ref().map(|batch| self.tag(batch.sequence))
     }
 
-    /// Place and content of the batch under way.
+    /// Sequence number and content of the batch in flight.
     pub fn in_flight(&self) -> Option<(u64, &Bytes)> {
         self.in_flight.as_ref().map(|batch| (batch.sequence, &batch.payload))
     }
 
-    /// Takes the batch under way out of the log's hands, for it took effect otherwise. Its callers
-    /// stay to be answered by [`Self::committed`].
+    /// Stops retrying the batch in flight, because it took effect without the log, and returns its
+    /// append. Its callers remain until [`Self::committed`].
     pub fn stop_retries(&mut self) -> Option<AppendRequest> {
         let batch = self.in_flight.as_mut()?;
         batch.retry_at = None;
         self.append_request()
     }
 
-    /// Notes that the log takes records again.
+    /// Records that the log accepts records again.
     pub fn mark_log_available(&mut self) {
         self.failing_since = None;
     }
 
-    /// Makes the batch under way due for the log, which it was not handed to before.
+    /// Makes the batch in flight due to be appended, if no retry is scheduled.
     pub fn schedule_append(&mut self, now: Instant) {
         if let Some(batch) = &mut self.in_flight {
             batch.retry_at.get_or_insert(now);
         }
     }
 
-    /// Notes that the log does not take records.
+    /// Records that the log does not accept records.
     pub fn mark_log_unavailable(&mut self, now: Instant) {
         self.failing_since.get_or_insert(now);
     }
@@ -249,7 +251,7 @@
         Tag::Batch { epoch: self.epoch, sequence }
     }
 
-    /// Notes that the batch `sequence` took effect and returns the callers to answer.
+    /// Removes the batch `sequence`, which took effect, and returns its callers.
     pub fn committed(&mut self, sequence: u64) -> Vec<Ticket> {
         match self.in_flight.take_if(|batch| batch.sequence == sequence) {
             Some(batch) => batch.tickets,
@@ -257,15 +259,15 @@
         }
     }
 
-    /// Gives up, as after losing the domain.
+    /// Drops all changes, after ownership has ended, and returns their callers.
     pub fn abandon(&mut self) -> Abandoned {
         let unknown = self.in_flight.take().map(|batch| batch.tickets).unwrap_or_default();
         let unsent = self.pending.drain(..).filter_map(|pending| pending.ticket).collect();
         Abandoned { unsent, unknown }
     }
 
-    /// Takes back the changes of `ticket` that were not handed to the log yet; false when one may
-    /// already be there.
+    /// Withdraws the pending changes of `ticket`. Returns false if none was pending, in which case
+    /// they may already be in the log.
     pub fn retract(&mut self, ticket: Ticket) -> bool {
         let before = self.pending.len();
         self.pending.retain(|pending| pending.ticket != Some(ticket));
@@ -273,11 +275,11 @@
     }
 }
 
-/// Callers whose changes were given up.
+/// Callers whose changes were dropped.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Abandoned {
-    /// Nothing of these was handed to the log.
+    /// Their changes were never sent to the log.
     pub unsent: Vec<Ticket>,
-    /// These may be in the log.
+    /// Their changes may be in the log.
     pub unknown: Vec<Ticket>,
 }
--- a/src/owner/machine/message.rs
+++ b/src/owner/machine/message.rs
@@ -1,4 +1,4 @@
-//! What the machine hears, and what it asks to be done.
+//! Inputs and outputs of the state machine.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,69 +16,69 @@
 use crate::store::{self, Offset, Page};
 use crate::{alert, config, job, placement, worker};
 
-/// Something that happened.
+/// Input of the state machine.
 #[derive(Debug)]
 pub enum Message {
     /// Time passed.
     Tick,
-    /// A read of the stream ended.
+    /// A read of the stream finished.
     Read(Result<Page, store::Error>),
-    /// An append to the stream ended.
+    /// An append to the stream finished.
     Appended {
         /// What was appended.
         tag: Tag,
-        /// Its offset, or what went wrong.
+        /// Offset of the record, or the failure.
         result: Result<Offset, store::Error>,
     },
-    /// An exchange with a worker ended.
+    /// An exchange with a worker finished.
     Exchanged {
         /// Epoch in which it was sent.
         epoch: Epoch,
         /// The worker.
         worker: worker::Name,
-        /// Call it belonged to.
+        /// Call to the worker that carried it.
         channel: Channel,
         /// Its result.
         result: Result<worker::Report, worker::Error>,
     },
     /// The list of instances was read.
     Members(Vec<Member>),
-    /// Another instance of the domain says that it is the owner.
+    /// Heartbeat of another instance of the domain, which claims to be the owner.
     Heartbeat(Heartbeat),
-    /// An instance has taken in a heartbeat and answered.
+    /// An instance processed a heartbeat of this owner and answered.
     HeartbeatAnswered {
         /// The instance that answered.
         from: Instance,
         /// Latest epoch it knows.
         epoch: Epoch,
     },
-    /// An owner without the log asks this instance to keep a batch.
+    /// An owner that cannot reach the log asks this instance to store a batch.
     StoreBatch(BatchCopy),
-    /// An instance keeps a batch.
+    /// An instance confirms that it stores a batch.
     BatchStored {
         /// The instance.
         from: Instance,
         /// Epoch of the batch.
         epoch: Epoch,
-        /// Place of the batch in that epoch.
+        /// Sequence number of the batch in that epoch.
         sequence: u64,
     },
-    /// A caller asks for something.
+    /// A call to the owner.
     Call {
-        /// Number to answer to.
+        /// Ticket under which the call is answered.
         ticket: Ticket,
-        /// What it asks for.
+        /// What is requested.
         call: Call,
     },
-    /// A caller's time is up; it is answered at once.
+    /// The deadline of a call has passed; it is answered at once.
     Expired(Ticket),
-    /// Another policy is in force.
+    /// A different placement policy is in force.
     Policy(Policy),
-    /// Other settings of operators are in force.
+    /// Different operators' settings are in force.
     Settings(Rc<config::Value>),
-    /// The owner asks this instance to take over.
+    /// The owner of the given epoch asks this instance to take over.
     Handover(Epoch),
-    /// The process is to stop.
+    /// The process is shutting down.
     Shutdown,
 }
 
@@ -91,13 +91,13 @@
     pub owner: Instance,
     /// Its epoch.
     pub epoch: Epoch,
-    /// Whether it cannot reach the log.
+    /// Whether the owner cannot reach the log.
     pub without_log: bool,
-    /// Instances that keep its batches when the log is away.
+    /// Instances that store batches while the log is unreachable.
     pub enrolled: Vec<Instance>,
 }
 
-/// What a caller asks of the owner.
+/// Request of a caller to the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Accept a job.
@@ -106,19 +106,19 @@
         job: job::Id,
         /// Idempotency key.
         key: String,
-        /// What it asks for.
+        /// What is requested.
         spec: job::Spec,
     },
     /// Stop a job.
     Cancel(job::Id),
-    /// Mark an alert as seen.
+    /// Acknowledge an alert.
     Acknowledge {
         /// The alert.
         alert: alert::Id,
-        /// Who saw it.
+        /// Person who acknowledges it.
         by: String,
     },
-    /// Take a worker that does not answer for gone, with all that it ran.
+    /// Declare an unreachable worker lost, with all tasks that ran on it.
     GiveUp(worker::Name),
 }
 
@@ -127,71 +127,71 @@
 pub enum Answer {
     /// The job is in the log.
     Accepted {
-        /// Whether it was there before.
+        /// Whether the job had already been accepted.
         duplicate: bool,
     },
     /// The cancellation is in the log.
     Cancelled,
     /// The acknowledgement is in the log.
     Acknowledged,
-    /// The end of all that the worker ran is in the log.
+    /// The end of every task on the worker is in the log.
     GivenUp,
-    /// The job, alert or worker is not known.
+    /// No such job, alert or worker.
     NotFound,
-    /// Nothing was written and nothing will run because of the call.
+    /// The call was refused: nothing was written and nothing will run because of it.
     Refused(Refusal),
-    /// The call may have taken effect; asking again with the same identity tells.
+    /// The call may have taken effect. The caller finds out by repeating it with the same identity.
     Unknown,
 }
 
 /// Why a call was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// This instance does not own the domain.
+    /// This instance does not own the domain; the owner, if known, is given.
     NotOwner(Option<Instance>),
-    /// The worker answers, so it is not gone.
+    /// The worker is reachable, so it cannot be declared lost.
     WorkerReachable,
-    /// The key stands for another job.
+    /// The idempotency key was used for a different job.
     KeyReused,
-    /// No worker could ever run it.
+    /// No worker could ever run the job.
     Impossible(placement::Reason),
-    /// Too much waits for the log.
+    /// Too many changes wait for the log.
     Busy,
     /// The log cannot be reached.
     LogUnavailable,
-    /// Time ran out before anything was written.
+    /// The deadline passed before anything was written.
     DeadlineExceeded,
 }
 
-/// Something to do.
+/// Output of the state machine: an action for its driver.
 #[derive(Debug)]
 pub enum Effect {
-    /// Read the stream and answer with [`Message::Read`].
+    /// Read the stream and return [`Message::Read`].
     Read {
-        /// First offset wanted.
+        /// First offset to read.
         from: Offset,
-        /// How long to wait for a record.
+        /// How long to wait for a record at the end of the stream.
         wait: Duration,
     },
-    /// Append to the stream and answer with [`Message::Appended`].
+    /// Append to the stream and return [`Message::Appended`].
     Append(AppendRequest),
-    /// Call a worker and answer with [`Message::Exchanged`].
+    /// Call a worker and return [`Message::Exchanged`].
     Exchange {
-        /// Present epoch, to be returned with the result.
+        /// Epoch of the owner, to be returned with the result.
         epoch: Epoch,
         /// The worker.
         worker: worker::Name,
-        /// What to send.
+        /// The exchange to send.
         request: ExchangeRequest,
     },
-    /// Send a heartbeat and answer with [`Message::HeartbeatAnswered`] for each answer.
+    /// Send a heartbeat and return [`Message::HeartbeatAnswered`] for each answer.
     Heartbeat {
         /// Instances of the domain.
         to: Vec<SocketAddr>,
-        /// Content.
+        /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// Ask instances to keep a batch and answer with [`Message::BatchStored`] for each that does.
+    /// Send a batch to instances and return [`Message::BatchStored`] for each that stores it.
     StoreBatch {
         /// The instances.
         to: Vec<SocketAddr>,
@@ -205,13 +205,13 @@
         /// Epoch that ends.
         epoch: Epoch,
     },
-    /// Answer a caller.
+    /// Answer a call.
     Reply {
-        /// Number of the call.
+        /// Ticket of the call.
         ticket: Ticket,
-        /// Answer.
+        /// The answer.
         answer: Answer,
     },
-    /// Nothing is left to do before the process ends.
+    /// The machine has stopped; the process may end.
     Stopped,
 }
--- a/src/owner/machine/mod.rs
+++ b/src/owner/machine/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine of an entry instance towards its failure domain.
+//! State machine by which an entry instance follows or owns its failure domain.
 
 mod message;
 
@@ -21,7 +21,7 @@
 use crate::placement::Policy;
 use crate::store::Offset;
 
-/// Part that the instance plays.
+/// Role of the instance in its failure domain.
 #[derive(Debug)]
 pub enum Role {
     /// Reads the stream and watches the owner.
@@ -30,7 +30,7 @@
     Owner(Box<Active>),
 }
 
-/// State of an entry instance towards its failure domain.
+/// State of an entry instance in its failure domain.
 #[derive(Debug)]
 pub struct Machine {
     /// This process.
@@ -41,15 +41,15 @@
     pub timings: Timings,
     /// State read from the stream.
     pub replica: Replica,
-    /// Part it plays.
+    /// Current role.
     pub role: Role,
-    /// Policy in force.
+    /// Placement policy in force.
     pub policy: Policy,
-    /// Settings of operators in force.
+    /// Operators' settings in force.
     pub settings: Rc<config::Value>,
-    /// Who owns the domain, and when to claim it.
+    /// Detection of a lost owner, and claims.
     pub election: Election,
-    /// Batches kept for an owner without the log.
+    /// Batch copies stored for an owner that cannot reach the log.
     pub copies: StoredCopies,
     pub(in crate::owner) members: Vec<Member>,
     pub(in crate::owner) stopping: bool,
@@ -57,7 +57,7 @@
 }
 
 impl Machine {
-    /// A machine that has read nothing yet.
+    /// Creates a follower that has read nothing yet.
     pub fn new(
         me: Instance,
         domain: domain::Name,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes in a message and returns what to do.
+    /// Handles a message and returns the actions to perform.
     pub fn handle(&mut self, message: Message, now: Instant, unix: Unix) -> Vec<Effect> {
         match message {
             Message::Tick => {}
@@ -115,7 +115,7 @@
         matches!(self.role, Role::Owner(_))
     }
 
-    /// The owner as far as this instance knows.
+    /// The owner, as far as this instance knows.
     pub fn owner(&self) -> Option<&Instance> {
         match &self.role {
             Role::Owner(_) => Some(&self.me),
@@ -130,12 +130,12 @@
         self.replica.epoch().max(self.election.highest_epoch())
     }
 
-    /// Whether the state read from the stream is as new as the stream was after the start.
+    /// Whether the stream has been read up to the end that it had when reading began.
     pub fn is_ready(&self) -> bool {
         self.election.is_caught_up()
     }
 
-    /// Alerts of the domain: on its owner with those on their way to the log.
+    /// Alerts of the domain. On the owner they include those not yet in the log.
     pub fn board(&self) -> &Board {
         match &self.role {
             Role::Owner(active) => &active.board,
@@ -158,7 +158,7 @@
         self.read_on(now);
     }
 
-    /// Takes in one record that follows what was read so far.
+    /// Applies one record that directly follows those already read.
     pub(in crate::owner) fn apply_record(
         &mut self,
         offset: Offset,
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Ends this instance's ownership. Callers whose change was never handed to the log hear that
-    /// nothing was done; the others hear that they have to ask again.
+    /// Ends this instance's ownership. Callers whose change was never sent to the log are refused;
+    /// the others get [`Answer::Unknown`] and have to ask again.
     pub(in crate::owner) fn step_down(&mut self, cause: &str) {
         let Role::Owner(mut active) = std::mem::replace(&mut self.role, Role::Follower) else {
             return;
@@ -189,8 +189,8 @@
             active.epoch
         );
         if !active.unlogged.is_empty() {
-            // What took effect without the log is void now that another owns the domain. It cannot
-            // be taken back out of the state, so the state is read anew.
+            // Changes that took effect without the log are void once another instance owns the
+            // domain. They cannot be removed from the state, so it is rebuilt from the log.
             self.election.restart_replay();
         }
         let owner = self.owner().cloned();
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Ends this instance's ownership if `epoch` supersedes it; whether it did.
+    /// Ends this instance's ownership if `epoch` is later than its own. Returns whether it did.
     pub(in crate::owner) fn step_down_if_superseded(&mut self, epoch: Epoch, cause: &str) -> bool {
         let superseded = self.active().is_some_and(|active| epoch > active.epoch);
         if superseded {
@@ -223,8 +223,8 @@
     }
 
     fn on_members(&mut self, members: Vec<Member>) {
-        let here = |member: &Member| member.domain == self.domain;
-        self.members = members.into_iter().filter(here).collect();
+        let in_domain = |member: &Member| member.domain == self.domain;
+        self.members = members.into_iter().filter(in_domain).collect();
         let members = self.members.clone();
         if let Some(active) = self.active() {
             active.set_members(&members);
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -1,9 +1,10 @@
-//! Ownership of a failure domain: claiming it, keeping its jobs in the log, and running their tasks
-//! on its workers.
+//! Ownership of a failure domain: claiming it, recording its jobs in the log, and running their
+//! tasks on its workers.
 //!
 //! Exactly one entry instance of a failure domain owns it at a time. [`Machine`] is the pure state
-//! machine that every instance of the domain runs; [`record`] holds what it writes to the domain's
-//! stream, [`replica::Replica`] the state that every instance builds by reading it.
+//! machine that every instance of the domain runs. [`record`] defines the records that the owner
+//! appends to the domain's stream, and [`replica::Replica`] is the state that every instance builds
+//! by reading that stream.
 
 pub mod active;
 pub mod alerts;
@@ -25,5 +26,5 @@
 pub use peer_commit::{BatchCopy, StoredCopies};
 pub use timings::Timings;
 
-/// Number by which a waiting caller is known to the machine.
+/// Identifies a pending call, so that its answer reaches the caller.
 pub type Ticket = u64;
--- a/src/owner/on_commit.rs
+++ b/src/owner/on_commit.rs
@@ -1,4 +1,5 @@
-//! What an owner does once a change has taken effect: start, stop, queue again, let go.
+//! Actions of the owner once a change has taken effect: starting, stopping, requeueing and
+//! forgetting tasks.
 
 use std::time::Duration;
 
@@ -13,11 +14,11 @@
 use crate::task;
 use crate::worker::Command;
 
-/// Bound on the jobs dropped from the table in one sweep.
+/// Maximum number of jobs removed from the table in one sweep.
 const MAX_PRUNED: usize = 64;
 
 impl Active {
-    /// Acts on a change that is now in the log and in the table.
+    /// Acts on a change that has taken effect and is in the table.
     pub(super) fn on_entry(
         &mut self,
         entry: &Entry,
@@ -65,7 +66,7 @@
         let is_current =
             job.current(task).and_then(|current| current.worker()) == Some(&placement.worker);
         if !is_current {
-            // The job was cancelled while the placement was on its way: it must not start.
+            // The job was cancelled before the placement was committed, so the task must not start.
             self.release(task);
             return;
         }
@@ -75,22 +76,25 @@
         }
         let unlogged = !self.unlogged.is_empty();
         if unlogged && job.spec.effect == job::Effect::AtMostOnce {
-            // Peers' memory may be lost with them; a second start elsewhere would follow.
+            // The copies on peers can be lost together with the peers, and the task would then be
+            // started a second time elsewhere. It starts once the placement is in the log.
             self.deferred_starts.insert(task);
             return;
         }
         self.send_start(placement, job, now, unix);
     }
 
-    /// Lets workers drop an ended task. Only once its end is in the log: an owner that finds it
-    /// neither there nor at the worker takes it for never started.
+    /// Tells workers to forget an ended task. This happens only once its end is in the log: a new
+    /// owner that finds the end neither in the log nor at the worker concludes that the task never
+    /// started.
     fn forget(&mut self, task: task::Id) {
         for session in self.sessions.values_mut() {
             session.forget(task);
         }
     }
 
-    /// Does what had to wait until a batch that took effect without the log was in it.
+    /// Performs the actions that were deferred until a batch that took effect without the log is in
+    /// it. Returns the replies to its callers.
     pub(super) fn on_batch_logged(
         &mut self,
         batch: &Batch,
@@ -108,7 +112,7 @@
         replies.into_iter().flat_map(|ticket| self.answer_committed(ticket)).collect()
     }
 
-    /// Starts what took effect without the log and had to wait for it.
+    /// Starts the tasks whose placement took effect without the log and is in it now.
     fn start_deferred(&mut self, batch: &Batch, table: &Table, now: Instant, unix: Unix) {
         let placed = batch.entries.iter().filter_map(|entry| match entry {
             Entry::Placed(placements) => Some(placements),
@@ -127,9 +131,9 @@
         let same_run = |session: &&mut Session| session.run == placement.run;
         match self.sessions.get_mut(&placement.worker).filter(same_run) {
             Some(session) => session.push(start_command(job, task)),
-            // The worker's process changed while the placement was on its way. A start sent now
-            // would run, while the log says that the process it was placed on is gone, and the
-            // next full report would have the task run a second time.
+            // The worker process was replaced before the placement was committed. A start sent now
+            // would run, although the log names the previous process; the next full report would
+            // then lead to a second run.
             None => self.conclude(task, task::End::Rejected, now, unix),
         }
     }
@@ -164,11 +168,11 @@
         }
     }
 
-    /// Queues a task again after its pause. A gang is queued whole, with its first task.
+    /// Queues a task again after its pause. A gang is queued as a whole, with its first task.
     pub(super) fn requeue(&mut self, table: &Table, id: task::Id, now: Instant) {
         let Some(job) = table.get(id.job) else { return };
-        let waits = job.current(id).is_some_and(|task| task.state == AttemptState::Pending);
-        if !waits || self.placing.contains(&id) {
+        let is_pending = job.current(id).is_some_and(|task| task.state == AttemptState::Pending);
+        if !is_pending || self.placing.contains(&id) {
             return;
         }
         if job.spec.kind != Kind::Gang {
@@ -204,12 +208,12 @@
         }
     }
 
-    pub(super) fn prune(&mut self, table: &Table, history: Duration, unix: Unix) {
+    pub(super) fn prune(&mut self, table: &Table, retention: Duration, unix: Unix) {
         if !self.journal.is_empty() {
             return;
         }
-        let old = |job: &&Job| job.ended.is_some_and(|ended| unix.since(ended) > history);
-        for job in table.jobs().filter(old).take(MAX_PRUNED) {
+        let is_expired = |job: &&Job| job.ended.is_some_and(|ended| unix.since(ended) > retention);
+        for job in table.jobs().filter(is_expired).take(MAX_PRUNED) {
             self.journal.push(Entry::Pruned(job.id), None);
         }
     }
--- a/src/owner/owner_step.rs
+++ b/src/owner/owner_step.rs
@@ -1,4 +1,4 @@
-//! The work of an owner: deciding, committing, and acting on what was committed.
+//! Periodic work of the owner: deciding, committing, and acting on committed changes.
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 use crate::store::Offset;
 use crate::worker::Command;
 
-/// Bound on the tasks placed in one step, so that messages are handled in between.
+/// Maximum number of placement decisions in one step, so that messages are handled in between.
 const MAX_DECISIONS: usize = 256;
-/// Bound on the jobs stated anew in one batch.
+/// Maximum number of job snapshots in one batch.
 const MAX_SNAPSHOTS: usize = 64;
-/// Interval of the checks that go over every job or worker.
+/// Interval of the checks that visit every job or worker.
 const SWEEP: Duration = Duration::from_millis(500);
 
 impl Machine {
@@ -55,11 +55,12 @@
         self.out.push(Effect::Heartbeat { to, heartbeat });
     }
 
-    /// Lets an instance that does not answer heartbeats read in the log that this owner lives.
+    /// Appends an empty batch if an instance does not answer heartbeats, so that it sees in the log
+    /// that this owner is alive.
     ///
-    /// Guards against two instances that reach the log and the workers but not each other. While
-    /// nothing else is written, each would take the other for dead and claim the domain from it
-    /// again and again, every time stopping placement until all workers are fenced anew.
+    /// This guards against two instances that reach the log and the workers but not each other. If
+    /// nothing else were written, each would consider the other dead and claim the domain from it
+    /// again and again, and every claim stops placement until all workers are fenced.
     fn keep_alive_in_log(&mut self, now: Instant) {
         let silence = self.timings.claim_timeout / 2;
         let Role::Owner(active) = &self.role else { return };
@@ -130,7 +131,8 @@
         let request = match active.journal.retry(now) {
             _ if !active.unlogged.is_empty() => {
                 let due = active.next_unlogged(now);
-                // The next batch goes to peers, until the log has those before it.
+                // The next batch is committed by copies on peers until the log has the batches
+                // before it.
                 if active.journal.is_idle(now) {
                     active.journal.send_batch(now, position, Vec::new());
                 }
@@ -158,8 +160,8 @@
         }
     }
 
-    /// Before stopping, an owner gives its domain to a peer, so that placement goes on without
-    /// waiting for the claim timeout.
+    /// Hands the domain to a peer before stopping, so that placement continues without waiting for
+    /// the claim timeout.
     fn hand_over(&mut self) {
         let settled = self.active().is_some_and(|active| {
             let written = active.journal.is_empty() && active.unlogged.is_empty();
@@ -177,11 +179,12 @@
         self.out.push(Effect::Stopped);
     }
 
-    /// Takes in that the batch under way was written at `offset`.
+    /// Handles the answer that a batch was written at `offset`.
     ///
-    /// When nothing lies between what was read and the batch, it took effect: no rival's claim can
-    /// precede it. Otherwise the records in between are read before anything is acted on, since an
-    /// owner that was paused may write after a rival's claim, and the batch is then void.
+    /// If the batch directly follows the records already read, it has taken effect, because no
+    /// claim of a rival can precede it. Otherwise the records in between are read before anything
+    /// is acted on: an owner that was paused may write after the claim of a rival, and its batch
+    /// then has no effect.
     pub(super) fn on_batch_written(&mut self, tag: Tag, offset: Offset, now: Instant, unix: Unix) {
         let next = self.replica.next_offset();
         let payload = self.active().and_then(|active| active.payload(tag));
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Begins anew once all that was kept for an earlier owner is in the log.
+    /// Starts again from a new state once all batches stored for an earlier owner are in the log.
     fn finish_recovery(&mut self, now: Instant, unix: Unix) {
         let ended =
             self.active().is_some_and(|a| a.recovering && a.journal.is_empty() && a.claim_logged);
@@ -205,8 +208,8 @@
     }
 
     pub(super) fn on_changed(&mut self, batch: &Batch, now: Instant, unix: Unix) {
-        // What is in the log must not be written a second time by the next owner: its ends would
-        // count twice.
+        // Entries that are in the log must not be appended a second time by the next owner: the
+        // ends of attempts would count twice.
         self.copies.discard_before(batch.epoch, batch.sequence + 1);
         let Role::Owner(active) = &mut self.role else {
             self.election.record_owner_append(now);
@@ -215,8 +218,8 @@
         if batch.epoch != active.epoch {
             return;
         }
-        // What was kept for an earlier owner only has to reach the table: this owner has no word from
-        // the workers yet, and begins anew once all of it is written.
+        // Entries stored for an earlier owner are only added to the table. This owner has no
+        // reports from the workers yet, and starts from a new state once all of them are written.
         let entries = if active.is_established() { batch.entries.as_slice() } else { &[] };
         for entry in entries {
             active.on_entry(entry, &self.replica.table, &self.timings, now, unix);
@@ -226,7 +229,8 @@
         }
         let tickets = active.journal.committed(batch.sequence);
         if !active.unlogged.is_empty() {
-            // Peers' memory may be lost with them, so "accepted" is said once the log has it.
+            // The copies on peers can be lost together with the peers, so callers are answered once
+            // the log has the batch.
             active.deferred_replies.insert(batch.sequence, tickets);
             return;
         }
@@ -236,7 +240,7 @@
     }
 }
 
-/// Jobs whose last whole statement is about to leave the log.
+/// Snapshots of the jobs, and of the alerts, whose latest snapshot is too old.
 fn due_snapshots(replica: &Replica, timings: &Timings, unix: Unix) -> Vec<Entry> {
     let is_due = |job: &&Job| {
         let behind =
@@ -253,7 +257,7 @@
 }
 
 impl Active {
-    /// Content of the batch that `tag` names, if its answer is awaited.
+    /// Content of the batch that `tag` identifies, if its append is in flight.
     fn payload(&self, tag: Tag) -> Option<Bytes> {
         let first = self.unlogged.front().filter(|request| request.tag == tag);
         first.map(|request| request.payload.clone()).or_else(|| self.journal.payload(tag))
--- a/src/owner/peer_commit.rs
+++ b/src/owner/peer_commit.rs
@@ -1,9 +1,10 @@
-//! Batches kept for an owner that cannot reach the log.
+//! Commit of batches by copies on peers, while the owner cannot reach the log.
 //!
-//! While the log is away, an owner lets a batch take effect once every enrolled instance of its
-//! domain keeps a copy. An instance is enrolled once it has seen itself on the owner's list, and it
-//! stays so for the owner's epoch. Any one of the enrolled therefore has all that took effect, and
-//! whichever claims the domain next writes it to the log before it decides anything.
+//! While the log is unreachable, a batch of the owner takes effect once every enrolled instance of
+//! its domain stores a copy. An instance becomes enrolled when it finds itself in the list of the
+//! owner's heartbeat, and stays enrolled for the epoch of that owner. Every enrolled instance
+//! therefore stores every batch that took effect without the log. Whichever of them claims the
+//! domain next writes those batches to the log before it decides anything.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,28 +19,29 @@
 use crate::owner::machine::{Effect, Heartbeat, Machine, Role};
 use crate::owner::record::{Entry, Record};
 
-/// Failure of the log after which batches are handed to peers.
+/// How long the log has to fail before batches are sent to peers.
 const LOG_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause before a batch is handed again to those that have not answered.
+/// Pause before a batch is sent again to the peers that have not confirmed it.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Bound on the batches that take effect without the log, for the memory of those who keep them.
+/// Maximum number of batches that take effect without the log, to limit the memory that their
+/// copies use on the peers.
 const MAX_UNLOGGED: usize = 10_000;
 
-/// A batch for an instance to keep.
+/// Copy of a batch that the owner sends to a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchCopy {
     /// Failure domain it belongs to.
     pub domain: domain::Name,
     /// Epoch of the owner.
     pub epoch: Epoch,
-    /// Place of the batch in that epoch.
+    /// Sequence number of the batch in that epoch.
     pub sequence: u64,
-    /// The record, as it will stand in the log.
+    /// The encoded record, exactly as it is appended to the log later.
     pub payload: Vec<u8>,
 }
 
-/// What an instance keeps for an owner.
+/// Batch copies that an instance stores for the owner.
 #[derive(Clone, Debug, Default)]
 pub struct StoredCopies {
     enrolled_epoch: Option<Epoch>,
@@ -47,43 +49,45 @@
 }
 
 impl StoredCopies {
-    /// Epoch of the owner whose list names this instance.
+    /// Epoch of the owner that enrolled this instance.
     pub fn enrolled_epoch(&self) -> Option<Epoch> {
         self.enrolled_epoch
     }
 
-    /// Whether a batch of that epoch is kept.
+    /// Whether the copy of that batch is stored.
     pub fn contains(&self, epoch: Epoch, sequence: u64) -> bool {
         self.enrolled_epoch == Some(epoch) && self.batches.contains_key(&sequence)
     }
 
     fn enroll(&mut self, epoch: Epoch) {
         if self.enrolled_epoch != Some(epoch) {
-            // An owner lists nobody before it has written down what was kept for earlier ones.
+            // An owner enrolls no instance before the batches stored for earlier owners are in the
+            // log.
             self.enrolled_epoch = Some(epoch);
             self.batches.clear();
         }
     }
 
-    /// Drops the batches before `sequence`, which are in the log.
+    /// Drops the batches before `sequence`: they are in the log.
     pub(super) fn discard_before(&mut self, epoch: Epoch, sequence: u64) {
         if self.enrolled_epoch == Some(epoch) {
             self.batches = self.batches.split_off(&sequence);
         }
     }
 
-    /// Drops every batch, once all are in the log.
+    /// Drops every batch, once all of them are in the log.
     pub(super) fn clear(&mut self) {
         self.batches.clear();
     }
 
-    /// Changes of the batches kept, in order, for the next owner to write.
+    /// Changes of the stored batches, in order, for the next owner to append.
     ///
-    /// Only those of the owner directly before count. What an earlier one had on its way may never
-    /// have taken effect, and its tries have the same numbers as those placed since.
+    /// Only batches of epoch `previous`, directly before the new one, are returned. A batch of an
+    /// earlier owner may never have taken effect, and its attempts have the same numbers as
+    /// attempts that were placed later.
     ///
-    /// Statements of whole jobs are left out: they repeat what the log holds, and written late they
-    /// would take back what has happened since.
+    /// Snapshots are left out: they repeat what the log already contains, and appended late they
+    /// would undo later changes.
     pub(super) fn unlogged_entries(&self, previous: Epoch) -> Vec<Entry> {
         let mut changes = Vec::new();
         if self.enrolled_epoch != Some(previous) {
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Keeps a batch, unless a later owner is known or this instance was not enrolled.
+    /// Stores a batch, unless a later owner is known or this instance is not enrolled.
     pub(super) fn on_store_batch(&mut self, copy: BatchCopy) {
         let current = copy.epoch == self.known_epoch() && !self.is_owner();
         if current && copy.domain == self.domain && self.copies.enrolled_epoch() == Some(copy.epoch)
@@ -116,7 +120,7 @@
         }
     }
 
-    /// Takes in that an instance keeps a batch.
+    /// Records that an instance stores a batch.
     pub(super) fn on_batch_stored(
         &mut self,
         from: &Instance,
@@ -134,7 +138,7 @@
         self.commit_by_peers(now, unix);
     }
 
-    /// Hands the batch under way to the enrolled instances that do not keep it yet.
+    /// Sends the batch in flight to the enrolled instances that have not confirmed it yet.
     pub(super) fn replicate_batch(&mut self, now: Instant) {
         let Role::Owner(active) = &mut self.role else { return };
         if !active.commits_by_peers(now) || now < active.next_copy_at {
@@ -144,20 +148,22 @@
         active.next_copy_at = now.after(RETRY_INTERVAL);
         let domain = self.domain.clone();
         let copy = BatchCopy { domain, epoch: active.epoch, sequence, payload: payload.to_vec() };
-        let missing = active.enrolled.values().filter(|one| !active.stored_by.contains(*one));
-        let to = missing.map(|instance| instance.peer).collect();
+        let unconfirmed =
+            active.enrolled.values().filter(|instance| !active.stored_by.contains(*instance));
+        let to = unconfirmed.map(|instance| instance.peer).collect();
         self.out.push(Effect::StoreBatch { to, copy });
     }
 
-    /// Lets the batch under way take effect once every enrolled instance keeps it.
+    /// Lets the batch in flight take effect once every enrolled instance stores it.
     ///
-    /// The failure: with the log away an owner that waits for it starts nothing, for hours. One
-    /// that starts work on its own memory alone loses it with its process, and the next owner
-    /// starts it again elsewhere. With a copy at every instance that could claim, whoever claims
-    /// has it.
+    /// An owner that waited for the log would start nothing for as long as the outage lasts, which
+    /// can be hours. One that started work from its own memory alone would lose the record with its
+    /// process, and the next owner would start the same work again elsewhere. With a copy at every
+    /// instance that can claim the domain, the next owner always has the record.
     fn commit_by_peers(&mut self, now: Instant, unix: Unix) {
         let Role::Owner(active) = &mut self.role else { return };
-        let all_stored = active.enrolled.values().all(|one| active.stored_by.contains(one));
+        let all_stored =
+            active.enrolled.values().all(|instance| active.stored_by.contains(instance));
         if !all_stored || !active.commits_by_peers(now) {
             return;
         }
@@ -171,11 +177,12 @@
         }
     }
 
-    /// Takes in that a record of this owner is now in the log, which had taken effect before.
+    /// Removes the oldest unlogged batch once it is read from the log, and does what waited for
+    /// that.
     pub(super) fn on_unlogged_batch_read(&mut self, payload: &[u8], now: Instant, unix: Unix) {
         let Role::Owner(active) = &mut self.role else { return };
-        let first = active.unlogged.front().is_some_and(|request| request.payload == payload);
-        if !first {
+        let is_oldest = active.unlogged.front().is_some_and(|request| request.payload == payload);
+        if !is_oldest {
             return;
         }
         active.unlogged.pop_front();
@@ -192,7 +199,7 @@
 }
 
 impl Active {
-    /// Whether batches go to peers because the log is away.
+    /// Whether batches are committed by copies on peers, because the log is unreachable.
     pub(super) fn commits_by_peers(&self, now: Instant) -> bool {
         let log_unavailable =
             self.journal.failing_since().is_some_and(|since| now.since(since) >= LOG_TIMEOUT);
@@ -200,12 +207,13 @@
         has_room && (log_unavailable || !self.unlogged.is_empty()) && !self.enrolled.is_empty()
     }
 
-    /// Takes in that `from` has heard this owner. It joins the list only while the log is there
-    /// and nothing waits for it: an instance that joins later would lack earlier batches.
+    /// Enrolls `from`, which has answered a heartbeat of this owner. Instances are added only while
+    /// the log is reachable and no batch waits for it: one that is added later would lack earlier
+    /// batches.
     pub(super) fn enroll(&mut self, from: &Instance) {
         let replaced = self.enrolled.get(&from.peer).is_some_and(|known| known != from);
         if replaced {
-            // The process before it is gone, and with it the only one who could claim by that name.
+            // The previous process at this address is gone and can no longer claim the domain.
             self.enrolled.remove(&from.peer);
         }
         if self.is_established()
@@ -216,7 +224,7 @@
         }
     }
 
-    /// The record to append next of those that took effect without the log.
+    /// The oldest unlogged batch, when it is due to be appended to the log.
     pub(super) fn next_unlogged(&mut self, now: Instant) -> Option<AppendRequest> {
         if now < self.next_append_at {
             return None;
--- a/src/owner/reconcile.rs
+++ b/src/owner/reconcile.rs
@@ -1,4 +1,4 @@
-//! Bringing what the log states and what workers report into agreement.
+//! Reconciliation of the log with the reports of workers.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
 use crate::task::{self, End, Phase};
 use crate::worker::{self, Command, Observation};
 
-/// Interval at which what the log places on workers is compared with their word.
+/// Interval at which the placements in the log are compared with the reports of workers.
 const RESYNC_INTERVAL: std::time::Duration = std::time::Duration::from_secs(5);
 
 impl Machine {
@@ -105,7 +105,7 @@
                     current.is_some_and(|t| matches!(t.state, AttemptState::Unresolved { .. }));
                 let cancelled = table.get(id.job).is_some_and(|job| job.cancelled.is_some());
                 if cancelled {
-                    // The order to stop may have gone down with an earlier owner or connection.
+                    // The stop command may have been lost with an earlier owner or connection.
                     self.send_command(worker, Command::Stop(id));
                 }
                 if unresolved && let Some(job) = table.get(id.job) {
@@ -121,7 +121,7 @@
                 }
             }
             Phase::Running => {
-                // A try that the log does not place here must not run beside the one that counts.
+                // An attempt that the log does not place here must not run beside the recorded one.
                 self.reserve_for_stray(worker, observation, now);
                 self.send_command(worker, Command::Stop(id));
             }
@@ -130,11 +130,11 @@
         }
     }
 
-    /// The end that counts for a try, given the one that the worker reports.
+    /// The end to record for an attempt, given the end that the worker reports.
     ///
-    /// A worker's new process rejects a start that was repeated to it, though the process before
-    /// may have run the task: the start's answer was lost and the process ended. Taken at its word,
-    /// a task that may run only once would run again.
+    /// A new worker process rejects a repeated start, although the previous process may have run
+    /// the task: the answer to the first start was lost and that process ended. If the rejection
+    /// were recorded, a task that may run only once would run again.
     fn effective_end(&self, worker: &worker::Name, task: Option<&Task>, end: End) -> End {
         let run = self.sessions.get(worker).map_or(0, |session| session.run);
         match task.map(|task| &task.state) {
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Whether a worker's word on a try that the log has waiting is the truth: an owner before this
-    /// one started it without the log, and this one has not placed it itself.
+    /// Whether a worker's report about an attempt that is pending in the log is accepted: an
+    /// earlier owner started the attempt without the log, and this owner has not placed it itself.
     fn is_adoptable(&self, current: Option<&Task>, id: task::Id) -> bool {
         let is_pending = current.is_some_and(|task| task.state == AttemptState::Pending);
         is_pending
@@ -157,12 +157,12 @@
             && !self.concluding.contains(&id)
     }
 
-    /// Asks workers anew for all they run where the log has placed a try that they have not named
-    /// for a while.
+    /// Requests a full report from each worker that has not reported an attempt placed on it in two
+    /// successive checks.
     ///
-    /// The failure: a start or a report is lost in a way that no rule foresees, and the try waits
-    /// on a worker that has nothing to say of it, for ever. A full report settles it like a
-    /// takeover does.
+    /// A start or a report can be lost in a way that no other rule covers, and the attempt would
+    /// then stay placed on that worker forever. A full report resolves it in the same way as after
+    /// a takeover.
     pub(super) fn resync_unreported(&mut self, table: &Table, now: Instant) {
         if now < self.next_resync_at {
             return;
@@ -188,8 +188,8 @@
         self.unreported = missing;
     }
 
-    /// Counts what a try holds that the log does not place there, until the worker has stopped it.
-    /// Otherwise its room would be given away while it is still in use.
+    /// Reserves the resources of an attempt that the log does not place on this worker, until the
+    /// worker has stopped it. Otherwise they would be assigned to another task while still in use.
     fn reserve_for_stray(
         &mut self,
         worker: &worker::Name,
@@ -214,12 +214,12 @@
         }
     }
 
-    /// Settles what the log places on a worker that did not name it in a full report.
+    /// Resolves attempts that the log places on a worker but its full report does not contain.
     ///
-    /// The worker refuses earlier owners by now, so a task it does not know will not start there
-    /// any more. If its process is the one seen when placing, the task was never started, because
-    /// ended tasks stay known until their end is in the log; it is started now. Otherwise the
-    /// process that may have run it is gone and the try ended with it.
+    /// The worker refuses earlier owners by now, so a task missing from the report cannot start
+    /// there any more. If the worker process is the one seen at placement, the task was never
+    /// started, because ended tasks stay in reports until their end is in the log; it is started
+    /// now. Otherwise the process that may have run it is gone, and the attempt has ended with it.
     fn on_full_report(
         &mut self,
         worker: &worker::Name,
@@ -240,12 +240,13 @@
                 self.conclude(id, End::Lapsed, now, unix);
             }
         }
-        let known = |id| summary.tasks.iter().any(|observation| observation.task == id);
+        let is_reported = |id| summary.tasks.iter().any(|observation| observation.task == id);
         for (id, placed_run) in placed_on(table, worker) {
-            if known(id) || self.concluding.contains(&id) {
+            if is_reported(id) || self.concluding.contains(&id) {
                 continue;
             }
-            // What peers alone keep the record of waits for the log, also at a worker that is back.
+            // A placement that only peers have recorded starts once it is in the log, also on a
+            // worker that has returned.
             let deferred = self.deferred_starts.contains(&id);
             if deferred && placed_run == run {
                 continue;
@@ -279,12 +280,12 @@
         }
     }
 
-    /// Ends the tries of workers that have been out of reach for so long that their leases have
-    /// surely lapsed, and places at once what never reached its worker.
+    /// Ends the attempts of workers that have been unreachable for so long that their leases have
+    /// certainly expired. Starts that never reached their worker are placed elsewhere at once.
     ///
-    /// On a worker that this owner has never reached, an earlier owner may still renew leases
-    /// without knowing that it was superseded. Its tries end only once every earlier owner is
-    /// known to be gone, and a lease has passed since.
+    /// On a worker that this owner has never reached, an earlier owner that has not learned that it
+    /// was superseded may still renew leases. Attempts there end only once every earlier owner is
+    /// known to be gone and a lease has passed since.
     pub(super) fn expire_leases(
         &mut self,
         replica: &Replica,
@@ -338,7 +339,7 @@
     }
 }
 
-/// Present tries that may still run on `worker`.
+/// Current attempts that are unresolved and may still run on `worker`.
 fn unresolved_on(table: &Table, worker: &worker::Name) -> Vec<task::Id> {
     let unresolved = |id: &task::Id| {
         let current = table.get(id.job).and_then(|job| job.current(*id));
@@ -347,7 +348,8 @@
     table.placed_on(worker).filter(unresolved).collect()
 }
 
-/// Present tries that the log places on `worker`, with the worker's process when placing.
+/// Current attempts that the log places on `worker`, with the run number of the worker process at
+/// placement.
 fn placed_on(table: &Table, worker: &worker::Name) -> Vec<(task::Id, u64)> {
     let run = |id: task::Id| match &table.get(id.job)?.current(id)?.state {
         AttemptState::Placed { run, .. } => Some((id, *run)),
--- a/src/owner/record.rs
+++ b/src/owner/record.rs
@@ -1,6 +1,6 @@
 //! Records of a failure domain's stream in the log.
 //!
-//! The types here are the serialised form; [`super::table`] holds the model built from them.
+//! These types are the serialised form; [`super::table`] holds the state built from them.
 
 use serde::{Deserialize, Serialize};
 
@@ -20,44 +20,45 @@
 
 /// A claim to own the failure domain from the next epoch on.
 ///
-/// It holds if `epoch` directly follows the epoch in force at its offset, so that the first claim
-/// of an epoch in log order wins and every other instance reads the same winner.
+/// A claim is valid if `epoch` directly follows the epoch in force at its offset. The first claim
+/// of an epoch in log order therefore wins, and every instance that reads the log finds the same
+/// winner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// Epoch claimed.
     pub epoch: Epoch,
-    /// Claimant.
+    /// Instance that makes the claim.
     pub instance: Instance,
-    /// Earlier owners that may still renew leases, because nobody has seen them gone.
+    /// Earlier owners that may still renew leases, because they are not known to have ended.
     #[serde(rename = "formers")]
     pub former_owners: Vec<Instance>,
 }
 
-/// AttemptState from which reading the stream yields the whole state.
+/// Position from which replaying the stream yields the whole state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplayPoint {
     /// First offset to read.
     pub offset: Offset,
-    /// Epoch in force just before it.
+    /// Epoch in force before that offset.
     pub epoch: Epoch,
-    /// Sequence that the next batch of that epoch carries.
+    /// Sequence number of the next batch of that epoch.
     pub sequence: u64,
 }
 
 /// Changes that take effect together.
 ///
-/// `epoch` and `sequence` make a batch idempotent: a copy appended again after a lost answer is
-/// skipped on reading.
+/// `epoch` and `sequence` make a batch idempotent: a copy that was appended again because the
+/// answer to the first append was lost is skipped on replay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Batch {
-    /// Epoch of the writer.
+    /// Epoch of the owner that wrote the batch.
     pub epoch: Epoch,
-    /// Count of the writer's earlier batches in this epoch.
+    /// Number of batches that the owner wrote before this one in the same epoch.
     pub sequence: u64,
-    /// Where a new reader has to start.
+    /// Where a new reader starts its replay.
     #[serde(rename = "floor")]
     pub replay_point: ReplayPoint,
-    /// Changes in order.
+    /// Changes, in the order in which they apply.
     pub entries: Vec<Entry>,
 }
 
@@ -66,23 +67,23 @@
 pub enum Entry {
     /// A job was accepted.
     Accepted(Acceptance),
-    /// Tasks were assigned to workers; all of a gang stand in one entry.
+    /// Tasks were assigned to workers. All tasks of a gang are in one entry.
     Placed(Vec<Placement>),
-    /// A try ended.
+    /// An attempt ended.
     Ended(Conclusion),
-    /// A task may still run on a worker that nobody can reach.
+    /// A task may still run on a worker that is unreachable.
     Unresolved(task::Id),
-    /// A job is to be stopped.
+    /// A job was cancelled.
     Cancelled(Cancellation),
-    /// The whole state of a job, repeated before its older records are dropped.
+    /// Snapshot of a job, written before its older records are dropped from the log.
     Restated(JobSnapshot),
-    /// A finished job left the table.
+    /// An ended job was removed from the table.
     Pruned(job::Id),
-    /// An earlier owner has surely ended its ownership.
+    /// An earlier owner is known to have ended its ownership.
     Retired(Instance),
     /// An alert was raised or acknowledged, or its cause has gone.
     Alert(alert::wire::Record),
-    /// The whole board of alerts, repeated before its older records are dropped.
+    /// Snapshot of all alerts, written before their older records are dropped from the log.
     Alerts(alert::wire::Ledger),
 }
 
@@ -93,7 +94,7 @@
     pub job: job::Id,
     /// Idempotency key under which it was submitted.
     pub key: String,
-    /// What it asks for.
+    /// What the job asks for.
     pub spec: job::Spec,
     /// When it was accepted.
     pub at: Unix,
@@ -102,39 +103,39 @@
 /// Assignment of a task to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// The try.
+    /// The attempt.
     pub task: task::Id,
-    /// Where it runs.
+    /// Worker that runs it.
     pub worker: worker::Name,
-    /// Process of the worker as known when placing. A worker of the same run that does not know
-    /// the task has surely never started it.
+    /// Run number of the worker process at the time of placement. If a worker with the same run
+    /// does not report the task, it has never started it.
     pub run: u64,
 }
 
-/// End of a try.
+/// End of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conclusion {
-    /// The try.
+    /// The attempt.
     pub task: task::Id,
     /// How it ended.
     pub end: task::End,
-    /// When the owner learned of it.
+    /// When the owner received the report.
     pub at: Unix,
 }
 
-/// Request to stop a job.
+/// Cancellation of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cancellation {
     /// The job.
     pub job: job::Id,
-    /// When it was asked for.
+    /// When it was requested.
     pub at: Unix,
 }
 
-/// Whole state of a job.
+/// Snapshot of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSnapshot {
-    /// Identity and description.
+    /// Identity and specification.
     pub acceptance: Acceptance,
     /// When it was cancelled.
     pub cancelled: Option<Unix>,
@@ -144,35 +145,35 @@
     pub tasks: Vec<TaskSnapshot>,
 }
 
-/// State of one task.
+/// Snapshot of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskSnapshot {
-    /// Count of earlier tries.
+    /// Number of earlier attempts.
     pub attempt: u32,
-    /// Count of tries that failed.
+    /// Number of failed attempts.
     pub failures: u32,
-    /// Where the present try stands.
+    /// State of the current attempt.
     #[serde(rename = "position")]
     pub state: AttemptState,
 }
 
-/// Where a try stands.
+/// State of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptState {
-    /// Waits for a worker.
+    /// Waiting for a worker.
     Pending,
     /// Assigned to a worker.
     Placed {
         /// The worker.
         worker: worker::Name,
-        /// Its process when placing.
+        /// Run number of its process at the time of placement.
         run: u64,
     },
-    /// May still run on a worker that nobody can reach.
+    /// May still run on a worker that is unreachable.
     Unresolved {
         /// The worker.
         worker: worker::Name,
     },
-    /// Ended for good.
+    /// Ended, with no further attempt.
     Done(task::End),
 }
--- a/src/owner/replica.rs
+++ b/src/owner/replica.rs
@@ -13,15 +13,15 @@
 use crate::owner::table::Table;
 use crate::store::{Offset, Page};
 
-/// What reading one record did.
+/// Effect of applying one record.
 #[derive(Clone, Debug)]
 pub enum Applied {
-    /// A claim took hold: the claimant owns the failure domain from here on.
+    /// A valid claim: the claimant owns the failure domain from here on.
     Claimed(Claim),
     /// A batch of the owner took effect.
     Changed(Batch),
-    /// The record has no effect: a late claim, a copy of an earlier batch, a batch of an owner
-    /// that was already superseded, or content that cannot be read.
+    /// No effect: a claim that came too late, a copy of an earlier batch, a batch of a superseded
+    /// owner, or an unreadable record.
     NoEffect,
 }
 
@@ -32,7 +32,7 @@
     pub table: Table,
     /// Alerts.
     pub board: Board,
-    /// Offset at which the alerts were last stated whole.
+    /// Offset of the latest snapshot of the alerts.
     board_snapshot_offset: Offset,
     epoch: Epoch,
     owner: Option<Instance>,
@@ -40,15 +40,16 @@
     claimed_at: Offset,
     next_sequence: u64,
     previous_epoch: Epoch,
-    /// Batches that took effect before they were read from the log.
+    /// Number of batches that took effect here but have not been read from the log yet.
     unlogged_batches: u64,
     next_offset: Offset,
-    /// What was in force before each record read, for use as a replay point.
+    /// Epoch and next sequence number before each record read, from which the replay point is
+    /// chosen.
     replay_points: VecDeque<ReplayPoint>,
 }
 
 impl Replica {
-    /// An empty state that starts reading at `floor`.
+    /// Creates an empty state that starts its replay at `replay_point`.
     pub fn starting_at(replay_point: ReplayPoint) -> Self {
         Self {
             epoch: replay_point.epoch,
@@ -60,25 +61,26 @@
         }
     }
 
-    /// Epoch in force at this point of the stream.
+    /// Epoch in force at this offset of the stream.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Owner in that epoch, when its claim was read.
+    /// Owner in that epoch, if its claim was read.
     pub fn owner(&self) -> Option<&Instance> {
         self.owner.as_ref()
     }
 
-    /// Earlier owners that nobody has seen gone. One that was cut off may not know that it was
-    /// superseded, and may still renew leases on workers that the present owner cannot reach.
+    /// Earlier owners not known to have ended. An owner that was cut off may not have learned that
+    /// it was superseded, and may still renew leases on workers that the current owner cannot
+    /// reach.
     pub fn former_owners(&self) -> &[Instance] {
         &self.former_owners
     }
 
-    /// The claim by which `instance` would become the owner in `epoch`.
+    /// The claim by which `instance` would own the domain in `epoch`.
     pub fn claim_for(&self, instance: &Instance, epoch: Epoch) -> Claim {
-        // A process that listens where a former owner did proves that one gone.
+        // A new process at a former owner's address shows that the former owner is gone.
         let other_address = |former: &&Instance| former.peer != instance.peer;
         let former_owners =
             self.former_owners.iter().chain(&self.owner).filter(other_address).cloned().collect();
@@ -90,20 +92,20 @@
         self.previous_epoch
     }
 
-    /// First offset not yet read.
+    /// Offset of the next record to read.
     pub fn next_offset(&self) -> Offset {
         self.next_offset
     }
 
-    /// Sequence of the next batch.
+    /// Sequence number of the next batch.
     pub fn next_sequence(&self) -> u64 {
         self.next_sequence
     }
 
-    /// Where a new reader has to start so that it ends in this state.
+    /// Where a new reader has to start in order to reach this state.
     ///
-    /// Nothing live was stated before the oldest statement; the claim in force must be read too,
-    /// since only it names the owner.
+    /// It is not after the oldest record that contains a job or the alerts as a whole and is still
+    /// needed, nor after the claim in force, which is the only record that names the owner.
     pub fn replay_point(&self) -> ReplayPoint {
         let jobs = self.table.oldest_snapshot().unwrap_or(self.next_offset);
         let needed = jobs.min(self.claimed_at).min(self.board_replay_offset());
@@ -111,12 +113,13 @@
         after.checked_sub(1).map(|index| self.replay_points[index]).unwrap_or_default()
     }
 
-    /// Offset from which the alerts can be read; they matter as soon as one was ever raised.
+    /// Offset from which the alerts can be replayed: that of their snapshot, or the end if no alert
+    /// was ever raised.
     fn board_replay_offset(&self) -> Offset {
         if self.board.is_blank() { self.next_offset } else { self.board_snapshot_offset }
     }
 
-    /// Whether the alerts were last stated whole more than `records` ago.
+    /// Whether the latest snapshot of the alerts is more than `records` records old.
     pub fn is_board_snapshot_old(&self, records: Offset) -> bool {
         !self.board.is_blank()
             && self.next_offset.saturating_sub(self.board_snapshot_offset) > records
@@ -127,8 +130,8 @@
         while self.replay_points.len() > 1 && self.replay_points[1].offset <= replay_point {
             self.replay_points.pop_front();
         }
-        // A new reader finds in the log what took effect here before it was there, so it has to
-        // start with the sequence that the log has come to.
+        // A batch that took effect here before it was in the log is still ahead of a new reader,
+        // which therefore starts with the sequence number that the log has reached.
         let sequence = self.next_sequence - self.unlogged_batches;
         self.replay_points.push_back(ReplayPoint { offset, epoch: self.epoch, sequence });
     }
@@ -138,7 +141,7 @@
         page.oldest > self.next_offset
     }
 
-    /// Reads one record. Records must come in the order of their offsets without a gap.
+    /// Applies one record. Records must be applied in the order of their offsets, without a gap.
     pub fn apply(&mut self, offset: Offset, payload: &Bytes, now: Unix) -> Applied {
         debug_assert_eq!(offset, self.next_offset, "records are applied without a gap");
         self.add_replay_point(offset);
@@ -153,11 +156,11 @@
         }
     }
 
-    /// Lets a batch take effect that is not in the log yet; its record is void when it is read.
-    /// Whether it followed on what was read.
+    /// Applies a batch that is not in the log yet; its record has no effect when it is read later.
+    /// Returns whether the batch was the next in sequence.
     ///
-    /// What it states counts as stated at the next offset, which is not after the place where it
-    /// will stand.
+    /// Snapshots in the batch get the next offset, which is not after the offset that the batch
+    /// will have in the log.
     pub fn apply_unlogged(&mut self, batch: &Batch, now: Unix) -> bool {
         let took_effect =
             matches!(self.apply_batch(self.next_offset, batch.clone(), now), Applied::Changed(_));
--- a/src/owner/session.rs
+++ b/src/owner/session.rs
@@ -1,4 +1,4 @@
-//! What the owner knows of one worker: fencing, lease, commands on their way.
+//! The owner's state for one worker: fencing, lease and pending commands.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -11,12 +11,13 @@
 use crate::task;
 use crate::worker::{Command, Error, Exchange, Fault, Observation, Report};
 
-/// Bound on the commands of one exchange.
+/// Maximum number of commands in one exchange.
 const MAX_COMMANDS: usize = 64;
 
-/// Which of the two calls to a worker an exchange belongs to.
+/// Which of the two concurrent calls to a worker an exchange belongs to.
 ///
-/// A watch is held by the worker until something changes, so commands go beside it.
+/// The worker delays its answer to a watch until something changes, so commands are sent in a
+/// separate call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Channel {
     /// Renews the leases and waits for changes.
@@ -28,20 +29,20 @@
 /// An exchange to send.
 #[derive(Clone, Debug)]
 pub struct ExchangeRequest {
-    /// Call it belongs to.
+    /// Call that carries the exchange.
     pub channel: Channel,
-    /// Where to send it.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// Content.
+    /// The exchange to send.
     pub exchange: Exchange,
 }
 
-/// What a report means.
+/// Summary of a report from a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReportSummary {
-    /// The worker answered after being unfenced or out of reach, with all it knows.
+    /// The report is a full one: the worker was unfenced, unreachable or restarted before.
     pub resynced: bool,
-    /// The worker's process is another one than before; what ran there is gone.
+    /// The worker process was replaced; everything that ran in the previous one is gone.
     pub restarted: bool,
     /// Tasks that changed, or all of them when `resynced`.
     pub tasks: Vec<Observation>,
@@ -50,20 +51,20 @@
 /// State of one worker.
 #[derive(Clone, Debug)]
 pub struct Session {
-    /// Where it is reached.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// Rack it stands in.
+    /// Rack of the worker.
     pub rack: String,
-    /// Whether the list says that it is leaving.
+    /// Whether the instance list marks it as leaving or no longer contains it.
     pub leaving: bool,
-    /// What it has.
+    /// Its total resources; zero before the first report.
     pub capacity: Amount,
-    /// Last process seen; zero before the first report.
+    /// Run number of the last worker process seen; zero before the first report.
     pub run: u64,
-    /// Tasks that hold resources there, by the worker's own word.
+    /// Tasks that hold resources there, according to its reports.
     pub running: BTreeMap<task::Id, Observation>,
     fenced: bool,
-    /// Whether the worker has told all it runs in this epoch, or surely runs nothing any more.
+    /// Whether the worker has sent a full report in this epoch, or certainly runs nothing any more.
     reported: bool,
     last_sequence: u64,
     leased_at: Option<Instant>,
@@ -71,15 +72,15 @@
     failures: u32,
     retry_at: Option<Instant>,
     outbox: VecDeque<Command>,
-    /// Commands at the head of the outbox that the call under way carries.
+    /// Number of commands at the head of the outbox that the current call carries.
     commands_in_flight: usize,
-    /// Whether a call with commands is under way.
+    /// Whether a call with commands is in flight.
     command_call_in_flight: bool,
     watch_call_in_flight: bool,
     deliveries: BTreeMap<task::Id, Delivery>,
     /// Ended tasks that the worker still reports.
     reported_ended: BTreeSet<task::Id>,
-    /// Starts whose first try is the command exchange under way.
+    /// Starts that the current command call sends for the first time.
     first_sends: Vec<task::Id>,
 }
 
@@ -91,7 +92,7 @@
 }
 
 impl Session {
-    /// A worker that was never reached in this epoch.
+    /// Creates the session of a worker that was not reached in this epoch.
     pub fn new(address: SocketAddr, rack: &str) -> Self {
         Self {
             address,
@@ -117,51 +118,53 @@
         }
     }
 
-    /// Whether the worker refuses earlier owners and has told this one all it runs.
+    /// Whether the worker refuses earlier owners and has sent this one a full report.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// Asks the worker for all it runs with the next exchange, and closes it until then.
+    /// Requests a full report with the next exchange; no tasks are placed on the worker until then.
     pub fn resync(&mut self) {
         self.fenced = false;
     }
 
-    /// Whether the start of `task` is still to be sent or answered.
+    /// Whether the start of `task` is still to be sent or confirmed.
     pub fn is_starting(&self, task: task::Id) -> bool {
         self.outbox.iter().any(|command| is_start_of(command, task))
     }
 
-    /// Whether it is known what earlier owners left there.
+    /// Whether it is known which tasks earlier owners left on the worker.
     pub fn has_reported(&self) -> bool {
         self.reported
     }
 
-    /// Whether new tasks may go there.
+    /// Whether new tasks may be placed on the worker.
     pub fn is_open(&self) -> bool {
         self.fenced && self.failing_since.is_none() && !self.leaving
     }
 
-    /// Since when it has not answered.
+    /// Time since which calls to the worker have failed.
     pub fn failing_since(&self) -> Option<Instant> {
         self.failing_since
     }
 
-    /// Queues a command; it is repeated until the worker has answered to it.
+    /// Queues a command. It is repeated until the worker confirms it.
     pub fn push(&mut self, command: Command) {
         if let Command::Start { task, .. } = &command {
-            // A start that is repeated may have reached the worker the first time.
+            // A repeated start may have reached the worker the first time, so an existing state is
+            // kept.
             self.deliveries.entry(*task).or_insert(Delivery::NotSent);
         }
         self.outbox.push_back(command);
     }
 
-    /// Whether the start of `task` has surely not reached the worker.
+    /// Whether the start of `task` has certainly not reached the worker.
     pub fn is_unsent(&self, task: task::Id) -> bool {
         self.deliveries.get(&task) == Some(&Delivery::NotSent)
     }
 
-    /// Withdraws a start that has surely not reached the worker.
+    /// Withdraws the start of `task` if it has certainly not reached the worker. Returns whether it
+    /// did.
     pub fn withdraw_start(&mut self, task: task::Id) -> bool {
         let unsent = self.is_unsent(task);
         if unsent {
@@ -177,15 +180,16 @@
     pub fn poll(&mut self, now: Instant, epoch: Epoch, timings: &Timings) -> Vec<ExchangeRequest> {
         let mut requests = Vec::new();
         let backing_off = self.retry_at.is_some_and(|at| now < at);
-        // A watch that names a later report than a command under way would overtake it, and the
-        // worker would answer to the command without applying it.
+        // A watch that acknowledges a later report than a command call in flight would overtake it,
+        // and the worker would answer the command call without applying its commands.
         if !self.watch_call_in_flight && !backing_off && !self.command_call_in_flight {
             requests.push(self.watch_request(now, epoch, timings));
         }
         let reachable = self.fenced && self.failing_since.is_none();
-        // One call with commands at a time, also when the outbox was emptied under it: the failure of
-        // an earlier call that nothing was sent would otherwise be taken for that of a later one, and
-        // a start that has reached the worker would count as never sent and be placed elsewhere.
+        // Only one call with commands may be in flight, even if the outbox was emptied meanwhile.
+        // Otherwise the failure of an earlier call ("nothing was sent") would be attributed to a
+        // later one, and a start that has reached the worker would count as never sent and be
+        // placed elsewhere.
         if reachable && !self.command_call_in_flight && !self.outbox.is_empty() {
             requests.push(self.command_request(now, epoch, timings));
         }
@@ -238,36 +242,39 @@
         ExchangeRequest { channel, address: self.address, exchange }
     }
 
-    /// Lease to grant with the next exchange.
+    /// Lease to grant with the next exchange; zero if none is granted.
     ///
-    /// None before the worker's first report: a worker counts a lease from the report that the
-    /// exchange names, so an exchange that names none could be held up in the network and renew
-    /// long after it was sent.
+    /// No lease is granted before the first report of the worker. A worker counts a lease from the
+    /// report that the exchange acknowledges. An exchange that acknowledges none could be delayed
+    /// in the network and renew the lease long after it was sent.
     ///
-    /// None either for a worker that has not answered for half a lease: each renewal that may have
-    /// arrived would put off the time from which its tasks have surely stopped, and a worker that
-    /// hears but cannot answer would hold its tasks for ever.
+    /// No lease is granted either to a worker that has not answered for half a lease. Each renewal
+    /// that may have arrived would postpone the time from which its tasks have certainly stopped,
+    /// and a worker that receives calls but cannot answer would keep its tasks forever.
     fn lease(&self, now: Instant, timings: &Timings) -> Duration {
-        let silent = self.failing_since.is_some_and(|since| now.since(since) > timings.lease / 2);
-        if silent || !self.fenced { Duration::ZERO } else { timings.lease }
+        let unreachable =
+            self.failing_since.is_some_and(|since| now.since(since) > timings.lease / 2);
+        if unreachable || !self.fenced { Duration::ZERO } else { timings.lease }
     }
 
-    /// Whether every task there has surely stopped because no renewal can have kept its lease.
+    /// Whether every task on the worker has certainly stopped, because no renewal can have kept its
+    /// lease.
     ///
-    /// Counted from the last send that could renew, not from the last answer: a renewal whose
-    /// answer was lost still renewed.
+    /// The time counts from the last exchange sent that could renew the lease, not from the last
+    /// answer: a renewal whose answer was lost has still renewed it.
     pub fn has_lapsed(&self, now: Instant, timings: &Timings) -> bool {
-        let silent = self.failing_since.is_some();
+        let unreachable = self.failing_since.is_some();
         let bound = timings.lease + timings.lease_margin;
-        silent && self.leased_at.is_some_and(|at| now.since(at) > bound)
+        unreachable && self.leased_at.is_some_and(|at| now.since(at) > bound)
     }
 
-    /// Whether this owner may have granted a lease to its tasks.
+    /// Whether this owner may have granted a lease to the tasks of the worker.
     pub fn was_leased(&self) -> bool {
         self.leased_at.is_some()
     }
 
-    /// Takes in an answer. `None` when it is older than one already taken in.
+    /// Applies a report of the worker. Returns `None` if it is older than one already applied, or
+    /// if a full report is needed first.
     pub fn on_report(&mut self, channel: Channel, report: &Report) -> Option<ReportSummary> {
         self.finish_exchange(channel, true);
         self.failing_since = None;
@@ -280,7 +287,8 @@
             return None;
         }
         if resynced && !report.full {
-            // The delta of a new process says nothing of what the old one ran; ask for all.
+            // A partial report of a new process does not cover the tasks of the old one; request a
+            // full report.
             self.fenced = false;
             return None;
         }
@@ -296,8 +304,9 @@
         if resynced {
             self.running.clear();
             self.reported_ended.clear();
-            // What was on its way is derived anew from the log and this report. A start repeated
-            // to a new process of the worker would run a task that the old process ran already.
+            // Pending commands are derived again from the log and this report. A start that is
+            // repeated to a new worker process would run a task that the old process had already
+            // run.
             self.outbox.clear();
             self.first_sends.clear();
             self.commands_in_flight = 0;
@@ -316,7 +325,7 @@
         }
     }
 
-    /// Takes in a failure and returns the epoch that fenced this owner off, if that was the cause.
+    /// Handles a failed call. Returns the epoch that fenced this owner off, if that was the cause.
     pub fn on_failure(
         &mut self,
         channel: Channel,
@@ -353,21 +362,21 @@
         }
     }
 
-    /// Tells the worker to drop an ended task, if it may know it.
+    /// Tells the worker to forget an ended task that it still reports.
     pub fn forget(&mut self, task: task::Id) {
         if self.reported_ended.remove(&task) {
             self.outbox.push_back(Command::Forget(task));
         }
     }
 
-    /// What the worker's tasks were last measured to use in all.
+    /// Total resource usage of the worker's tasks, as last measured.
     pub fn usage(&self) -> Amount {
         let add = |sum: Amount, task: &Observation| sum.saturating_add(&task.usage);
         self.running.values().fold(Amount::ZERO, add)
     }
 
-    /// Forgets every task and command, once the tasks have surely stopped. The next answer has to
-    /// tell all that the worker runs before anything is placed there again.
+    /// Clears all tasks and commands once the tasks have certainly stopped. A full report is needed
+    /// before anything is placed on the worker again.
     pub fn clear(&mut self) {
         self.fenced = false;
         self.reported = true;
--- a/src/owner/table/job.rs
+++ b/src/owner/table/job.rs
@@ -1,4 +1,4 @@
-//! A job as the log states it, and the rules that turn the end of a try into the next one.
+//! A job as recorded in the log, and the rules that decide what follows the end of an attempt.
 
 use crate::clock::Unix;
 use crate::job::{self, Effect, Kind};
@@ -9,7 +9,8 @@
 use crate::task::{self, End};
 use crate::worker;
 
-/// Failed tries after which a task is given up.
+/// Number of failed attempts after which a task is not retried. A long-running task is retried
+/// without limit, and an alert is raised instead.
 pub const MAX_FAILURES: u32 = 3;
 
 /// A job with the state of its tasks.
@@ -19,7 +20,7 @@
     pub id: job::Id,
     /// Idempotency key under which it was submitted.
     pub key: String,
-    /// What it asks for.
+    /// What the job asks for.
     pub spec: job::Spec,
     /// When it was accepted.
     pub accepted: Unix,
@@ -29,20 +30,20 @@
     pub ended: Option<Unix>,
     /// Tasks by index.
     pub tasks: Vec<Task>,
-    /// Offset of the latest record that states the whole job.
+    /// Offset of the latest record that contains the whole job: its acceptance or a snapshot.
     pub snapshot_offset: Offset,
-    /// Wall-clock time at which the reader saw that record.
+    /// Wall-clock time at which this instance applied that record.
     pub snapshot_read_at: Unix,
 }
 
 /// A task of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Task {
-    /// Count of earlier tries.
+    /// Number of earlier attempts.
     pub attempt: u32,
-    /// Count of tries that failed.
+    /// Number of failed attempts.
     pub failures: u32,
-    /// Where the present try stands.
+    /// State of the current attempt.
     pub state: AttemptState,
 }
 
@@ -51,7 +52,7 @@
         Self { attempt: 0, failures: 0, state: AttemptState::Pending }
     }
 
-    /// The worker that may hold resources for the present try.
+    /// The worker that may hold resources for the current attempt.
     pub fn worker(&self) -> Option<&worker::Name> {
         match &self.state {
             AttemptState::Placed { worker, .. } | AttemptState::Unresolved { worker } => {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Whether it ended for good otherwise than in success.
+    /// Whether the task ended without success and is not retried.
     fn ended_without_success(&self) -> bool {
         matches!(self.state, AttemptState::Done(end) if end != End::Succeeded)
     }
@@ -73,40 +74,40 @@
 }
 
 impl Job {
-    /// Identity of the present try of task `index`.
+    /// Identity of the current attempt of task `index`.
     pub fn task_id(&self, index: usize) -> task::Id {
         let attempt = self.tasks[index].attempt;
         task::Id { job: self.id, index: u32::try_from(index).unwrap_or(u32::MAX), attempt }
     }
 
-    /// The present try of every task.
+    /// The current attempt of every task.
     pub fn attempts(&self) -> impl Iterator<Item = task::Id> {
         (0..self.tasks.len()).map(|index| self.task_id(index))
     }
 
-    /// The present tries that wait for a worker.
+    /// The current attempts that wait for a worker.
     pub fn pending(&self) -> impl Iterator<Item = task::Id> {
-        let waits = |task: &Task| task.state == AttemptState::Pending;
-        self.attempts().zip(&self.tasks).filter(move |(_, task)| waits(task)).map(|(id, _)| id)
+        let is_pending = |task: &Task| task.state == AttemptState::Pending;
+        self.attempts().zip(&self.tasks).filter(move |(_, task)| is_pending(task)).map(|(id, _)| id)
     }
 
-    /// The task that `id` names, if `id` is its present try.
+    /// The task of `id`, if `id` is its current attempt.
     pub fn current(&self, id: task::Id) -> Option<&Task> {
         self.tasks.get(id.index as usize).filter(|task| task.attempt == id.attempt)
     }
 
-    /// Whether every task has ended for good.
+    /// Whether every task has ended and none is retried.
     pub fn is_over(&self) -> bool {
         self.tasks.iter().all(|task| matches!(task.state, AttemptState::Done(_)))
     }
 
-    /// Whether any task ended for good otherwise than in success, though nobody cancelled the job.
+    /// Whether any task ended without success, in a job that was not cancelled.
     pub fn ended_without_success(&self) -> bool {
         self.cancelled.is_none() && self.tasks.iter().any(Task::ended_without_success)
     }
 
-    /// Whether a task of a gang ended without success, so that the others must stop before the
-    /// gang starts anew.
+    /// Whether a task of a gang ended without success while others have not ended. They must stop
+    /// before the gang restarts.
     pub fn is_gang_broken(&self) -> bool {
         self.spec.kind == Kind::Gang
             && self.tasks.iter().any(Task::ended_without_success)
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Present tries with the worker that may hold resources for each.
+    /// Current attempts, with the worker that may hold resources for each.
     pub fn placements(&self) -> impl Iterator<Item = (&worker::Name, task::Id)> {
         self.tasks
             .iter()
@@ -198,14 +199,16 @@
             return Transition::Finish;
         }
         let unresolved = matches!(task.state, AttemptState::Unresolved { .. });
-        // A process that rejects a start says nothing of the one before it, on which the try became
-        // uncertain; taken for "never ran", a task that may run only once would run again.
+        // The process that rejects a start is a new one; the previous process may have run the
+        // attempt, which is why it is unresolved. If the rejection counted as "never ran", a task
+        // that may run only once would run again.
         if end == End::Rejected && self.spec.kind != Kind::Gang && !unresolved {
             return Transition::Retry;
         }
         if self.spec.effect == Effect::AtMostOnce {
             return match end {
-                // Told a second time, the worker is back without the task or given up for good.
+                // An unresolved attempt lapses when its worker returns without the task or is
+                // declared lost.
                 End::Lapsed if !unresolved => Transition::Unresolved,
                 _ => Transition::Finish,
             };
@@ -224,8 +227,8 @@
         }
     }
 
-    /// Puts a whole gang back to waiting once none of its tasks holds a worker, if one of them
-    /// ended without success and tries are left.
+    /// Returns a whole gang to pending once all its tasks have ended, if one of them ended without
+    /// success and none has used up its attempts.
     fn restart_gang(&mut self) {
         let can_restart = self.spec.kind == Kind::Gang
             && self.spec.effect == Effect::Idempotent
--- a/src/owner/table/mod.rs
+++ b/src/owner/table/mod.rs
@@ -1,7 +1,7 @@
-//! Jobs of a failure domain as the log states them.
+//! Jobs of a failure domain, as recorded in the log.
 //!
-//! Every instance of the domain builds the same table from the same records, so the rules that
-//! turn an end into a retry live here and depend on nothing but the records.
+//! Every instance of the domain builds the same table from the same records. The rules that decide
+//! whether a task is retried are therefore part of the table and depend on nothing but the records.
 
 mod job;
 
@@ -20,9 +20,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
     jobs: BTreeMap<Id, Job>,
-    /// Jobs by the offset of their last whole statement.
+    /// Jobs by the offset of their latest snapshot.
     snapshots: BTreeSet<(Offset, Id)>,
-    /// Present tries by the worker that may hold resources for them.
+    /// Current attempts, by the worker that may hold resources for them.
     placed: BTreeMap<worker::Name, BTreeSet<task::Id>>,
 }
 
@@ -53,25 +53,25 @@
         self.jobs.is_empty()
     }
 
-    /// Oldest offset at which a job is stated whole.
+    /// Offset of the oldest among the latest snapshots of all jobs.
     pub fn oldest_snapshot(&self) -> Option<Offset> {
         self.snapshots.first().map(|(offset, _)| *offset)
     }
 
-    /// Jobs by the age of their last whole statement, oldest first.
+    /// Jobs by the offset of their latest snapshot, oldest first.
     pub fn by_snapshot_age(&self) -> impl Iterator<Item = &Job> {
         self.snapshots.iter().filter_map(|(_, id)| self.jobs.get(id))
     }
 
-    /// Present tries for which `worker` may hold resources.
+    /// Current attempts for which `worker` may hold resources.
     pub fn placed_on(&self, worker: &worker::Name) -> impl Iterator<Item = task::Id> {
         self.placed.get(worker).into_iter().flatten().copied()
     }
 
-    /// Takes in one change read at `offset`.
+    /// Applies one change read at `offset`.
     ///
-    /// A change to a job that the table does not hold is skipped: the reader started past the
-    /// job's acceptance, and its restatement follows.
+    /// A change to a job that is not in the table is skipped: the replay started after the job was
+    /// accepted, and a snapshot of the job follows.
     pub fn apply(&mut self, entry: &Entry, offset: Offset, now: Unix) {
         match entry {
             Entry::Accepted(acceptance) if self.jobs.contains_key(&acceptance.job) => {}
--- a/src/owner/timings.rs
+++ b/src/owner/timings.rs
@@ -7,35 +7,37 @@
 /// Timeouts and intervals of the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timings {
-    /// Interval of the owner's heartbeats to the instances of its domain.
+    /// Interval between the owner's heartbeats to the other instances of its domain.
     pub heartbeat_interval: Duration,
-    /// Silence after which an instance claims the domain; later ranks wait longer.
+    /// Time without a sign of the owner after which the first-ranked instance claims the domain;
+    /// instances of a later rank wait longer.
     pub claim_timeout: Duration,
-    /// Lease that each exchange grants to the tasks of a worker.
+    /// Duration of the lease that each exchange grants to the tasks of a worker.
     pub lease: Duration,
-    /// Added to lapsed leases for clocks and transit.
+    /// Added to a lease before it counts as expired, to allow for clock drift and network delay.
     pub lease_margin: Duration,
-    /// Longest time a worker holds an exchange back while it has nothing new.
+    /// Longest time a worker delays its answer to an exchange while it has no changes to report.
     pub exchange_wait: Duration,
-    /// First pause before an unreachable worker is tried again.
+    /// Base of the exponential pause before an unreachable worker is contacted again; the pause
+    /// after the first failure is twice as long.
     pub probe_min: Duration,
-    /// Longest pause before an unreachable worker is tried again.
+    /// Upper limit of the pause before an unreachable worker is contacted again.
     pub probe_max: Duration,
-    /// Shortest interval between two appends.
+    /// Minimum interval between two batches.
     pub commit_delay: Duration,
-    /// How long a read of the log waits for a record.
+    /// How long a read at the end of the log waits for a new record.
     pub read_wait: Duration,
-    /// Interval at which an owner that appends nothing looks for a rival's claim.
+    /// Interval at which the owner reads the log for a rival's claim.
     pub rival_check_interval: Duration,
-    /// First pause before a task that failed is placed again.
+    /// Base of the exponential pause before a failed task is placed again.
     pub retry_min: Duration,
-    /// Longest pause before a task that failed is placed again.
+    /// Upper limit of the pause before a failed task is placed again.
     pub retry_max: Duration,
-    /// Records after which a job is stated anew.
+    /// A job is written as a whole again once its last snapshot is this many records old.
     pub snapshot_records: Offset,
-    /// Age after which a job is stated anew.
+    /// A job is written as a whole again once its last snapshot is this old.
     pub snapshot_age: Duration,
-    /// How long an ended job is remembered.
+    /// How long an ended job stays in the table.
     pub ended_job_retention: Duration,
 }
 
