--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -8,13 +8,13 @@
 use crate::entry::controller::{Borders, Controller};
 use crate::entry::readiness::Readiness;
 use crate::entry::witness::Witness;
-use crate::membership::probe::Connect;
-use crate::membership::seed::Seeded;
-use crate::membership::view::Guard;
+use crate::membership::probe::TcpProbe;
+use crate::membership::seed::SeededSource;
+use crate::membership::view::ViewPolicy;
 use crate::membership::{Member, Role, Source, State};
 use crate::owner::Timings;
 use crate::owner::machine::Machine;
-use crate::placement::{Leaning, Policy, Preset};
+use crate::placement::{Objective, Policy, Preset};
 use crate::settings::{Peer, Settings, Weighs};
 use crate::shutdown::Shutdown;
 use crate::store::{Failover, Store};
@@ -63,7 +63,7 @@
             self.me.clone(),
             settings.domain.clone(),
             timings(settings),
-            Policy::of(Preset::Ordinary, weighs(settings)),
+            Policy::for_preset(Preset::Ordinary, weighs(settings)),
             self.clock.now(),
         );
         let workers = worker::http::Client::new(self.client.clone());
@@ -101,9 +101,9 @@
         let measured: Rc<dyn Source> = Rc::new(measured::List(Rc::new(source)));
         let seeds = settings.peers.iter().map(seed).collect();
         membership::follow::start(membership::follow::Setup {
-            source: Rc::new(Seeded::new(measured, seeds)),
-            probe: Rc::new(Connect { timeout: settings.peer_calls.timeout }),
-            guard: Guard::default(),
+            source: Rc::new(SeededSource::new(measured, seeds)),
+            probe: Rc::new(TcpProbe { timeout: settings.peer_calls.timeout }),
+            policy: ViewPolicy::default(),
             interval: list.poll,
             clock: self.clock.clone(),
             stop: self.stop.clone(),
@@ -112,10 +112,10 @@
 }
 
 /// What the deployment weighs more.
-pub fn weighs(settings: &Settings) -> Leaning {
+pub fn weighs(settings: &Settings) -> Objective {
     match settings.weighs {
-        Weighs::Packing => Leaning::Packing,
-        Weighs::Waiting => Leaning::Waiting,
+        Weighs::Packing => Objective::Packing,
+        Weighs::Waiting => Objective::Waiting,
     }
 }
 
--- a/src/owner/active.rs
+++ b/src/owner/active.rs
@@ -17,7 +17,7 @@
 use crate::owner::session::Session;
 use crate::owner::table::{Job, Table};
 use crate::owner::{Ticket, Timings};
-use crate::placement::{Availability, Engine, Holding, Policy, Request};
+use crate::placement::{Engine, Policy, Request, RunningTask, SchedulingState};
 use crate::resource::Amount;
 use crate::{config, domain, job, task, worker};
 
@@ -215,7 +215,7 @@
     }
 
     pub(super) fn adopt(&mut self, id: task::Id, worker: &worker::Name, job: &Job, now: Instant) {
-        self.engine.adopt(id, worker, &holding(&job.spec, now));
+        self.engine.adopt(id, worker, &running_task(&job.spec, now));
         self.reserved.insert(id, worker.clone());
     }
 
@@ -275,9 +275,9 @@
         let Some(session) = self.sessions.get(name) else { return };
         let is_drained = self.is_drained(name, session);
         let availability = match (session.is_open(), session.leaving || is_drained) {
-            (true, false) => Availability::Open,
-            (_, true) => Availability::Draining,
-            (false, false) => Availability::Closed,
+            (true, false) => SchedulingState::Open,
+            (_, true) => SchedulingState::Draining,
+            (false, false) => SchedulingState::Closed,
         };
         self.engine.upsert_worker(name, &session.rack, session.capacity, availability);
     }
@@ -359,8 +359,8 @@
     }
 }
 
-fn holding(spec: &Spec, started: Instant) -> Holding {
-    Holding {
+fn running_task(spec: &Spec, started: Instant) -> RunningTask {
+    RunningTask {
         demand: spec.demand,
         team: spec.team.clone(),
         name: spec.name.clone(),
@@ -373,8 +373,8 @@
 }
 
 /// Resources held by an attempt that is not in the table.
-pub(super) fn stray_holding(demand: Amount, started: Instant) -> Holding {
-    Holding {
+pub(super) fn stray_task(demand: Amount, started: Instant) -> RunningTask {
+    RunningTask {
         demand,
         team: String::new(),
         name: String::new(),
--- a/src/owner/calls.rs
+++ b/src/owner/calls.rs
@@ -73,10 +73,10 @@
     /// Why no worker could ever run such a job. `None` until the capacity of every listed worker is
     /// known, so that a new owner does not refuse a job that a worker it has not reached yet could
     /// run.
-    fn impossible(&self, spec: &job::Spec) -> Option<placement::Reason> {
+    fn impossible(&self, spec: &job::Spec) -> Option<placement::PendingReason> {
         let tasks = usize::try_from(spec.tasks).unwrap_or(usize::MAX);
         self.has_all_capacities()
-            .then(|| self.engine.impossible(&spec.demand, spec.kind, tasks))
+            .then(|| self.engine.infeasible_reason(&spec.demand, spec.kind, tasks))
             .flatten()
     }
 
--- a/src/owner/machine/message.rs
+++ b/src/owner/machine/message.rs
@@ -154,7 +154,7 @@
     /// The idempotency key was used for a different job.
     KeyReused,
     /// No worker could ever run the job.
-    Impossible(placement::Reason),
+    Impossible(placement::PendingReason),
     /// Too many changes wait for the log.
     Busy,
     /// The log cannot be reached.
--- a/src/owner/reconcile.rs
+++ b/src/owner/reconcile.rs
@@ -5,7 +5,7 @@
 use crate::clock::{Instant, Unix};
 use crate::domain::Epoch;
 use crate::owner::Timings;
-use crate::owner::active::{Active, stray_holding};
+use crate::owner::active::{Active, stray_task};
 use crate::owner::machine::{Machine, Role};
 use crate::owner::on_commit::start_command;
 use crate::owner::record::{AttemptState, Entry, Placement};
@@ -73,7 +73,7 @@
             self.on_full_report(worker, summary, table, now, unix);
         }
         let usage = self.sessions.get(worker).map(|session| session.usage()).unwrap_or_default();
-        self.engine.observe_usage(worker, usage);
+        self.engine.observe_worker_usage(worker, usage);
     }
 
     fn on_observed(
@@ -197,7 +197,7 @@
         now: Instant,
     ) {
         if !self.reserved.contains_key(&observation.task) {
-            self.engine.adopt(observation.task, worker, &stray_holding(observation.demand, now));
+            self.engine.adopt(observation.task, worker, &stray_task(observation.demand, now));
             self.reserved.insert(observation.task, worker.clone());
         }
     }
