--- a/tests/logic/cell/upstream.rs
+++ b/tests/logic/cell/upstream.rs
@@ -4,8 +4,10 @@
 use std::collections::BTreeMap;
 
 use oriolefork::cell::Epoch;
-use oriolefork::cell::job::{End, Run, TaskKey};
-use oriolefork::cell::link::{Ended, Fault, Look, Report, Running, Start};
+use oriolefork::cell::dependencies::{
+    EndedRun, PollReport, PollRequest, RunStatus, StartOrder, WorkerError,
+};
+use oriolefork::cell::job::{Run, RunOutcome, TaskKey};
 use oriolefork::resource::Amount;
 
 /// Share by which the clock runs slow.
@@ -29,7 +31,7 @@
     offset_ms: u64,
     fence: Epoch,
     until_ms: u64,
-    ended: Vec<Ended>,
+    ended: Vec<EndedRun>,
     last_number: u64,
     forgotten: u64,
     /// Highest try of each task that ended or was stopped here.
@@ -87,19 +89,20 @@
         }
         let runs: Vec<Run> = self.runs.keys().copied().collect();
         for run in &runs {
-            self.end(*run, End::Lapsed);
+            self.end(*run, RunOutcome::LeaseExpired);
         }
         runs
     }
 
-    pub fn look(&mut self, look: &Look, now: u64) -> Result<Report, Fault> {
+    pub fn look(&mut self, look: &PollRequest, now: u64) -> Result<PollReport, WorkerError> {
         self.check(look.epoch)?;
         self.extend(look.until_ms, now);
         self.forgotten = self.forgotten.max(look.recorded);
         let forgotten = self.forgotten;
         self.ended.retain(|end| end.number > forgotten);
-        let running = |run: &Run| Running { run: *run, saved: String::new(), percent: 0, load: 0 };
-        Ok(Report {
+        let running =
+            |run: &Run| RunStatus { run: *run, saved: String::new(), percent: 0, load: 0 };
+        Ok(PollReport {
             clock_ms: self.clock_ms(now),
             running: self.runs.keys().map(running).collect(),
             ended: self.ended.clone(),
@@ -108,7 +111,12 @@
     }
 
     /// Takes an order to start; `true` when the try begins with it.
-    pub fn start(&mut self, start: &Start, demand: Amount, now: u64) -> Result<bool, Fault> {
+    pub fn start(
+        &mut self,
+        start: &StartOrder,
+        demand: Amount,
+        now: u64,
+    ) -> Result<bool, WorkerError> {
         self.check(start.epoch)?;
         if self.runs.contains_key(&start.run) {
             return Ok(false);
@@ -116,21 +124,21 @@
         let over = self.over.get(&start.run.task).copied().unwrap_or(0);
         if start.run.number <= over {
             self.extend(Some(start.until_ms), now);
-            return Err(Fault::Over);
+            return Err(WorkerError::RunEnded);
         }
         if start.until_ms <= self.clock_ms(now) {
-            return Err(Fault::Late);
+            return Err(WorkerError::LeaseExpired);
         }
         self.extend(Some(start.until_ms), now);
         self.runs.insert(start.run, demand);
         Ok(true)
     }
 
-    pub fn stop(&mut self, run: Run, epoch: Epoch) -> Result<bool, Fault> {
+    pub fn stop(&mut self, run: Run, epoch: Epoch) -> Result<bool, WorkerError> {
         self.check(epoch)?;
         let ran = self.runs.contains_key(&run);
         if ran {
-            self.end(run, End::Stopped);
+            self.end(run, RunOutcome::Stopped);
         }
         let over = self.over.entry(run.task).or_insert(0);
         *over = (*over).max(run.number);
@@ -142,20 +150,20 @@
         self.ended.is_empty()
     }
 
-    pub fn end(&mut self, run: Run, end: End) {
+    pub fn end(&mut self, run: Run, end: RunOutcome) {
         if self.runs.remove(&run).is_none() {
             return;
         }
         self.last_number += 1;
         let number = self.last_number;
-        self.ended.push(Ended { number, run, end, saved: String::new() });
+        self.ended.push(EndedRun { number, run, end, saved: String::new() });
         let over = self.over.entry(run.task).or_insert(0);
         *over = (*over).max(run.number);
     }
 
-    fn check(&mut self, epoch: Epoch) -> Result<(), Fault> {
+    fn check(&mut self, epoch: Epoch) -> Result<(), WorkerError> {
         if epoch < self.fence {
-            return Err(Fault::Fenced);
+            return Err(WorkerError::Fenced);
         }
         self.fence = epoch;
         Ok(())
--- a/tests/logic/cell/world/faults.rs
+++ b/tests/logic/cell/world/faults.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
+use oriolefork::cell::dependencies::RosterUpdate;
 use oriolefork::cell::job::Run;
-use oriolefork::cell::link::Roster;
 use oriolefork::cell::machine::{Machine, Message};
 use oriolefork::cell::record::Batch;
 use oriolefork::cell::state::State;
@@ -121,7 +121,7 @@
                 self.workers.get(&name).map_or(model::cores(CORES), |upstream| upstream.capacity);
             (name.into(), Rc::new(model::listed(*number, capacity)))
         });
-        let roster = Roster { present: present.collect(), gone: Vec::new(), whole: true };
+        let roster = RosterUpdate { present: present.collect(), gone: Vec::new(), whole: true };
         for owner in 0..self.owners.len() {
             let delay = self.rng.random_range(5..400);
             let message = Message::Roster(roster.clone());
--- a/tests/logic/cell/world/mod.rs
+++ b/tests/logic/cell/world/mod.rs
@@ -12,8 +12,8 @@
 
 use bytes::Bytes;
 use oriolefork::cell::Epoch;
-use oriolefork::cell::job::{End, Id, Job, Run, TaskKey};
-use oriolefork::cell::link::{Base, Look, Rejected, Start};
+use oriolefork::cell::dependencies::{AppendError, PollRequest, Snapshot, StartOrder};
+use oriolefork::cell::job::{Id, Job, Run, RunOutcome, TaskKey};
 use oriolefork::cell::machine::{Answer, Call, Effect, Machine, Message};
 use oriolefork::cell::record::Batch;
 use oriolefork::clock::{Instant, Unix};
@@ -54,8 +54,8 @@
 }
 
 enum Order {
-    Look(Look),
-    Start(Start),
+    Look(PollRequest),
+    Start(StartOrder),
     Stop(Run, Epoch),
 }
 
@@ -75,7 +75,7 @@
 }
 
 /// What the world knows of a job.
-struct Watched {
+struct WatchResponse {
     job: Job,
     accepted: bool,
     /// A cancellation without an answer may be carried out or not.
@@ -98,14 +98,14 @@
     claims: u64,
     store_down: bool,
     /// State that an owner saved last, as far as it got before it was replaced.
-    saved: Option<Base>,
+    saved: Option<Snapshot>,
     workers: BTreeMap<String, Upstream>,
     lives: BTreeMap<usize, u32>,
     /// Workers that have crashed and are not back yet.
     down: BTreeSet<String>,
     events: BTreeMap<(u64, u64), Event>,
     serial: u64,
-    jobs: BTreeMap<Id, Watched>,
+    jobs: BTreeMap<Id, WatchResponse>,
     calls: BTreeMap<(usize, u64), Id>,
     next_call: u64,
     done_noted: BTreeSet<TaskKey>,
@@ -190,7 +190,7 @@
 
     pub fn submit(&mut self, job: Job, fails: bool, crashes: bool) {
         let id = job.id;
-        let watched = Watched {
+        let watched = WatchResponse {
             job: job.clone(),
             accepted: false,
             cancel_asked: false,
@@ -212,7 +212,7 @@
 
     /// Jobs that were accepted and not cancelled.
     pub fn accepted(&self) -> u64 {
-        let kept = |watched: &&Watched| watched.accepted && watched.cancelled_at.is_none();
+        let kept = |watched: &&WatchResponse| watched.accepted && watched.cancelled_at.is_none();
         self.jobs.values().filter(kept).count() as u64
     }
 
@@ -317,9 +317,9 @@
         answered: bool,
     ) {
         let outcome = if self.store_down {
-            Err(Rejected::NotWritten("down".to_owned()))
+            Err(AppendError::NotWritten("down".to_owned()))
         } else if epoch < self.epoch {
-            Err(Rejected::Fenced)
+            Err(AppendError::Fenced)
         } else if sequence == self.sequence + 1 {
             self.sequence = sequence;
             self.note_records(&batch);
@@ -329,7 +329,7 @@
             assert!(sequence <= self.sequence, "a gap in the numbers of batches");
             Ok(self.journal.len() as u64)
         };
-        let outcome = if answered { outcome } else { Err(Rejected::Unknown("lost".to_owned())) };
+        let outcome = if answered { outcome } else { Err(AppendError::Unknown("lost".to_owned())) };
         let delay = if answered { 3 } else { 900 };
         let message = Message::Appended { sequence, sent: Instant::from_millis(sent), outcome };
         self.schedule(delay, Event::Owner { owner, message });
@@ -345,10 +345,10 @@
                         watched.cancelled_at.get_or_insert(self.now);
                     }
                 }
-                Record::Ended { run, end: End::Done, .. } => {
+                Record::Ended { run, end: RunOutcome::Succeeded, .. } => {
                     self.done_noted.insert(run.task);
                 }
-                Record::Ended { run, end: End::Failed, .. } => {
+                Record::Ended { run, end: RunOutcome::Failed, .. } => {
                     self.failures.entry(run.task).or_default().insert(run.number);
                 }
                 _ => {}
--- a/tests/logic/cell/world/orders.rs
+++ b/tests/logic/cell/world/orders.rs
@@ -1,7 +1,7 @@
 //! Orders at the workers: on time, late or lost; and what becomes of the tries there.
 
-use oriolefork::cell::job::{End, Run};
-use oriolefork::cell::link::{Fault, Start};
+use oriolefork::cell::dependencies::{StartOrder, WorkerError};
+use oriolefork::cell::job::{Run, RunOutcome};
 use oriolefork::cell::machine::Message;
 use oriolefork::clock::Instant;
 use oriolefork::resource::Amount;
@@ -30,7 +30,7 @@
     }
 
     pub(super) fn no_answer(&mut self, owner: usize, worker: &str, order: &Order, sent: u64) {
-        let fault = || Fault::Unknown("timeout".to_owned());
+        let fault = || WorkerError::Unknown("timeout".to_owned());
         let message = reply(worker, order, sent, Err(fault()), Err(fault()));
         self.schedule(400, Event::Owner { owner, message });
     }
@@ -45,7 +45,7 @@
     ) {
         if self.down.contains(worker) {
             if answered {
-                let refused = || Fault::NotSent("connection refused".to_owned());
+                let refused = || WorkerError::NotSent("connection refused".to_owned());
                 let message = reply(worker, order, sent, Err(refused()), Err(refused()));
                 self.schedule(2, Event::Owner { owner, message });
             }
@@ -53,8 +53,13 @@
         }
         let Some(upstream) = self.workers.get_mut(worker) else {
             if answered {
-                let message =
-                    reply(worker, order, sent, Err(Fault::OtherLife), Err(Fault::OtherLife));
+                let message = reply(
+                    worker,
+                    order,
+                    sent,
+                    Err(WorkerError::OtherIncarnation),
+                    Err(WorkerError::OtherIncarnation),
+                );
                 self.schedule(2, Event::Owner { owner, message });
             }
             return;
@@ -66,7 +71,7 @@
             return;
         }
         if upstream.resetting && answered && !matches!(order, Order::Look(_)) {
-            let reset = || Err(Fault::Unknown("connection reset".to_owned()));
+            let reset = || Err(WorkerError::Unknown("connection reset".to_owned()));
             let message = reply(worker, order, sent, Ok(Default::default()), reset());
             return self.schedule(2, Event::Owner { owner, message });
         }
@@ -103,7 +108,7 @@
         }
     }
 
-    pub(super) fn begin(&mut self, worker: &str, start: &Start) {
+    pub(super) fn begin(&mut self, worker: &str, start: &StartOrder) {
         let run = start.run;
         let model = &start.payload.steps[run.task.step.step as usize];
         if self.jobs[&run.task.step.job].crashes && run.task.index == 0 {
@@ -139,7 +144,7 @@
             return;
         }
         let fails = self.jobs[&run.task.step.job].fails;
-        let end = if fails { End::Failed } else { End::Done };
+        let end = if fails { RunOutcome::Failed } else { RunOutcome::Succeeded };
         let gang = self.jobs[&run.task.step.job].job.steps[run.task.step.step as usize].gang;
         let members = if gang { self.members(&run) } else { vec![(worker.to_owned(), run)] };
         let count = self.jobs[&run.task.step.job].job.steps[run.task.step.step as usize].count;
@@ -147,10 +152,10 @@
             return;
         }
         for (number, (worker, member)) in members.into_iter().enumerate() {
-            let end = if fails && number > 0 { End::Broken } else { end };
+            let end = if fails && number > 0 { RunOutcome::GangBroken } else { end };
             let Some(upstream) = self.workers.get_mut(&worker) else { continue };
             upstream.end(member, end);
-            if end == End::Done {
+            if end == RunOutcome::Succeeded {
                 self.done.insert(member.task, self.now);
             }
         }
@@ -162,7 +167,7 @@
         if let Some(upstream) = self.workers.get_mut(worker)
             && !together
         {
-            upstream.end(run, End::Alone);
+            upstream.end(run, RunOutcome::GangTimeout);
         }
     }
 
@@ -183,13 +188,13 @@
         }
         for (worker, member) in self.members(run) {
             if let Some(upstream) = self.workers.get_mut(&worker) {
-                upstream.end(member, End::Broken);
+                upstream.end(member, RunOutcome::GangBroken);
             }
         }
     }
 }
 
-pub(super) fn demand(start: &Start) -> Amount {
+pub(super) fn demand(start: &StartOrder) -> Amount {
     start.payload.steps[start.run.task.step.step as usize].room()
 }
 
@@ -197,8 +202,8 @@
     worker: &str,
     order: &Order,
     sent: u64,
-    report: Result<oriolefork::cell::link::Report, Fault>,
-    clock: Result<u64, Fault>,
+    report: Result<oriolefork::cell::dependencies::PollReport, WorkerError>,
+    clock: Result<u64, WorkerError>,
 ) -> Message {
     let worker = worker.into();
     match order {
--- a/tests/process/election.rs
+++ b/tests/process/election.rs
@@ -10,15 +10,15 @@
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 use monoio::{LegacyDriver, RuntimeBuilder};
-use oriolefork::cell::duty::Ledger;
-use oriolefork::cell::job::{Run, StepKey};
-use oriolefork::cell::link::{
-    Advisor, Allowed, Base, Fault, Journal, Lists, Look, Page, Rejected, Report, Roster, Sign,
-    Start, Unread, Workers,
+use oriolefork::cell::activity::ThreadProfiler;
+use oriolefork::cell::dependencies::{
+    Advisor, AppendError, Discovery, Eligibility, Journal, OwnerRecord, Page, PollReport,
+    PollRequest, ReadError, RosterUpdate, Snapshot, StartOrder, WorkerClient, WorkerError,
 };
+use oriolefork::cell::job::{Run, StepKey};
 use oriolefork::cell::node::{Identity, Node};
-use oriolefork::cell::owner::Borders;
-use oriolefork::cell::queue::Table;
+use oriolefork::cell::owner::Dependencies;
+use oriolefork::cell::queue::QueueConfig;
 use oriolefork::cell::record::WorkerId;
 use oriolefork::cell::timings::Timings;
 use oriolefork::cell::{Epoch, Id};
@@ -34,7 +34,7 @@
 const POLL_PAUSE: Duration = Duration::from_millis(5);
 
 /// A journal whose owner of epoch 1 writes at each read, or has stopped.
-struct Watched {
+struct WatchResponse {
     owner: SocketAddr,
     writes: bool,
     end: Cell<u64>,
@@ -42,7 +42,7 @@
     claims: Cell<u32>,
 }
 
-impl Journal for Watched {
+impl Journal for WatchResponse {
     fn append<'a>(
         &'a self,
         _cell: Id,
@@ -50,20 +50,20 @@
         _sequence: u64,
         _batch: Bytes,
         _timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<u64, Rejected>> {
+    ) -> LocalBoxFuture<'a, Result<u64, AppendError>> {
         self.claims.set(self.claims.get() + 1);
         std::future::pending().boxed_local()
     }
 
-    fn read(&self, _cell: Id, _from: u64) -> LocalBoxFuture<'_, Result<Page, Unread>> {
+    fn read(&self, _cell: Id, _from: u64) -> LocalBoxFuture<'_, Result<Page, ReadError>> {
         self.reads.set(self.reads.get() + 1);
         self.end.set(self.end.get() + u64::from(self.writes));
         let end = self.end.get();
         async move { Ok(Page { records: Vec::new(), next: end, end }) }.boxed_local()
     }
 
-    fn base(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Base, String>> {
-        async { Ok(Base::default()) }.boxed_local()
+    fn base(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Snapshot, String>> {
+        async { Ok(Snapshot::default()) }.boxed_local()
     }
 
     fn save<'a>(
@@ -71,7 +71,7 @@
         _cell: Id,
         _epoch: Epoch,
         _sequence: u64,
-        _base: &'a Base,
+        _base: &'a Snapshot,
     ) -> LocalBoxFuture<'a, Result<(), String>> {
         std::future::pending().boxed_local()
     }
@@ -80,13 +80,13 @@
         &self,
         _cell: Id,
         _sequence: u64,
-        _sign: Sign,
-    ) -> LocalBoxFuture<'_, Result<(), Rejected>> {
+        _sign: OwnerRecord,
+    ) -> LocalBoxFuture<'_, Result<(), AppendError>> {
         std::future::pending().boxed_local()
     }
 
-    fn sign(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Option<Sign>, String>> {
-        let sign = Sign { epoch: Epoch(1), peer: self.owner, strength: 250 };
+    fn sign(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Option<OwnerRecord>, String>> {
+        let sign = OwnerRecord { epoch: Epoch(1), peer: self.owner, strength: 250 };
         async move { Ok(Some(sign)) }.boxed_local()
     }
 }
@@ -94,14 +94,14 @@
 /// Workers, a policy service and lists that nobody reaches.
 struct Nobody;
 
-impl Workers for Nobody {
+impl WorkerClient for Nobody {
     fn look<'a>(
         &'a self,
         _peer: SocketAddr,
         _worker: &'a str,
-        _look: &'a Look,
+        _look: &'a PollRequest,
         _timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<Report, Fault>> {
+    ) -> LocalBoxFuture<'a, Result<PollReport, WorkerError>> {
         std::future::pending().boxed_local()
     }
 
@@ -109,9 +109,9 @@
         &'a self,
         _peer: SocketAddr,
         _worker: &'a str,
-        _start: &'a Start,
+        _start: &'a StartOrder,
         _timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<u64, Fault>> {
+    ) -> LocalBoxFuture<'a, Result<u64, WorkerError>> {
         std::future::pending().boxed_local()
     }
 
@@ -122,7 +122,7 @@
         _run: Run,
         _epoch: Epoch,
         _timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<u64, Fault>> {
+    ) -> LocalBoxFuture<'a, Result<u64, WorkerError>> {
         std::future::pending().boxed_local()
     }
 }
@@ -133,15 +133,15 @@
         _step: &'a StepKey,
         _workers: &'a [WorkerId],
         _timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<Allowed, String>> {
+    ) -> LocalBoxFuture<'a, Result<Eligibility, String>> {
         std::future::pending().boxed_local()
     }
 }
 
-impl Lists for Nobody {
+impl Discovery for Nobody {
     fn restart(&self) {}
 
-    fn roster(&self) -> LocalBoxFuture<'_, Result<Roster, String>> {
+    fn roster(&self) -> LocalBoxFuture<'_, Result<RosterUpdate, String>> {
         std::future::pending().boxed_local()
     }
 
@@ -149,21 +149,21 @@
         &self,
         _version: u64,
         _wait: Duration,
-    ) -> LocalBoxFuture<'_, Result<Option<Table>, String>> {
+    ) -> LocalBoxFuture<'_, Result<Option<QueueConfig>, String>> {
         std::future::pending().boxed_local()
     }
 }
 
 /// Follows an owner whose machine takes connections and answers nothing, until `enough`; returns how
 /// often its cell was claimed.
-fn follow_silent_owner(writes: bool, enough: impl Fn(&Watched) -> bool) -> u32 {
+fn follow_silent_owner(writes: bool, enough: impl Fn(&WatchResponse) -> bool) -> u32 {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let owner = silent.local_addr().expect("an address");
     let builder = RuntimeBuilder::<LegacyDriver>::new();
     // The instance outlives the story; the runtime must not be dropped under it.
     let mut runtime = ManuallyDrop::new(builder.enable_timer().build().expect("a runtime"));
     runtime.block_on(async {
-        let journal = Rc::new(Watched {
+        let journal = Rc::new(WatchResponse {
             owner,
             writes,
             end: Cell::new(7),
@@ -173,14 +173,14 @@
         let limits =
             peer::Limits { keepalive: Duration::from_millis(100), ..peer::Limits::default() };
         let clock: Rc<dyn Clock> = Rc::new(System::start());
-        let borders = Borders {
+        let borders = Dependencies {
             journal: journal.clone(),
             workers: Rc::new(Nobody),
             advisor: Rc::new(Nobody),
             lists: Rc::new(Nobody),
             peers: Rc::new(peer::Client::new(limits)),
             clock,
-            duties: Ledger::new(),
+            duties: ThreadProfiler::new(),
         };
         let identity = Identity {
             me: ([127, 0, 0, 1], 9).into(),
@@ -203,7 +203,8 @@
 /// same work and more, which answered nobody either, the cell changed hands each second.
 #[test]
 fn owner_that_is_silent_and_writes_is_kept() {
-    let enough = |journal: &Watched| journal.reads.get() >= MANY_READS || journal.claims.get() > 0;
+    let enough =
+        |journal: &WatchResponse| journal.reads.get() >= MANY_READS || journal.claims.get() > 0;
     assert_eq!(follow_silent_owner(true, enough), 0);
 }
 
