--- a/benches/cell/mix.rs
+++ b/benches/cell/mix.rs
@@ -192,19 +192,19 @@
         let queue = |(number, kind): (usize, &Kind)| Queue {
             name: number.to_string(),
             host: "jobs.example".to_owned(),
-            prefix: format!("/{number}/"),
+            path_prefix: format!("/{number}/"),
             service: SERVICE.to_owned(),
             priority: kind.priority,
-            attempts: kind.attempts,
+            max_failures: kind.attempts,
             stretch: kind.stretch,
             target_ms: kind.target_ms,
             advice: Some(Advice {
                 decide_ms: kind.advice.0,
-                each_ms: kind.advice.1,
+                per_worker_ms: kind.advice.1,
                 valid_ms: 1_500,
             }),
         };
-        let service = Service { name: SERVICE.to_owned(), guards: false };
+        let service = Service { name: SERVICE.to_owned(), enforces_capacity: false };
         let queues = self.kinds.iter().enumerate().map(queue).map(Rc::new).collect();
         Rc::new(QueueConfig { version: 1, queues, services: vec![service] })
     }
@@ -234,7 +234,7 @@
                 accelerators: 0,
             },
             estimate_ms: around(self.work_ms, 0.5, rng) as u64,
-            after: if number == 0 { Vec::new() } else { vec![number - 1] },
+            depends_on: if number == 0 { Vec::new() } else { vec![number - 1] },
             gang,
             checkpoints: rng.random_bool(0.5),
             ..Step::default()
--- a/src/cell/crash_score.rs
+++ b/src/cell/crash_score.rs
@@ -32,7 +32,7 @@
     /// suspicion.note(RunOutcome::WorkerCrashedAtStart, false);
     /// assert!(suspicion.is_proven());
     /// ```
-    pub fn note(&mut self, end: RunOutcome, lasting: bool) {
+    pub fn record(&mut self, end: RunOutcome, lasting: bool) {
         match end {
             RunOutcome::WorkerCrashedAtStart => self.0 = self.0.saturating_add(AT_START),
             RunOutcome::WorkerCrashed | RunOutcome::Succeeded | RunOutcome::Failed if lasting => {
@@ -45,12 +45,12 @@
 
     /// Whether enough speaks for it that the task begins apart from others: a crash at its start, or two
     /// others. One alone is what any task meets that was on the worker.
-    pub const fn is_strong(self) -> bool {
+    pub const fn is_suspect(self) -> bool {
         self.0 >= AT_START
     }
 
     /// Whether the task is to be given up.
-    pub const fn is_proven(self) -> bool {
+    pub const fn is_proven_cause(self) -> bool {
         self.0 >= PROVEN
     }
 }
--- a/src/cell/election/standby.rs
+++ b/src/cell/election/standby.rs
@@ -41,7 +41,7 @@
         let timeout = if self.reading.begun { TAIL_TIMEOUT } else { WHOLE_TIMEOUT };
         let _ = monoio::time::timeout(timeout, self.read()).await;
         let retention = self.node.timings.status_retention;
-        self.reading.state.forget(self.node.borders.clock.unix(), retention);
+        self.reading.state.remove_expired(self.node.borders.clock.unix(), retention);
         self.next_keep_up = self.node.borders.clock.now().after(REST);
     }
 
--- a/src/cell/incarnation.rs
+++ b/src/cell/incarnation.rs
@@ -13,10 +13,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerIncarnation<'a> {
     /// Name under which the worker stands in the list.
-    pub entry: &'a str,
+    pub listed_name: &'a str,
     /// When this life began, on the worker's wall clock in milliseconds; `None` where workers have
     /// another name in each life.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
 }
 
 impl<'a> WorkerIncarnation<'a> {
@@ -28,20 +28,20 @@
     /// assert_eq!(WorkerIncarnation::of(&life.name()), life);
     /// assert_eq!(WorkerIncarnation::of("i-7f3a"), WorkerIncarnation { entry: "i-7f3a", born: None });
     /// ```
-    pub fn of(name: &'a str) -> Self {
+    pub fn parse(name: &'a str) -> Self {
         let parts = name.rsplit_once(SEPARATOR);
         let told = parts.and_then(|(entry, born)| Some((entry, born.parse().ok()?)));
         match told {
-            Some((entry, born)) => Self { entry, born: Some(born) },
-            None => Self { entry: name, born: None },
+            Some((entry, born)) => Self { listed_name: entry, started_at_ms: Some(born) },
+            None => Self { listed_name: name, started_at_ms: None },
         }
     }
 
     /// Its name.
-    pub fn name(&self) -> WorkerId {
-        match self.born {
-            Some(born) => format!("{}{SEPARATOR}{born}", self.entry).into(),
-            None => self.entry.into(),
+    pub fn worker_id(&self) -> WorkerId {
+        match self.started_at_ms {
+            Some(born) => format!("{}{SEPARATOR}{born}", self.listed_name).into(),
+            None => self.listed_name.into(),
         }
     }
 }
--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -89,7 +89,8 @@
     /// Rough run time of one task, in milliseconds, as the caller guessed it.
     pub estimate_ms: u64,
     /// Earlier steps that must all have ended well before this one starts.
-    pub after: Vec<usize>,
+    #[serde(rename = "after")]
+    pub depends_on: Vec<usize>,
     /// Whether its tasks save their progress.
     pub checkpoints: bool,
     /// Whether the tasks only work together.
@@ -97,23 +98,30 @@
     /// Whether the tasks are much slower on more than one rack.
     pub same_rack: bool,
     /// Label that the worker must carry.
-    pub label: Option<String>,
+    #[serde(rename = "label")]
+    pub required_label: Option<String>,
     /// Rack where the data lies; elsewhere the tasks are much slower.
     pub data_rack: Option<String>,
     /// Most tasks of the step on one worker; zero for no bound.
-    pub spread: u32,
+    #[serde(rename = "spread")]
+    pub max_per_worker: u32,
     /// Whether several copies of a task may run at once.
-    pub copies: bool,
+    #[serde(rename = "copies")]
+    pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
-    pub lasting: bool,
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
     /// What the tasks run, as the caller names it.
     pub image: Option<String>,
     /// Bound on the tail of the response times of lasting tasks, in milliseconds.
-    pub target_ms: Option<u64>,
+    #[serde(rename = "target_ms")]
+    pub latency_target_ms: Option<u64>,
     /// Whether the tasks take what others leave unused instead of room of their own.
-    pub fills: bool,
+    #[serde(rename = "fills")]
+    pub opportunistic: bool,
     /// Tasks that the scheduler's own actions may keep away at one time, for lasting steps.
-    pub may_miss: Option<u32>,
+    #[serde(rename = "may_miss")]
+    pub max_unavailable: Option<u32>,
 }
 
 /// Why a job is refused for good.
@@ -138,13 +146,13 @@
 
 impl Step {
     /// Whether its tasks serve users of their own and must answer them in time.
-    pub const fn serves(&self) -> bool {
-        self.target_ms.is_some()
+    pub const fn has_latency_target(&self) -> bool {
+        self.latency_target_ms.is_some()
     }
 
     /// Room that one task takes on its worker.
-    pub const fn room(&self) -> Amount {
-        if self.fills { Amount { cpu_millis: 0, ..self.demand } } else { self.demand }
+    pub const fn reservation(&self) -> Amount {
+        if self.opportunistic { Amount { cpu_millis: 0, ..self.demand } } else { self.demand }
     }
 }
 
@@ -153,7 +161,7 @@
     ///
     /// # Errors
     /// Tells the first thing that is wrong.
-    pub fn check(&self) -> Result<(), InvalidJob> {
+    pub fn validate(&self) -> Result<(), InvalidJob> {
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
             return Err(InvalidJob::Steps);
         }
@@ -162,7 +170,7 @@
             return Err(InvalidJob::Tasks);
         }
         for (number, step) in self.steps.iter().enumerate() {
-            if step.after.iter().any(|&earlier| earlier >= number) {
+            if step.depends_on.iter().any(|&earlier| earlier >= number) {
                 return Err(InvalidJob::Order { step: number });
             }
         }
@@ -180,7 +188,7 @@
     }
 
     /// When occurrence `number` is due; `None` for a job that runs at once.
-    pub fn due(&self, number: u32) -> Option<Unix> {
+    pub fn due_at(&self, number: u32) -> Option<Unix> {
         let schedule = self.schedule?;
         let offset = schedule.interval_ms.saturating_mul(u64::from(number));
         Some(Unix::from_millis(schedule.first.as_millis().saturating_add(offset)))
@@ -318,7 +326,7 @@
 
 impl RunOutcome {
     /// Whether its worker told of it, so that the try surely began.
-    pub const fn is_told(self) -> bool {
+    pub const fn is_reported_by_worker(self) -> bool {
         !matches!(
             self,
             Self::NeverStarted
--- a/src/cell/lease.rs
+++ b/src/cell/lease.rs
@@ -48,7 +48,7 @@
     ///
     /// The first reading also bounds what earlier owners granted: no grant reaches further than a
     /// whole lease from now, and the worker refuses their orders from here on.
-    pub fn read(&mut self, worker_ms: u64, received: Instant) {
+    pub fn observe_clock(&mut self, worker_ms: u64, received: Instant) {
         if self.reading.is_none() {
             self.granted_ms = worker_ms + millis(self.length);
         }
@@ -56,7 +56,7 @@
     }
 
     /// Whether the worker's clock is known.
-    pub const fn is_known(&self) -> bool {
+    pub const fn is_clock_known(&self) -> bool {
         self.reading.is_some()
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// When everything granted so far has surely run out; `None` before the clock is known.
-    pub fn lapse(&self) -> Option<Instant> {
+    pub fn expires_at(&self) -> Option<Instant> {
         let reading = self.reading?;
         let left = self.granted_ms.saturating_sub(reading.worker_ms) as f64 / (1.0 - CLOCK_DRIFT);
         Some(reading.received.after(Duration::from_millis(left.ceil() as u64) + LEASE_MARGIN))
--- a/src/cell/machine/commit.rs
+++ b/src/cell/machine/commit.rs
@@ -131,14 +131,17 @@
             PLAIN + job.payload.len() + job.queue.len() + text + STEP * job.steps.len()
         }
         Record::Placed { runs, .. } => PLAIN + RUN * runs.len(),
-        Record::Ended { saved, .. } => PLAIN + saved.len(),
+        Record::Ended { checkpoint: saved, .. } => PLAIN + saved.len(),
         _ => PLAIN,
     }
 }
 
 fn step_text(step: &crate::cell::job::Step) -> usize {
     let text = |text: &Option<String>| text.as_ref().map_or(0, String::len);
-    text(&step.label) + text(&step.data_rack) + text(&step.image) + 8 * step.after.len()
+    text(&step.required_label)
+        + text(&step.data_rack)
+        + text(&step.image)
+        + 8 * step.depends_on.len()
 }
 
 impl Machine {
--- a/src/cell/machine/crash.rs
+++ b/src/cell/machine/crash.rs
@@ -53,7 +53,7 @@
 
     /// Whether the task may be what crashes its workers.
     pub(super) fn is_suspect(&self, run: &Run) -> bool {
-        self.state.task(&run.task).is_some_and(|task| task.suspicion.is_strong())
+        self.state.task(&run.task).is_some_and(|task| task.crash_score.is_suspect())
     }
 
     /// How a try ends whose worker's life is over.
@@ -73,7 +73,7 @@
 
     /// Whether a task is given up for the workers that have crashed under it.
     pub(super) fn is_given_up(&self, run: &Run) -> bool {
-        self.state.task(&run.task).is_some_and(|task| task.suspicion.is_proven())
+        self.state.task(&run.task).is_some_and(|task| task.crash_score.is_proven_cause())
     }
 }
 
--- a/src/cell/machine/end.rs
+++ b/src/cell/machine/end.rs
@@ -24,7 +24,7 @@
         let job = run.task.step.job;
         let was_final = self.phase_of(job).is_none_or(Phase::is_final);
         self.judge(&run, &live, end);
-        self.record(Record::Ended { run, worker: live.worker, end, saved });
+        self.record(Record::Ended { run, worker: live.worker, outcome: end, checkpoint: saved });
         if was_final {
             return;
         }
@@ -40,7 +40,7 @@
         let key = run.task.step;
         let Some(entry) = self.state.jobs.get(&key.job) else { return };
         let Some(model) = entry.job.steps.get(key.step as usize) else { return };
-        if end == RunOutcome::Succeeded && !model.lasting {
+        if end == RunOutcome::Succeeded && !model.long_running {
             return;
         }
         if model.gang {
@@ -65,13 +65,14 @@
         let key = run.task.step;
         let Some(entry) = self.state.jobs.get(&key.job) else { return false };
         let Some(model) = entry.job.steps.get(key.step as usize) else { return false };
-        if model.lasting {
+        if model.long_running {
             return true;
         }
-        let attempts = self.table.queue(&entry.job.queue).map_or(u32::MAX, |queue| queue.attempts);
+        let attempts =
+            self.table.queue(&entry.job.queue).map_or(u32::MAX, |queue| queue.max_failures);
         let Some(step) = self.state.step(&key) else { return false };
         let failures = if model.gang {
-            u32::try_from(step.failed_tries.len()).unwrap_or(u32::MAX)
+            u32::try_from(step.failed_runs.len()).unwrap_or(u32::MAX)
         } else {
             step.tasks[run.task.index as usize].failures
         };
--- a/src/cell/machine/field.rs
+++ b/src/cell/machine/field.rs
@@ -198,7 +198,7 @@
     /// Guards against tasks that fill the gaps of a worker and slow its serving tasks beyond their
     /// target: the two kinds are kept on different workers.
     pub(super) fn is_quiet(&self, step: &Step) -> bool {
-        !(step.fills && self.serves || step.serves() && self.fills)
+        !(step.opportunistic && self.serves || step.has_latency_target() && self.fills)
     }
 
     /// Whether a task of the step may begin beside those that begin there.
@@ -216,19 +216,21 @@
         if self.reserved || !self.suits(service, step) || !self.is_quiet(step) {
             return 0.0;
         }
-        let demand = step.room();
+        let demand = step.reservation();
         let fits = |room: u64, demand: u64| room.checked_div(demand).unwrap_or(u64::MAX);
         let slots = fits(room.cpu_millis, demand.cpu_millis)
             .min(fits(room.memory_mib, demand.memory_mib))
             .min(fits(room.accelerators, demand.accelerators))
             .min(u64::from(step.count));
-        let bound = if step.spread == 0 { u64::MAX } else { u64::from(step.spread) };
+        let bound =
+            if step.max_per_worker == 0 { u64::MAX } else { u64::from(step.max_per_worker) };
         slots.min(bound) as f64
     }
 
     /// Whether the worker belongs to `service` and bears the label that the step asks for.
     pub(super) fn suits(&self, service: &str, step: &Step) -> bool {
-        let label = step.label.as_ref().is_none_or(|label| self.listed.labels.contains(label));
+        let label =
+            step.required_label.as_ref().is_none_or(|label| self.listed.labels.contains(label));
         self.listed.service == service && label
     }
 }
@@ -237,7 +239,8 @@
     /// Brings the fields up to date for a round in which `waiting` steps are placed. What runs on each
     /// worker matters only where one of them serves users of its own or fills gaps.
     pub(super) fn refresh_fields(&self, fields: &mut Fields, waiting: &[Waiting]) {
-        let shares = |step: &Waiting| step.model().fills || step.model().serves();
+        let shares =
+            |step: &Waiting| step.model().opportunistic || step.model().has_latency_target();
         let sharing = waiting.iter().any(shares);
         let suspecting =
             waiting.iter().any(|step| !step.suspects.is_empty()) || !self.suspects.is_empty();
@@ -306,8 +309,8 @@
             } else {
                 worker.yielding.clone()
             },
-            serves: sharing && runs_any(Step::serves),
-            fills: sharing && runs_any(|step| step.fills),
+            serves: sharing && runs_any(Step::has_latency_target),
+            fills: sharing && runs_any(|step| step.opportunistic),
             starting: if suspecting { self.starting(worker) } else { Starting::default() },
         }
     }
--- a/src/cell/machine/judgement.rs
+++ b/src/cell/machine/judgement.rs
@@ -8,7 +8,7 @@
     pub(super) fn judge(&mut self, run: &Run, live: &Live, end: RunOutcome) {
         let step = run.task.step;
         // Lasting tasks may fail at any time; that says nothing of their worker.
-        if self.model(&step).is_some_and(|model| model.lasting) {
+        if self.model(&step).is_some_and(|model| model.long_running) {
             return;
         }
         let Some(worker) = self.workers.get_mut(&live.worker) else { return };
--- a/src/cell/machine/looks.rs
+++ b/src/cell/machine/looks.rs
@@ -82,7 +82,7 @@
                 worker.missed = 0;
                 worker.silent_since = None;
                 worker.fenced = true;
-                worker.lease.read(report.clock_ms, now);
+                worker.lease.observe_clock(report.clock_ms, now);
                 worker.next_look = now;
                 self.take_report(id, sent, report);
             }
@@ -165,8 +165,8 @@
             live.progress = (running.percent, now);
         }
         let unwanted = live.unwanted && matches!(live.stage, Stage::Running(_));
-        self.state.note_started(run.task.step.job);
-        self.state.note_saved(&run.task, &running.saved);
+        self.state.mark_started(run.task.step.job);
+        self.state.set_checkpoint(&run.task, &running.saved);
         if unwanted {
             self.stop_run(run);
         }
--- a/src/cell/machine/loss.rs
+++ b/src/cell/machine/loss.rs
@@ -54,8 +54,9 @@
     }
 
     fn answers_in_another_life(&self, worker: &str) -> bool {
-        lives_of(&self.workers, WorkerIncarnation::of(worker).entry)
-            .any(|(id, worker)| worker.fenced && WorkerIncarnation::of(id).born.is_some())
+        lives_of(&self.workers, WorkerIncarnation::parse(worker).listed_name).any(|(id, worker)| {
+            worker.fenced && WorkerIncarnation::parse(id).started_at_ms.is_some()
+        })
     }
 
     /// Gives up what runs on workers whose leases have surely run out.
@@ -64,7 +65,7 @@
         let unfenced_end = self.claimed.after(LEASE_GRANT_WINDOW + lease + LEASE_MARGIN);
         let now = self.now;
         let lapsed = |worker: &&Worker| {
-            let end = if worker.fenced { worker.lease.lapse() } else { Some(unfenced_end) };
+            let end = if worker.fenced { worker.lease.expires_at() } else { Some(unfenced_end) };
             !worker.runs.is_empty() && end.is_some_and(|end| now > end)
         };
         let ids: Vec<WorkerId> =
--- a/src/cell/machine/mod.rs
+++ b/src/cell/machine/mod.rs
@@ -280,7 +280,7 @@
     }
 
     fn demand(&self, run: &Run) -> Amount {
-        self.model(&run.task.step).map_or(Amount::ZERO, Step::room)
+        self.model(&run.task.step).map_or(Amount::ZERO, Step::reservation)
     }
 
     /// The step as it was submitted.
@@ -289,7 +289,7 @@
     }
 
     fn forget(&mut self) {
-        let gone = self.state.forget(self.unix, self.timings.status_retention);
+        let gone = self.state.remove_expired(self.unix, self.timings.status_retention);
         for id in gone {
             remove_job(&mut self.tickets, id);
             remove_job(&mut self.failed_on, id);
--- a/src/cell/machine/orders.rs
+++ b/src/cell/machine/orders.rs
@@ -67,9 +67,9 @@
         };
         let step = self.state.step(&key)?;
         let saved = if model.gang {
-            step.saved.clone()
+            step.checkpoint.clone()
         } else {
-            step.tasks.get(run.task.index as usize)?.saved.clone()
+            step.tasks.get(run.task.index as usize)?.checkpoint.clone()
         };
         let until_ms = if may_grant { worker.lease.grant(now)? } else { return None };
         Some(StartOrder { epoch, run, payload: entry.job.clone(), until_ms, saved, ticket })
@@ -111,7 +111,7 @@
                 live.since = now;
                 live.progress = (0, now);
                 let unwanted = live.unwanted;
-                self.state.note_started(run.task.step.job);
+                self.state.mark_started(run.task.step.job);
                 if unwanted {
                     self.stop_run(run);
                 }
@@ -233,7 +233,7 @@
     fn read_clock(&mut self, worker: &str, clock_ms: u64) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.lease.read(clock_ms, now);
+            worker.lease.observe_clock(clock_ms, now);
         }
     }
 
--- a/src/cell/machine/place.rs
+++ b/src/cell/machine/place.rs
@@ -158,7 +158,7 @@
     /// Best fit for each task in turn: the worker that is left with the least room.
     fn fill(&self, step: &Waiting, allowed: &[usize], fields: &Fields) -> Plan {
         let model = step.model();
-        let demand = model.room();
+        let demand = model.reservation();
         let failed = self.failed_on.get(&step.key);
         let mut rooms: BTreeMap<usize, Amount> = allowed
             .iter()
@@ -173,7 +173,7 @@
                 .filter(|(at, room)| {
                     let taken = counts.get(*at).copied().unwrap_or(0);
                     demand.fits(room)
-                        && (model.spread == 0 || taken < model.spread)
+                        && (model.max_per_worker == 0 || taken < model.max_per_worker)
                         && fields.get(**at).admits(step, index)
                 })
                 .map(|(&at, room)| {
@@ -200,7 +200,7 @@
     /// Tasks of the step on each field, where the step bounds them.
     pub(super) fn spread_counts(&self, step: &Waiting, fields: &Fields) -> BTreeMap<usize, u32> {
         let mut counts = BTreeMap::new();
-        if step.model().spread == 0 {
+        if step.model().max_per_worker == 0 {
             return counts;
         }
         for (_, live) in self.runs_of_step(step.key) {
@@ -212,15 +212,15 @@
     }
 
     fn carry_out_plan(&mut self, step: &Waiting, plan: &Plan, fields: &mut Fields) {
-        let demand = step.model().room();
+        let demand = step.model().reservation();
         let numbers = self.numbers(step, plan);
         let mut by_worker: BTreeMap<WorkerId, Vec<Run>> = BTreeMap::new();
         let mut all = Vec::new();
         for (&(index, at), number) in plan.iter().zip(numbers) {
             let field = fields.get_mut(at);
             field.room = field.room.saturating_sub(&demand);
-            field.serves |= step.model().serves();
-            field.fills |= step.model().fills;
+            field.serves |= step.model().has_latency_target();
+            field.fills |= step.model().opportunistic;
             let suspect = step.suspects.contains(&index);
             field.starting.add(step.key.job, suspect);
             let run = Run { task: TaskKey { step: step.key, index }, number };
@@ -252,10 +252,10 @@
     fn numbers(&self, step: &Waiting, plan: &Plan) -> Vec<u32> {
         let Some(state) = self.state.step(&step.key) else { return vec![1; plan.len()] };
         if step.model().gang {
-            let next = state.tasks.iter().map(|task| task.last).max().unwrap_or(0) + 1;
+            let next = state.tasks.iter().map(|task| task.last_run).max().unwrap_or(0) + 1;
             return vec![next; plan.len()];
         }
-        plan.iter().map(|(index, _)| state.tasks[*index as usize].last + 1).collect()
+        plan.iter().map(|(index, _)| state.tasks[*index as usize].last_run + 1).collect()
     }
 }
 
--- a/src/cell/machine/preemption.rs
+++ b/src/cell/machine/preemption.rs
@@ -50,31 +50,31 @@
             return;
         }
         let model = step.model();
-        let demand = model.room();
+        let demand = model.reservation();
         let taken = self.spread_counts(step, fields);
-        let bound = |at: &usize| match model.spread {
+        let bound = |at: &usize| match model.max_per_worker {
             0 => usize::MAX,
             spread => spread.saturating_sub(taken.get(at).copied().unwrap_or(0)) as usize,
         };
         let places = allowed.iter().map(|at| CandidateWorker {
-            room: fields.get(*at).room,
-            bound: bound(at),
+            free: fields.get(*at).room,
+            max_tasks: bound(at),
             victims: self.yielding(*at, step, fields).map(|one| one.victim.clone()).collect(),
         });
-        let choice = preempt::choose(&demand, count, places.collect());
-        if choice.victims.is_empty() || model.gang && choice.fitting < count {
+        let choice = preempt::choose_victims(&demand, count, places.collect());
+        if choice.victims.is_empty() || model.gang && choice.placeable < count {
             return;
         }
-        let work = demand.cpu_millis * choice.fitting as u64 * self.expected_ms(step);
-        if choice.lost > work {
+        let work = demand.cpu_millis * choice.placeable as u64 * self.expected_ms(step);
+        if choice.lost_work > work {
             return;
         }
         log::info!(
             "event=step.preempts step={} tasks={} victims={} lost_core_ms={}",
             step.key,
-            choice.fitting,
+            choice.placeable,
             choice.victims.len(),
-            choice.lost / 1_000
+            choice.lost_work / 1_000
         );
         self.preempted.insert(step.key, self.now.after(REST));
         for run in choice.victims {
@@ -163,7 +163,7 @@
         }
         let entry = self.state.jobs.get(&key.job)?;
         let model = entry.job.steps.get(key.step as usize)?;
-        if !model.checkpoints || model.gang || model.lasting {
+        if !model.checkpoints || model.gang || model.long_running {
             return None;
         }
         let queue = self.table.queue(&entry.job.queue)?;
--- a/src/cell/machine/rank.rs
+++ b/src/cell/machine/rank.rs
@@ -34,7 +34,7 @@
 impl Machine {
     /// Rank of a step whose job came at `accepted`, on the wall clock in milliseconds.
     pub(super) fn rank(&self, job: &Job, queue: &Queue, key: &StepKey, accepted: u64) -> Rank {
-        let begin = job.due(key.occurrence).map_or(accepted, crate::clock::Unix::as_millis);
+        let begin = job.due_at(key.occurrence).map_or(accepted, crate::clock::Unix::as_millis);
         let objective = self.objective(job, queue);
         let left =
             self.chain_from(job, key.step as usize, queue) * HOPE + self.asking_ms(job, key, queue);
@@ -64,7 +64,7 @@
 
     /// Time that a step of a job may still be held up, in milliseconds; negative once it is late.
     pub(super) fn slack_ms(&self, job: &Job, queue: &Queue, key: &StepKey, accepted: u64) -> f64 {
-        let begin = job.due(key.occurrence).map_or(accepted, crate::clock::Unix::as_millis);
+        let begin = job.due_at(key.occurrence).map_or(accepted, crate::clock::Unix::as_millis);
         let passed = self.unix.as_millis().saturating_sub(begin) as f64;
         let left = self.chain_from(job, key.step as usize, queue);
         self.objective(job, queue) - passed - left
@@ -80,7 +80,7 @@
         let asking = queue.advice.map_or(0.0, |advice| advice.time_ms(USUAL_QUESTION));
         let mut ends = vec![0.0_f64; job.steps.len()];
         for (number, step) in job.steps.iter().enumerate().skip(first) {
-            let begin = step.after.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
+            let begin = step.depends_on.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
             ends[number] = begin + asking + self.expected(step, queue);
         }
         ends.into_iter().fold(0.0, f64::max)
@@ -91,7 +91,7 @@
         let mut ends = vec![0.0_f64; job.steps.len()];
         ends[step] = self.expected(&job.steps[step], queue);
         for (number, later) in job.steps.iter().enumerate().skip(step + 1) {
-            let begin = later.after.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
+            let begin = later.depends_on.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
             if begin > 0.0 {
                 ends[number] = begin + self.expected(later, queue);
             }
@@ -117,7 +117,7 @@
     queue: &Queue,
     accepted: u64,
 ) -> Rank {
-    let ran = step.tasks.iter().any(|task| task.last > 0 && task.live == 0);
+    let ran = step.tasks.iter().any(|task| task.last_run > 0 && task.live == 0);
     if ran {
         return Rank { hope: Hope::OnTime, priority: 0, deadline: 0 };
     }
--- a/src/cell/machine/roster.rs
+++ b/src/cell/machine/roster.rs
@@ -59,8 +59,8 @@
             crate::logging::value(&listed.labels.join(",")),
             listed.draining
         );
-        if WorkerIncarnation::of(&id).born.is_some() {
-            self.miss_lives(WorkerIncarnation::of(&id).entry);
+        if WorkerIncarnation::parse(&id).started_at_ms.is_some() {
+            self.miss_lives(WorkerIncarnation::parse(&id).listed_name);
         }
         self.workers.insert(id.clone(), Worker::new(id, listed, self.timings.lease, self.now));
         true
@@ -84,7 +84,7 @@
         let lives: Vec<WorkerId> =
             lives_of(&self.workers, entry).map(|(id, _)| id.clone()).collect();
         lives.iter().for_each(|id| self.miss(id));
-        self.dead.retain(|id| WorkerIncarnation::of(id).entry != entry);
+        self.dead.retain(|id| WorkerIncarnation::parse(id).listed_name != entry);
     }
 
     /// Absence from the list says little: entries lapse while the store is away. What runs there
@@ -138,5 +138,5 @@
     workers
         .range::<str, _>((Bound::Included(entry), Bound::Unbounded))
         .take_while(move |(id, _)| id.starts_with(entry))
-        .filter(move |(id, _)| WorkerIncarnation::of(id).entry == entry)
+        .filter(move |(id, _)| WorkerIncarnation::parse(id).listed_name == entry)
 }
--- a/src/cell/machine/waiting.rs
+++ b/src/cell/machine/waiting.rs
@@ -38,7 +38,7 @@
 
     /// Processors that its tasks need, in thousandths of a core.
     pub(super) fn cpu_millis(&self) -> u64 {
-        self.model().room().cpu_millis.saturating_mul(self.pending.len() as u64)
+        self.model().reservation().cpu_millis.saturating_mul(self.pending.len() as u64)
     }
 }
 
@@ -115,19 +115,19 @@
         for (occurrence, steps) in &entry.open {
             for (number, step) in steps.iter().enumerate() {
                 let model = &entry.job.steps[number];
-                let ready = model.after.iter().all(|&earlier| steps[earlier].is_done());
+                let ready = model.depends_on.iter().all(|&earlier| steps[earlier].is_done());
                 let pending = if ready { pending(model, step) } else { Vec::new() };
                 if pending.is_empty() {
                     continue;
                 }
                 let key = StepKey { job: id, occurrence: *occurrence, step: number as u32 };
-                let rank = if model.lasting {
+                let rank = if model.long_running {
                     lasting_rank(step, queue, accepted)
                 } else {
                     self.rank(&entry.job, queue, &key, accepted)
                 };
                 let (job, queue) = (entry.job.clone(), queue.clone());
-                let is_suspect = |index: &u32| step.tasks[*index as usize].suspicion.is_strong();
+                let is_suspect = |index: &u32| step.tasks[*index as usize].crash_score.is_suspect();
                 let suspects = pending.iter().copied().filter(is_suspect).collect();
                 waiting.push(Waiting { key, job, queue, rank, pending, suspects });
             }
@@ -148,7 +148,7 @@
             if entry.done.contains(&number) || entry.open.contains_key(&number) {
                 continue;
             }
-            if entry.job.due(number).is_some_and(|due| due > unix) {
+            if entry.job.due_at(number).is_some_and(|due| due > unix) {
                 return true;
             }
             entry.occurrence(number);
@@ -159,10 +159,10 @@
 
 /// Tasks of a step that have no try. A gang begins only when no earlier try of any member is left.
 fn pending(model: &Step, step: &state::StepState) -> Vec<u32> {
-    if step.is_done() && !model.lasting || model.gang && step.is_live() {
+    if step.is_done() && !model.long_running || model.gang && step.is_live() {
         return Vec::new();
     }
-    let waits = |task: &state::TaskState| task.live == 0 && (!task.done || model.lasting);
+    let waits = |task: &state::TaskState| task.live == 0 && (!task.done || model.long_running);
     let tasks = step.tasks.iter().enumerate().filter(|(_, task)| waits(task));
     tasks.map(|(index, _)| index as u32).collect()
 }
--- a/src/cell/preempt.rs
+++ b/src/cell/preempt.rs
@@ -10,7 +10,7 @@
 
 /// Time that a stopped task loses, in milliseconds: 200 to 400 ms until the stop is done, 250 ms to
 /// take up its progress.
-pub const LOST_MS: u64 = 500;
+pub const PREEMPTION_COST_MS: u64 = 500;
 
 /// A task that may be stopped.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
 impl Victim {
     /// Work lost by stopping it, in thousandths of a core times milliseconds.
     const fn lost(&self) -> u64 {
-        self.demand.cpu_millis * LOST_MS
+        self.demand.cpu_millis * PREEMPTION_COST_MS
     }
 }
 
@@ -32,9 +32,9 @@
 #[derive(Clone, Debug)]
 pub struct CandidateWorker {
     /// Room that is free.
-    pub room: Amount,
+    pub free: Amount,
     /// Tasks of the step that may still go there.
-    pub bound: usize,
+    pub max_tasks: usize,
     /// Tasks that may be stopped there.
     pub victims: Vec<Victim>,
 }
@@ -43,11 +43,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Preemption {
     /// Tasks that then fit.
-    pub fitting: usize,
+    pub placeable: usize,
     /// Tries to stop.
     pub victims: Vec<Run>,
     /// Work lost, in thousandths of a core times milliseconds.
-    pub lost: u64,
+    pub lost_work: u64,
 }
 
 /// Chooses what to stop so that `count` tasks of `demand` fit, or as many as can, where least work
@@ -61,16 +61,20 @@
 /// let choice = choose(&cores(3), 2, vec![place]);
 /// assert_eq!((choice.fitting, choice.lost), (1, 0));
 /// ```
-pub fn choose(demand: &Amount, count: usize, mut places: Vec<CandidateWorker>) -> Preemption {
+pub fn choose_victims(
+    demand: &Amount,
+    count: usize,
+    mut places: Vec<CandidateWorker>,
+) -> Preemption {
     let mut choice = Preemption::default();
     for _ in 0..count {
         let options = places.iter().enumerate();
         let options = options.filter_map(|(at, place)| Some((at, place.victims_for(demand)?)));
         let cost = |(at, taken): &(usize, Vec<usize>)| (places[*at].lost(taken), *at);
         let Some((at, taken)) = options.min_by_key(cost) else { break };
-        choice.lost += places[at].lost(&taken);
-        choice.victims.extend(places[at].take(demand, &taken));
-        choice.fitting += 1;
+        choice.lost_work += places[at].lost(&taken);
+        choice.victims.extend(places[at].place_task(demand, &taken));
+        choice.placeable += 1;
     }
     choice
 }
@@ -79,10 +83,10 @@
     /// Victims whose end makes room for one task, by their numbers in rising order; none where it
     /// fits already, `None` where it cannot fit.
     fn victims_for(&self, demand: &Amount) -> Option<Vec<usize>> {
-        if self.bound == 0 {
+        if self.max_tasks == 0 {
             return None;
         }
-        let mut room = self.room;
+        let mut room = self.free;
         let mut taken = Vec::new();
         let mut order: Vec<usize> = (0..self.victims.len()).collect();
         order.sort_by_key(|&number| self.victims[number].lost());
@@ -92,13 +96,13 @@
             room = room.saturating_add(&self.victims[number].demand);
             taken.push(number);
         }
-        self.spare(demand, room, &mut taken);
+        self.release_unneeded(demand, room, &mut taken);
         taken.sort_unstable();
         Some(taken)
     }
 
     /// Lets go the costliest victims that turn out not to be needed.
-    fn spare(&self, demand: &Amount, mut room: Amount, taken: &mut Vec<usize>) {
+    fn release_unneeded(&self, demand: &Amount, mut room: Amount, taken: &mut Vec<usize>) {
         for at in (0..taken.len()).rev() {
             let without = room.saturating_sub(&self.victims[taken[at]].demand);
             if demand.fits(&without) {
@@ -112,15 +116,15 @@
         taken.iter().map(|&number| self.victims[number].lost()).sum()
     }
 
-    fn take(&mut self, demand: &Amount, taken: &[usize]) -> Vec<Run> {
+    fn place_task(&mut self, demand: &Amount, taken: &[usize]) -> Vec<Run> {
         let mut runs = Vec::new();
         for &number in taken.iter().rev() {
             let victim = self.victims.remove(number);
-            self.room = self.room.saturating_add(&victim.demand);
+            self.free = self.free.saturating_add(&victim.demand);
             runs.push(victim.run);
         }
-        self.room = self.room.saturating_sub(demand);
-        self.bound -= 1;
+        self.free = self.free.saturating_sub(demand);
+        self.max_tasks -= 1;
         runs
     }
 }
--- a/src/cell/queue.rs
+++ b/src/cell/queue.rs
@@ -23,13 +23,15 @@
     /// Host that callers address.
     pub host: String,
     /// Start of the paths that belong to it.
-    pub prefix: String,
+    #[serde(rename = "prefix")]
+    pub path_prefix: String,
     /// Service whose workers run its tasks.
     pub service: String,
     /// Zero goes first.
     pub priority: u32,
     /// Failed tries of a task after which its job has failed.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_failures: u32,
     /// Multiple of the longest chain of work within which a job should end.
     pub stretch: f64,
     /// Time that a job may take beyond that, in milliseconds.
@@ -44,7 +46,8 @@
     /// Time of one answer, in milliseconds.
     pub decide_ms: f64,
     /// Time more for each worker named, in milliseconds.
-    pub each_ms: f64,
+    #[serde(rename = "each_ms")]
+    pub per_worker_ms: f64,
     /// How long a ticket holds, in milliseconds.
     pub valid_ms: u64,
 }
@@ -58,7 +61,7 @@
     /// assert_eq!(advice.time_ms(30), 160.0);
     /// ```
     pub fn time_ms(&self, workers: usize) -> f64 {
-        self.decide_ms + self.each_ms * workers as f64
+        self.decide_ms + self.per_worker_ms * workers as f64
     }
 }
 
@@ -68,7 +71,8 @@
     /// Its name.
     pub name: String,
     /// Whether its workers refuse what does not fit.
-    pub guards: bool,
+    #[serde(rename = "guards")]
+    pub enforces_capacity: bool,
 }
 
 impl QueueConfig {
@@ -83,9 +87,9 @@
     /// ```
     pub fn find(&self, host: &str, path: &str) -> Option<&Queue> {
         let matching = |queue: &&Rc<Queue>| {
-            queue.host.eq_ignore_ascii_case(host) && path.starts_with(&queue.prefix)
+            queue.host.eq_ignore_ascii_case(host) && path.starts_with(&queue.path_prefix)
         };
-        let found = self.queues.iter().filter(matching).max_by_key(|queue| queue.prefix.len());
+        let found = self.queues.iter().filter(matching).max_by_key(|queue| queue.path_prefix.len());
         found.map(Rc::as_ref)
     }
 
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -59,9 +59,11 @@
         /// Its worker.
         worker: WorkerId,
         /// How it ended.
-        end: RunOutcome,
+        #[serde(rename = "end")]
+        outcome: RunOutcome,
         /// Progress that another try can go on from; empty for none.
-        saved: String,
+        #[serde(rename = "saved")]
+        checkpoint: String,
     },
     /// A job has failed for good.
     Failed {
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -70,9 +70,11 @@
     /// Tasks that have done their work.
     pub done: u32,
     /// Latest progress of a gang, valid for all its members.
-    pub saved: String,
+    #[serde(rename = "saved")]
+    pub checkpoint: String,
     /// Tries of a gang in which a member failed.
-    pub failed_tries: BTreeSet<u32>,
+    #[serde(rename = "failed_tries")]
+    pub failed_runs: BTreeSet<u32>,
 }
 
 /// How far a task is.
@@ -81,15 +83,18 @@
     /// Whether it has done its work.
     pub done: bool,
     /// Number of its last try; zero before the first.
-    pub last: u32,
+    #[serde(rename = "last")]
+    pub last_run: u32,
     /// Tries that are placed and not ended.
     pub live: u32,
     /// Tries that ended as failed.
     pub failures: u32,
     /// What speaks for it being what crashes its workers.
-    pub suspicion: CrashScore,
+    #[serde(rename = "suspicion")]
+    pub crash_score: CrashScore,
     /// Latest progress that another try can go on from; empty for none.
-    pub saved: String,
+    #[serde(rename = "saved")]
+    pub checkpoint: String,
 }
 
 impl StepState {
@@ -153,7 +158,7 @@
     }
 
     /// Closes an occurrence whose steps are all done, and the job with its last one.
-    fn settle(&mut self, occurrence: u32, at: Unix) {
+    fn close_if_done(&mut self, occurrence: u32, at: Unix) {
         let Some(steps) = self.open.get(&occurrence) else { return };
         if !steps.iter().all(StepState::is_done) || steps.iter().any(StepState::is_live) {
             return;
@@ -169,7 +174,7 @@
     ///
     /// Ended jobs are kept for two minutes and are most of the state; without their texts 5,000 of
     /// them take some 0.3 MB instead of 7, so that the whole state fits into one append.
-    fn strip(&mut self) {
+    fn drop_details(&mut self) {
         if self.open.values().flatten().any(StepState::is_live) {
             return;
         }
@@ -181,7 +186,7 @@
     }
 
     /// Marks the job as completed once its last task is done, though tries may still be stopping.
-    fn complete(&mut self, at: Unix) {
+    fn complete_if_done(&mut self, at: Unix) {
         let open_done = self.open.values().all(|steps| steps.iter().all(StepState::is_done));
         let occurrences = self.done.len() + self.open.len();
         if open_done && occurrences == self.job.occurrences() as usize && !self.phase().is_final() {
@@ -225,7 +230,9 @@
                     self.place(run, &worker);
                 }
             }
-            Record::Ended { run, end, saved, .. } => self.end(run, end, saved, at),
+            Record::Ended { run, outcome: end, checkpoint: saved, .. } => {
+                self.end(run, end, saved, at)
+            }
         }
     }
 
@@ -240,14 +247,14 @@
     }
 
     /// Notes that a task of the job has begun on a worker.
-    pub fn note_started(&mut self, job: Id) {
+    pub fn mark_started(&mut self, job: Id) {
         if let Some(entry) = self.jobs.get_mut(&job) {
             entry.started = true;
         }
     }
 
     /// Notes progress that was saved while a try runs.
-    pub fn note_saved(&mut self, key: &TaskKey, saved: &str) {
+    pub fn set_checkpoint(&mut self, key: &TaskKey, saved: &str) {
         if saved.is_empty() {
             return;
         }
@@ -255,14 +262,14 @@
         let is_gang = entry.job.steps.get(key.step.step as usize).is_some_and(|step| step.gang);
         let Some(step) = entry.step(&key.step) else { return };
         if is_gang {
-            saved.clone_into(&mut step.saved);
+            saved.clone_into(&mut step.checkpoint);
         } else if let Some(task) = step.tasks.get_mut(key.index as usize) {
-            saved.clone_into(&mut task.saved);
+            saved.clone_into(&mut task.checkpoint);
         }
     }
 
     /// Forgets jobs that ended longer ago than callers may ask for and that nothing runs for.
-    pub fn forget(&mut self, now: Unix, retention: Duration) -> Vec<Id> {
+    pub fn remove_expired(&mut self, now: Unix, retention: Duration) -> Vec<Id> {
         let gone = |entry: &JobState| {
             let old = entry.ended.is_some_and(|ended| now.since(ended) > retention);
             old && !entry.open.values().flatten().any(StepState::is_live)
@@ -282,7 +289,7 @@
         }
         mark(entry);
         entry.ended = Some(at);
-        entry.strip();
+        entry.drop_details();
         self.open.remove(&job);
     }
 
@@ -292,10 +299,10 @@
         let Some(entry) = self.jobs.get_mut(&run.task.step.job) else { return };
         let Some(step) = entry.step(&run.task.step) else { return };
         let Some(task) = step.tasks.get_mut(run.task.index as usize) else { return };
-        if run.number <= task.last {
+        if run.number <= task.last_run {
             return;
         }
-        task.last = run.number;
+        task.last_run = run.number;
         task.live += 1;
         self.live.insert(run, worker.clone());
     }
@@ -307,31 +314,31 @@
         let key = run.task.step;
         let Some(entry) = self.jobs.get_mut(&key.job) else { return };
         let Some(model) = entry.job.steps.get(key.step as usize) else { return };
-        let (is_gang, lasting) = (model.gang, model.lasting);
-        entry.started |= end.is_told();
+        let (is_gang, lasting) = (model.gang, model.long_running);
+        entry.started |= end.is_reported_by_worker();
         let Some(step) = entry.step(&key) else { return };
         let Some(task) = step.tasks.get_mut(run.task.index as usize) else { return };
         task.live = task.live.saturating_sub(1);
-        task.suspicion.note(end, lasting);
+        task.crash_score.record(end, lasting);
         if !saved.is_empty() && !is_gang {
-            task.saved = saved;
+            task.checkpoint = saved;
         } else if !saved.is_empty() {
-            step.saved = saved;
+            step.checkpoint = saved;
         }
         match end {
             RunOutcome::Succeeded if lasting => {}
             RunOutcome::Succeeded if is_gang => step.finish_gang(),
             RunOutcome::Succeeded => step.finish(run.task.index),
             RunOutcome::Failed if is_gang => {
-                step.failed_tries.insert(run.number);
+                step.failed_runs.insert(run.number);
             }
             RunOutcome::Failed => step.tasks[run.task.index as usize].failures += 1,
             _ => {}
         }
-        entry.complete(at);
-        entry.settle(key.occurrence, at);
+        entry.complete_if_done(at);
+        entry.close_if_done(key.occurrence, at);
         if entry.phase().is_final() {
-            entry.strip();
+            entry.drop_details();
             self.open.remove(&key.job);
         }
     }
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -112,7 +112,7 @@
     pub fn is_open(&self, now: Instant) -> bool {
         let quarantined = self.quarantined_until.is_some_and(|until| now < until);
         self.fenced
-            && self.lease.is_known()
+            && self.lease.is_clock_known()
             && self.missing_since.is_none()
             && !self.listed.draining
             && self.missed < MISSED_LOOKS
--- a/tests/logic/cell/advice.rs
+++ b/tests/logic/cell/advice.rs
@@ -11,7 +11,7 @@
 use super::model::{self, cores};
 use super::story::Story;
 
-const TERMS: Advice = Advice { decide_ms: 20.0, each_ms: 1.0, valid_ms: 1_500 };
+const TERMS: Advice = Advice { decide_ms: 20.0, per_worker_ms: 1.0, valid_ms: 1_500 };
 
 /// A cell whose one queue is subject to the policy service.
 fn begin(workers: usize) -> Story {
--- a/tests/logic/cell/askers.rs
+++ b/tests/logic/cell/askers.rs
@@ -9,7 +9,7 @@
 use super::model::{self, QUEUE, cores, id};
 use super::story::Story;
 
-const TERMS: Advice = Advice { decide_ms: 20.0, each_ms: 1.0, valid_ms: 1_500 };
+const TERMS: Advice = Advice { decide_ms: 20.0, per_worker_ms: 1.0, valid_ms: 1_500 };
 
 /// Queue of the next lower priority.
 const LOWER: &str = "thumbnails";
@@ -23,12 +23,12 @@
 /// policy service. The lower one's jobs should end within `lower_target_ms` beyond their work.
 fn begin(lower_target_ms: u64) -> Story {
     let mut story = Story::begin(WORKERS as usize);
-    story.running(999, Step { spread: 1, ..model::step(WORKERS, cores(5)) });
+    story.running(999, Step { max_per_worker: 1, ..model::step(WORKERS, cores(5)) });
     let table = model::table();
     let upper = Queue { advice: Some(TERMS), ..Queue::clone(&table.queues[0]) };
     let lower = Queue {
         name: LOWER.to_owned(),
-        prefix: "/thumbnails/".to_owned(),
+        path_prefix: "/thumbnails/".to_owned(),
         priority: upper.priority + 1,
         stretch: 1.0,
         target_ms: lower_target_ms,
--- a/tests/logic/cell/histories.rs
+++ b/tests/logic/cell/histories.rs
@@ -29,10 +29,10 @@
 fn shape(number: u64) -> Job {
     let mut step = model::step((number % 5 + 1) as u32, model::cores(number % 4 + 1));
     step.gang = number.is_multiple_of(3);
-    step.spread = u32::from(number % 7 == 1) * 2;
+    step.max_per_worker = u32::from(number % 7 == 1) * 2;
     let mut job = model::job(number, step);
     if number % 4 == 2 {
-        let later = Step { after: vec![0], ..model::step(3, model::cores(2)) };
+        let later = Step { depends_on: vec![0], ..model::step(3, model::cores(2)) };
         job.steps.push(later);
     }
     job
--- a/tests/logic/cell/lease.rs
+++ b/tests/logic/cell/lease.rs
@@ -13,13 +13,13 @@
 #[test]
 fn grant_unknown_clock() {
     assert_eq!(Lease::default().grant(at(5)), None);
-    assert_eq!(Lease::default().lapse(), None);
+    assert_eq!(Lease::default().expires_at(), None);
 }
 
 #[test]
 fn grant_runs_behind_a_slow_clock() {
     let mut lease = Lease::default();
-    lease.read(1_000, at(0));
+    lease.observe_clock(1_000, at(0));
     let until = lease.grant(at(1_000)).expect("the clock is known");
     assert_eq!(until, 1_000 + 980 + LEASE.as_millis() as u64);
 }
@@ -27,9 +27,9 @@
 #[test]
 fn lapse_covers_a_slow_clock() {
     let mut lease = Lease::default();
-    lease.read(0, at(0));
+    lease.observe_clock(0, at(0));
     let until = lease.grant(at(0)).expect("the clock is known");
-    let lapse = lease.lapse().expect("the clock is known");
+    let lapse = lease.expires_at().expect("the clock is known");
     // At that instant the slowest clock allowed has passed the end of the lease.
     let slowest = lapse.as_millis() as f64 * 0.98;
     assert!(slowest > until as f64, "{slowest} {until}");
@@ -41,8 +41,8 @@
 #[test]
 fn lapse_counts_grants_of_earlier_owners() {
     let mut lease = Lease::default();
-    lease.read(50_000, at(0));
-    let lapse = lease.lapse().expect("the clock is known");
+    lease.observe_clock(50_000, at(0));
+    let lapse = lease.expires_at().expect("the clock is known");
     assert!(lapse.since(at(0)) > LEASE - Duration::from_millis(1));
 }
 
@@ -50,9 +50,9 @@
 #[test]
 fn lapse_keeps_the_longest_grant() {
     let mut lease = Lease::default();
-    lease.read(0, at(0));
+    lease.observe_clock(0, at(0));
     lease.grant(at(4_000));
-    let before = lease.lapse();
-    lease.read(100, at(100));
-    assert!(lease.lapse() >= before.map(|lapse| lapse.before(Duration::from_millis(200))));
+    let before = lease.expires_at();
+    lease.observe_clock(100, at(100));
+    assert!(lease.expires_at() >= before.map(|lapse| lapse.before(Duration::from_millis(200))));
 }
--- a/tests/logic/cell/left_behind.rs
+++ b/tests/logic/cell/left_behind.rs
@@ -64,8 +64,8 @@
     let ended = Record::Ended {
         run: runs[1],
         worker: "gone".into(),
-        end: RunOutcome::WorkerLost,
-        saved: String::new(),
+        outcome: RunOutcome::WorkerLost,
+        checkpoint: String::new(),
     };
     let batch = |epoch, records| Batch { epoch, at: Unix::from_millis(UNIX), records };
     state.apply_batch(batch(Epoch(2), vec![ended]));
--- a/tests/logic/cell/looks.rs
+++ b/tests/logic/cell/looks.rs
@@ -99,7 +99,7 @@
     assert!(!looked_at(&story), "no configuration names its service");
     let mut table: QueueConfig = (*model::table()).clone();
     table.version += 1;
-    table.services.push(Service { name: "archive".to_owned(), guards: false });
+    table.services.push(Service { name: "archive".to_owned(), enforces_capacity: false });
     story.tell(Message::Table(Rc::new(table)));
     story.pass(100);
     assert!(looked_at(&story));
--- a/tests/logic/cell/machine.rs
+++ b/tests/logic/cell/machine.rs
@@ -179,7 +179,7 @@
 #[test]
 fn lasting_task_is_always_restarted() {
     let mut story = Story::begin(2);
-    let lasting = Step { lasting: true, ..model::step(1, cores(1)) };
+    let lasting = Step { long_running: true, ..model::step(1, cores(1)) };
     let mut starts = story.running(1, lasting);
     for number in 1..=u64::from(model::ATTEMPTS) + 2 {
         let (worker, run) = (starts[0].0, starts[0].1.run);
--- a/tests/logic/cell/model.rs
+++ b/tests/logic/cell/model.rs
@@ -46,15 +46,15 @@
     let queue = Queue {
         name: QUEUE.to_owned(),
         host: "jobs.example".to_owned(),
-        prefix: "/nightly/".to_owned(),
+        path_prefix: "/nightly/".to_owned(),
         service: "portal".to_owned(),
         priority: 1,
-        attempts: ATTEMPTS,
+        max_failures: ATTEMPTS,
         stretch: 2.0,
         target_ms: 1_000,
         advice: None,
     };
-    let service = Service { name: "portal".to_owned(), guards: false };
+    let service = Service { name: "portal".to_owned(), enforces_capacity: false };
     Rc::new(QueueConfig { version: 1, queues: vec![queue.into()], services: vec![service] })
 }
 
--- a/tests/logic/cell/place.rs
+++ b/tests/logic/cell/place.rs
@@ -52,8 +52,9 @@
 #[test]
 fn filling_task_stays_away_from_serving_ones() {
     let mut story = Story::begin(2);
-    let serving = Step { lasting: true, target_ms: Some(50), ..model::step(1, cores(1)) };
-    let filling = Step { fills: true, ..model::step(1, cores(4)) };
+    let serving =
+        Step { long_running: true, latency_target_ms: Some(50), ..model::step(1, cores(1)) };
+    let filling = Step { opportunistic: true, ..model::step(1, cores(4)) };
     let first = story.running(1, serving.clone());
     let second = story.running(2, filling);
     assert_ne!(first[0].0, second[0].0);
--- a/tests/logic/cell/preempt.rs
+++ b/tests/logic/cell/preempt.rs
@@ -5,7 +5,7 @@
 
 use oriolefork::cell::job::{Job, Run, RunOutcome, Step, StepKey, TaskKey};
 use oriolefork::cell::machine::{Call, Message};
-use oriolefork::cell::preempt::{CandidateWorker, Victim, choose};
+use oriolefork::cell::preempt::{CandidateWorker, Victim, choose_victims};
 use oriolefork::cell::queue::{Queue, QueueConfig};
 use oriolefork::resource::Amount;
 
@@ -25,38 +25,38 @@
 
 fn place(room: u64, victims: &[(u64, u64)]) -> CandidateWorker {
     let victims = victims.iter().map(|(number, demand)| victim(*number, cores(*demand)));
-    CandidateWorker { room: cores(room), bound: usize::MAX, victims: victims.collect() }
+    CandidateWorker { free: cores(room), max_tasks: usize::MAX, victims: victims.collect() }
 }
 
 #[test]
 fn choose_takes_free_room_first() {
-    let choice = choose(&cores(4), 1, vec![place(0, &[(1, 4)]), place(4, &[])]);
-    assert_eq!((choice.fitting, choice.victims.len(), choice.lost), (1, 0, 0));
+    let choice = choose_victims(&cores(4), 1, vec![place(0, &[(1, 4)]), place(4, &[])]);
+    assert_eq!((choice.placeable, choice.victims.len(), choice.lost_work), (1, 0, 0));
 }
 
 #[test]
 fn choose_stops_where_least_is_lost() {
-    let choice = choose(&cores(4), 1, vec![place(0, &[(1, 8)]), place(1, &[(2, 3)])]);
+    let choice = choose_victims(&cores(4), 1, vec![place(0, &[(1, 8)]), place(1, &[(2, 3)])]);
     assert_eq!(choice.victims, [run(2)]);
 }
 
 /// A small victim does not suffice and a large one alone does: the small one is left to run.
 #[test]
 fn choose_spares_what_is_not_needed() {
-    let choice = choose(&cores(8), 1, vec![place(0, &[(1, 2), (2, 8)])]);
+    let choice = choose_victims(&cores(8), 1, vec![place(0, &[(1, 2), (2, 8)])]);
     assert_eq!(choice.victims, [run(2)]);
 }
 
 #[test]
 fn choose_counts_each_victim_once() {
-    let choice = choose(&cores(4), 3, vec![place(0, &[(1, 4), (2, 4)])]);
-    assert_eq!((choice.fitting, choice.victims.len()), (2, 2));
+    let choice = choose_victims(&cores(4), 3, vec![place(0, &[(1, 4), (2, 4)])]);
+    assert_eq!((choice.placeable, choice.victims.len()), (2, 2));
 }
 
 #[test]
 fn choose_keeps_to_the_bound() {
-    let bounded = CandidateWorker { bound: 1, ..place(8, &[]) };
-    assert_eq!(choose(&cores(2), 3, vec![bounded]).fitting, 1);
+    let bounded = CandidateWorker { max_tasks: 1, ..place(8, &[]) };
+    assert_eq!(choose_victims(&cores(2), 3, vec![bounded]).placeable, 1);
 }
 
 /// A cell with a queue that goes before the usual one.
--- a/tests/logic/cell/standstill.rs
+++ b/tests/logic/cell/standstill.rs
@@ -12,10 +12,12 @@
 use super::story::{Story, WORKER_CLOCK};
 
 /// Queue of gangs: each question about 100 workers takes a second.
-const WIDE: (&str, Advice) = ("wide", Advice { decide_ms: 400.0, each_ms: 6.0, valid_ms: 2_500 });
+const WIDE: (&str, Advice) =
+    ("wide", Advice { decide_ms: 400.0, per_worker_ms: 6.0, valid_ms: 2_500 });
 
 /// Queue of small tasks, which come after the gangs.
-const SMALL: (&str, Advice) = ("small", Advice { decide_ms: 100.0, each_ms: 1.0, valid_ms: 2_500 });
+const SMALL: (&str, Advice) =
+    ("small", Advice { decide_ms: 100.0, per_worker_ms: 1.0, valid_ms: 2_500 });
 
 /// Workers, each with eight cores.
 const WORKERS: usize = 100;
@@ -67,7 +69,7 @@
 
     /// Takes one core of every worker for as long as the test runs.
     fn occupy(&mut self) {
-        let step = Step { spread: 1, ..model::step(WORKERS as u32, cores(1)) };
+        let step = Step { max_per_worker: 1, ..model::step(WORKERS as u32, cores(1)) };
         self.story.running(999_999, step);
     }
 
@@ -102,14 +104,18 @@
     fn time_for(&self, question: &Question) -> u64 {
         let job = &self.story.machine.state.jobs[&question.step.job].job;
         let advice = self.advice.iter().find(|(name, _)| *name == job.queue).expect("advice").1;
-        (advice.decide_ms + advice.each_ms * question.workers.len() as f64) as u64
+        (advice.decide_ms + advice.per_worker_ms * question.workers.len() as f64) as u64
     }
 
     /// Jobs among `numbers` that no task was placed for.
     fn waiting(&self, numbers: std::ops::Range<u64>) -> usize {
         let placed = |number: &u64| {
             let entry = &self.story.machine.state.jobs[&id(*number)];
-            entry.open.values().flatten().any(|step| step.tasks.iter().any(|task| task.last > 0))
+            entry
+                .open
+                .values()
+                .flatten()
+                .any(|step| step.tasks.iter().any(|task| task.last_run > 0))
         };
         numbers.filter(|number| !placed(number)).count()
     }
--- a/tests/logic/cell/state.rs
+++ b/tests/logic/cell/state.rs
@@ -32,7 +32,7 @@
 
 fn end(state: &mut State, run: Run, end: RunOutcome) {
     let (worker, saved) = ("w0".into(), String::new());
-    state.apply(Record::Ended { run, worker, end, saved }, AT);
+    state.apply(Record::Ended { run, worker, outcome: end, checkpoint: saved }, AT);
 }
 
 fn phase(state: &State, number: u64) -> Phase {
--- a/tests/logic/cell/world/check.rs
+++ b/tests/logic/cell/world/check.rs
@@ -82,7 +82,7 @@
         }
         let model = &watched.job.steps[run.task.step.step as usize];
         let state = &self.owners.last().expect("an owner").machine.state;
-        for &earlier in &model.after {
+        for &earlier in &model.depends_on {
             let key = StepKey { step: earlier as u32, ..run.task.step };
             let done = (0..watched.job.steps[earlier].count)
                 .all(|index| self.done.contains_key(&TaskKey { step: key, index }));
@@ -106,9 +106,12 @@
             failures < model::ATTEMPTS as usize,
             "{now}: {run} starts after {failures} failures"
         );
-        if model.spread > 0 {
+        if model.max_per_worker > 0 {
             let here = upstream.runs.keys().filter(|twin| twin.task.step == run.task.step).count();
-            assert!(here <= model.spread as usize, "{now}: {here} tasks of {run} on {worker}");
+            assert!(
+                here <= model.max_per_worker as usize,
+                "{now}: {here} tasks of {run} on {worker}"
+            );
         }
     }
 }
--- a/tests/logic/cell/world/mod.rs
+++ b/tests/logic/cell/world/mod.rs
@@ -345,10 +345,10 @@
                         watched.cancelled_at.get_or_insert(self.now);
                     }
                 }
-                Record::Ended { run, end: RunOutcome::Succeeded, .. } => {
+                Record::Ended { run, outcome: RunOutcome::Succeeded, .. } => {
                     self.done_noted.insert(run.task);
                 }
-                Record::Ended { run, end: RunOutcome::Failed, .. } => {
+                Record::Ended { run, outcome: RunOutcome::Failed, .. } => {
                     self.failures.entry(run.task).or_default().insert(run.number);
                 }
                 _ => {}
--- a/tests/logic/cell/world/orders.rs
+++ b/tests/logic/cell/world/orders.rs
@@ -195,7 +195,7 @@
 }
 
 pub(super) fn demand(start: &StartOrder) -> Amount {
-    start.payload.steps[start.run.task.step.step as usize].room()
+    start.payload.steps[start.run.task.step.step as usize].reservation()
 }
 
 fn reply(
