--- a/benches/cell/replay.rs
+++ b/benches/cell/replay.rs
@@ -265,7 +265,8 @@
                 let worker = life(number, 0);
                 self.workers.remove(&worker);
                 self.parked.remove(&worker);
-                let roster = RosterUpdate { present: Vec::new(), gone: vec![worker], whole: false };
+                let roster =
+                    RosterUpdate { changed: Vec::new(), removed: vec![worker], is_complete: false };
                 self.schedule(3_000, Event::Told(Message::Roster(roster)));
             }
             Event::Return(number) => {
@@ -330,7 +331,7 @@
 
     fn start(&mut self, worker: WorkerId, start: &oriolefork::cell::dependencies::StartOrder) {
         let run = start.run;
-        let demand = start.payload.steps[run.task.step.step as usize].demand;
+        let demand = start.job.steps[run.task.step.step as usize].demand;
         let Some(upstream) = self.workers.get_mut(&worker) else { return };
         let outcome = upstream.start(start, demand, self.now);
         let clock = upstream.clock_ms(self.now);
@@ -362,7 +363,7 @@
     fn look(&mut self, worker: WorkerId, look: PollRequest) {
         let Some(upstream) = self.workers.get_mut(&worker) else { return };
         self.serial += 1;
-        let (serial, wait) = (self.serial, look.wait.as_millis() as u64);
+        let (serial, wait) = (self.serial, look.max_wait.as_millis() as u64);
         let answered = upstream.look(&look, self.now).is_ok_and(|report| !report.ended.is_empty());
         self.parked.insert(worker.clone(), Parked { look, serial, sent: self.now });
         if answered || wait == 0 {
@@ -454,7 +455,7 @@
             (id.clone(), Rc::new(listed))
         };
         let present = self.workers.iter().enumerate().map(listed).collect();
-        RosterUpdate { present, gone: Vec::new(), whole: false }
+        RosterUpdate { changed: present, removed: Vec::new(), is_complete: false }
     }
 }
 
--- a/src/cell/activity.rs
+++ b/src/cell/activity.rs
@@ -107,7 +107,7 @@
     }
 
     /// Pieces of work that were counted for `duty` since the last line.
-    pub fn times(&self, duty: Activity) -> u32 {
+    pub fn count(&self, duty: Activity) -> u32 {
         self.spent.borrow()[duty as usize].times
     }
 
@@ -141,12 +141,12 @@
     }
 
     /// Begins to measure duties that follow one another.
-    pub fn lap(self: &Rc<Self>) -> Stopwatch {
+    pub fn stopwatch(self: &Rc<Self>) -> Stopwatch {
         Stopwatch { ledger: self.clone(), since: Instant::now() }
     }
 
     /// Tells the log, once a second, as long as `goes_on` says so.
-    pub async fn tell(self: Rc<Self>, cell: super::Id, goes_on: impl Fn() -> bool) {
+    pub async fn report_periodically(self: Rc<Self>, cell: super::Id, goes_on: impl Fn() -> bool) {
         let mut since = Instant::now();
         let mut processor_before = clock::processor_time();
         while goes_on() {
@@ -187,7 +187,7 @@
     }
 
     /// Counts the time since the last call for `duty`, and returns it.
-    pub fn end(&mut self, duty: Activity) -> Duration {
+    pub fn record(&mut self, duty: Activity) -> Duration {
         let now = Instant::now();
         let took = now - self.since;
         self.ledger.add(duty, took);
--- a/src/cell/dependencies.rs
+++ b/src/cell/dependencies.rs
@@ -43,11 +43,11 @@
     /// Epoch of the owner.
     pub epoch: Epoch,
     /// Latest end that the worker may forget.
-    pub recorded: u64,
+    pub acked_end: u64,
     /// New end of the lease on the worker's clock; `None` to leave it.
-    pub until_ms: Option<u64>,
+    pub lease_until_ms: Option<u64>,
     /// Longest time the worker holds its answer back while nothing ends.
-    pub wait: Duration,
+    pub max_wait: Duration,
 }
 
 /// What a worker tells when looked at.
@@ -69,7 +69,7 @@
     /// The try.
     pub run: Run,
     /// Latest saved progress; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
     /// Share of its work that is done, 0 to 100; for lasting tasks, whether they are at work.
     pub percent: u32,
     /// Tail of the response times in milliseconds for a serving task, else processors in use.
@@ -84,9 +84,9 @@
     /// The try.
     pub run: Run,
     /// How it ended.
-    pub end: RunOutcome,
+    pub outcome: RunOutcome,
     /// Saved progress; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 /// An order to start a try.
@@ -97,11 +97,11 @@
     /// The try.
     pub run: Run,
     /// Text of the job.
-    pub payload: Rc<super::job::Job>,
+    pub job: Rc<super::job::Job>,
     /// End of the lease on the worker's clock.
-    pub until_ms: u64,
+    pub lease_until_ms: u64,
     /// Progress to go on from; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
     /// Word of the policy service, where the queue needs it.
     pub ticket: Option<String>,
 }
@@ -144,7 +144,7 @@
 /// Way to workers. Each call names the life of the worker that it is meant for.
 pub trait WorkerClient {
     /// Looks at a worker.
-    fn look<'a>(
+    fn poll<'a>(
         &'a self,
         peer: SocketAddr,
         worker: &'a str,
@@ -212,9 +212,9 @@
     /// Each record.
     pub records: Vec<Bytes>,
     /// Offset after the last record of the page.
-    pub next: u64,
+    pub next_offset: u64,
     /// Offset at which the next append goes.
-    pub end: u64,
+    pub end_offset: u64,
 }
 
 /// Why a journal was not read.
@@ -246,7 +246,8 @@
     pub peer: SocketAddr,
     /// Processor that it may use, in thousandths of a core; zero where it did not say.
     #[serde(default)]
-    pub strength: u32,
+    #[serde(rename = "strength")]
+    pub cpu_millis: u32,
 }
 
 /// Journals of cells in the platform's store.
@@ -270,11 +271,11 @@
     fn read(&self, cell: Id, from: u64) -> LocalBoxFuture<'_, Result<Page, ReadError>>;
 
     /// Reads the last saved state.
-    fn base(&self, cell: Id) -> LocalBoxFuture<'_, Result<Snapshot, String>>;
+    fn snapshot(&self, cell: Id) -> LocalBoxFuture<'_, Result<Snapshot, String>>;
 
     /// Saves the state up to an offset as number `sequence` of the owner's epoch, so that older
     /// records may go.
-    fn save<'a>(
+    fn save_snapshot<'a>(
         &'a self,
         cell: Id,
         epoch: Epoch,
@@ -283,7 +284,7 @@
     ) -> LocalBoxFuture<'a, Result<(), String>>;
 
     /// Says who owns the cell, as number `sequence` of the owner's epoch.
-    fn publish(
+    fn publish_owner(
         &self,
         cell: Id,
         sequence: u64,
@@ -291,31 +292,31 @@
     ) -> LocalBoxFuture<'_, Result<(), AppendError>>;
 
     /// What an owner said last; `None` before the first one. A few bytes, however long the journal.
-    fn sign(&self, cell: Id) -> LocalBoxFuture<'_, Result<Option<OwnerRecord>, String>>;
+    fn owner_record(&self, cell: Id) -> LocalBoxFuture<'_, Result<Option<OwnerRecord>, String>>;
 }
 
 /// Workers that the platform lists, as one read of the list found them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RosterUpdate {
     /// Workers that appeared or changed.
-    pub present: Vec<(WorkerId, Rc<WorkerInfo>)>,
+    pub changed: Vec<(WorkerId, Rc<WorkerInfo>)>,
     /// Names, as in the list, of workers that are gone from it.
-    pub gone: Vec<Rc<str>>,
+    pub removed: Vec<Rc<str>>,
     /// Whether `present` is the whole list.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 /// The platform's lists.
 pub trait Discovery {
     /// Makes the next call to [`Discovery::roster`] return the whole list.
-    fn restart(&self);
+    fn reset(&self);
 
     /// What changed among the workers since the last call; the whole list at the first call and
     /// whenever the platform has dropped what came between.
-    fn roster(&self) -> LocalBoxFuture<'_, Result<RosterUpdate, String>>;
+    fn roster_update(&self) -> LocalBoxFuture<'_, Result<RosterUpdate, String>>;
 
     /// Waits up to `wait` for a configuration newer than `version`, and returns it with its text.
-    fn table(
+    fn newer_config(
         &self,
         version: u64,
         wait: Duration,
--- a/src/cell/election/follow.rs
+++ b/src/cell/election/follow.rs
@@ -34,7 +34,7 @@
             match watched {
                 Ok(watched) => {
                     refusals = 0;
-                    let owns = watched.owns;
+                    let owns = watched.is_owner;
                     if let Some(motive) = self.learn(owner, watched) {
                         return motive;
                     }
@@ -74,16 +74,24 @@
         let (cell, from, domain) = (self.cell, self.node.me, self.node.domain.clone());
         let told_by_it = self.last_owner == Some(owner);
         let succession = if told_by_it { self.succession } else { 0 };
-        let watch = WatchRequest { cell, from, domain, version, strength, patient, succession };
+        let watch = WatchRequest {
+            cell,
+            follower: from,
+            domain,
+            config_version: version,
+            cpu_millis: strength,
+            long_poll: patient,
+            succession_digest: succession,
+        };
         let timeout = if patient { WATCH_TIMEOUT } else { PROBE_TIMEOUT };
         self.node.borders.peers.call(owner, WATCH, &watch, timeout).await
     }
 
     fn learn(&mut self, owner: SocketAddr, watched: WatchResponse) -> Option<TakeoverReason> {
-        if let Some(table) = watched.table {
+        if let Some(table) = watched.config {
             self.node.take_table(table);
         }
-        if !watched.owns {
+        if !watched.is_owner {
             let elsewhere = watched.owner.filter(|other| *other != owner && *other != self.node.me);
             if elsewhere.is_some() {
                 self.node.set_owner(self.cell, elsewhere);
@@ -92,14 +100,14 @@
             return self.await_begin(owner, watched.owner);
         }
         self.preparing_since = None;
-        self.seen_end = watched.end;
-        self.owner_strength = watched.strength;
+        self.seen_end = watched.journal_end;
+        self.owner_strength = watched.cpu_millis;
         if self.last_owner.replace(owner) != Some(owner) {
             self.rest_from_reading();
         }
-        if let Some(present) = watched.present {
+        if let Some(present) = watched.succession_order {
             self.take_succession(owner, present);
-            self.succession = watched.succession;
+            self.succession = watched.succession_digest;
         }
         // An owner that answers is in contact, also while the store keeps it from serving: callers
         // are passed on to it and keep their connections, since they fare no better elsewhere.
--- a/src/cell/election/journal.rs
+++ b/src/cell/election/journal.rs
@@ -8,7 +8,7 @@
     pub(super) async fn read(&mut self) -> bool {
         let journal = self.node.borders.journal.clone();
         if !self.reading.begun {
-            match journal.base(self.cell).await {
+            match journal.snapshot(self.cell).await {
                 Ok(base) => self.reading.begin(&base),
                 Err(cause) => return self.unread(&cause),
             }
@@ -19,8 +19,8 @@
                     for record in &page.records {
                         self.reading.take(record);
                     }
-                    self.reading.next = page.next;
-                    if page.next >= page.end {
+                    self.reading.next = page.next_offset;
+                    if page.next_offset >= page.end_offset {
                         return true;
                     }
                 }
--- a/src/cell/election/owner_record.rs
+++ b/src/cell/election/owner_record.rs
@@ -13,7 +13,7 @@
 impl Election {
     /// What the last owner says of itself; `None` without one.
     pub(super) async fn sign(&self) -> Result<Option<OwnerRecord>, ()> {
-        let read = self.node.borders.journal.sign(self.cell);
+        let read = self.node.borders.journal.owner_record(self.cell);
         let cause = match monoio::time::timeout(OWNER_RECORD_TIMEOUT, read).await {
             Ok(Ok(sign)) => return Ok(sign),
             Ok(Err(cause)) => cause,
@@ -53,11 +53,11 @@
     /// Leaves a sign for instances that do not know the owner.
     pub(super) fn publish(&self, epoch: Epoch) {
         let (node, cell) = (self.node.clone(), self.cell);
-        let sign = OwnerRecord { epoch, peer: node.me, strength: node.strength };
+        let sign = OwnerRecord { epoch, peer: node.me, cpu_millis: node.strength };
         monoio::spawn(async move {
             let journal = node.borders.journal.clone();
             for _ in 0..PUBLISH_TRIES {
-                match journal.publish(cell, node.first_sequence(), sign).await {
+                match journal.publish_owner(cell, node.first_sequence(), sign).await {
                     Ok(()) | Err(AppendError::Fenced) => return,
                     Err(rejected) => {
                         log::warn!("event=owner.sign_unwritten cell={cell} {rejected}");
--- a/src/cell/election/priority.rs
+++ b/src/cell/election/priority.rs
@@ -69,7 +69,7 @@
         // All come at once after a loss of power, and the strongest should win; those as strong as the
         // last owner need not wait for each other.
         match self.followed {
-            Some(sign) if sign.strength > 0 => handicap(self.node.strength, sign.strength),
+            Some(sign) if sign.cpu_millis > 0 => handicap(self.node.strength, sign.cpu_millis),
             _ => self.node.weakness(LOWEST_RANK),
         }
     }
--- a/src/cell/election/search.rs
+++ b/src/cell/election/search.rs
@@ -63,7 +63,7 @@
         node.borders.clock.sleep(SIGN_REST).await;
         // The store's own timeout applies: behind the journals that others read, an answer may take
         // longer than an instance usually waits for a sign.
-        if let Ok(Some(sign)) = node.borders.journal.sign(cell).await
+        if let Ok(Some(sign)) = node.borders.journal.owner_record(cell).await
             && sign.epoch > before
             && sign.peer != node.me
         {
--- a/src/cell/election/takeover.rs
+++ b/src/cell/election/takeover.rs
@@ -104,7 +104,7 @@
     async fn is_recovered(&self, owner: SocketAddr) -> bool {
         self.node.borders.clock.sleep(APPEND_RETRY).await;
         let watched = self.watch(owner, false).await;
-        watched.is_ok_and(|watched| watched.owns && watched.offer == HandoverOffer::NotOffered)
+        watched.is_ok_and(|watched| watched.is_owner && watched.offer == HandoverOffer::NotOffered)
     }
 
     /// Asks an owner whose connection broke once more.
@@ -113,7 +113,7 @@
     /// to claim when the cut was over, from an owner that served all others.
     async fn probe(&self, owner: SocketAddr) -> Probe {
         match self.watch(owner, false).await {
-            Ok(watched) if watched.owns || watched.owner == Some(owner) => Probe::Answers,
+            Ok(watched) if watched.is_owner || watched.owner == Some(owner) => Probe::Answers,
             Err(error) if error.sent && error.step == peer::Step::Timeout => Probe::Silent,
             _ => Probe::Gone,
         }
@@ -148,7 +148,7 @@
     /// Offset at which the next append goes, asked for with few of the records: those from `near` on.
     async fn journal_end(&self, near: u64) -> Option<u64> {
         match self.node.borders.journal.read(self.cell, near).await {
-            Ok(page) => Some(page.end),
+            Ok(page) => Some(page.end_offset),
             Err(cause) => {
                 log::warn!("event=journal.unread cell={} cause={:?}", self.cell, cause.to_string());
                 None
--- a/src/cell/forward.rs
+++ b/src/cell/forward.rs
@@ -43,7 +43,7 @@
     }
 
     /// Counts the waiting jobs of a queue over all cells.
-    pub async fn waiting(&self, queue: &str, patience: Duration) -> Outcome {
+    pub async fn count_waiting(&self, queue: &str, patience: Duration) -> Outcome {
         let mut total = 0;
         for cell in 0..self.node.cells {
             match self.call(Id(cell), Call::Waiting(queue.to_owned()), patience).await {
@@ -74,7 +74,7 @@
                 Ok(answer) => return Outcome::Answer(answer),
                 Err(trial) => trial,
             };
-            next = patience.after(trial, clock.now());
+            next = patience.after_attempt(trial, clock.now());
             if matches!(next, Decision::Attempt(_)) {
                 clock.sleep(RETRY_REST).await;
             }
@@ -92,12 +92,12 @@
                 Ok(Some(answer)) => answer,
                 Ok(None) | Err(_) => return Err(AttemptOutcome::Unknown),
             },
-            None => self.ask_owner(cell, call, limit).await?,
+            None => self.call_owner(cell, call, limit).await?,
         };
         if answer == Answer::Unavailable { Err(AttemptOutcome::Refused) } else { Ok(answer) }
     }
 
-    async fn ask_owner(
+    async fn call_owner(
         &self,
         cell: Id,
         call: &Call,
--- a/src/cell/machine/advice.rs
+++ b/src/cell/machine/advice.rs
@@ -126,7 +126,7 @@
         let now = self.now;
         let gang = step.model().gang;
         let tickets = self.tickets.entry(step.key).or_default();
-        if tickets.is_asking() && !gang || !tickets.is_due(now) {
+        if tickets.has_pending_question() && !gang || !tickets.may_ask(now) {
             return;
         }
         askers.turn(&step.queue);
@@ -149,7 +149,7 @@
         } else if !question.is_empty() {
             askers.postpone(step.key, question, *advice);
         } else if let Some(tickets) = self.tickets.get_mut(&step.key) {
-            tickets.rest(now.after(ADVICE_RECHECK_INTERVAL));
+            tickets.postpone(now.after(ADVICE_RECHECK_INTERVAL));
         }
     }
 
@@ -164,7 +164,7 @@
             return self.gang_question(step, fields, tickets);
         }
         let wanted = step.pending.len() as f64;
-        let (asked, eligible) = tickets.tally();
+        let (asked, eligible) = tickets.counts();
         let expected = advice.time_ms(eligible);
         let soon = self.now.after(Duration::from_millis(expected.max(0.0) as u64));
         let mut room = 0.0;
@@ -201,7 +201,9 @@
     fn gang_question(&self, step: &Waiting, fields: &Fields, tickets: &Tickets) -> Vec<WorkerId> {
         // Those behind it have their turn first. Guards against a gang that never fits and has its
         // tickets renewed as long as it waits, while narrow ones find nobody to ask for them.
-        if !tickets.is_asking() && tickets.expired_within(ADVICE_RECHECK_INTERVAL, self.now) {
+        if !tickets.has_pending_question()
+            && tickets.expired_within(ADVICE_RECHECK_INTERVAL, self.now)
+        {
             return Vec::new();
         }
         let wanted = step.pending.len() as f64 * GANG_MARGIN;
@@ -210,7 +212,7 @@
         for at in tickets.eligible().filter_map(|(worker, _)| fields.find(worker)) {
             known.add(fields.get(at), prospects(at));
         }
-        let awaited = tickets.awaited().filter_map(|worker| fields.find(worker));
+        let awaited = tickets.awaiting_answer().filter_map(|worker| fields.find(worker));
         let expected = known.slots + awaited.map(prospects).sum::<f64>() * self.share(step);
         if expected < wanted {
             let further = self.further(step, fields, (wanted - expected) * AMPLE);
@@ -285,7 +287,7 @@
             sent: self.now,
             timeout: Duration::from_millis(expected.max(0.0) as u64) + ADVICE_TIMEOUT_MARGIN,
         };
-        self.tickets.entry(step).or_default().ask(&question.workers);
+        self.tickets.entry(step).or_default().mark_asked(&question.workers);
         if let Some(asker) = self.askers.get_mut(&asker) {
             asker.question = Some(question.number);
         }
@@ -293,7 +295,9 @@
             "event=advice.asked step={step} question={} asker={asker} workers={} valid_workers={}",
             question.number,
             question.workers.len(),
-            self.tickets.get(&step).map_or(0, |tickets| tickets.holding(self.now).count())
+            self.tickets
+                .get(&step)
+                .map_or(0, |tickets| tickets.with_valid_ticket(self.now).count())
         );
         self.questions.insert(question.number, question.clone());
         self.effects.push(Effect::Advise(question));
@@ -317,8 +321,8 @@
             log::warn!("event=advice.failed step={step} asker={asker} question={number}");
         }
         if let Some(tickets) = self.tickets.get_mut(&question.step) {
-            tickets.answer(&question.workers, allowed, question.valid, self.now);
-            let tally = tickets.tally();
+            tickets.record_answer(&question.workers, allowed, question.valid, self.now);
+            let tally = tickets.counts();
             self.learn_share(&question.step, tally);
         }
         self.dirty = true;
--- a/src/cell/machine/askers.rs
+++ b/src/cell/machine/askers.rs
@@ -144,7 +144,8 @@
     fn may_ask(&self, step: &Waiting) -> bool {
         let tickets = self.tickets.get(&step.key);
         step.queue.advice.is_some()
-            && tickets.is_none_or(|tickets| !tickets.is_asking() && tickets.is_due(self.now))
+            && tickets
+                .is_none_or(|tickets| !tickets.has_pending_question() && tickets.may_ask(self.now))
     }
 
     /// Asks the questions that were postponed, as far as instances are left.
--- a/src/cell/machine/backlog.rs
+++ b/src/cell/machine/backlog.rs
@@ -95,6 +95,7 @@
     pub(super) fn needs_first_question(&self, step: &Waiting) -> bool {
         let tickets = self.tickets.get(&step.key);
         step.queue.advice.is_some()
-            && tickets.is_none_or(|tickets| tickets.tally().0 == 0 && !tickets.is_asking())
+            && tickets
+                .is_none_or(|tickets| tickets.counts().0 == 0 && !tickets.has_pending_question())
     }
 }
--- a/src/cell/machine/commit.rs
+++ b/src/cell/machine/commit.rs
@@ -276,8 +276,8 @@
             Deferred::Reply(id, answer) => self.effects.push(Effect::Reply { id, answer }),
             Deferred::Forget(worker, number) => {
                 if let Some(worker) = self.workers.get_mut(&worker) {
-                    worker.recorded = worker.recorded.max(number);
-                    worker.next_look = self.now;
+                    worker.last_recorded_end = worker.last_recorded_end.max(number);
+                    worker.next_poll = self.now;
                 }
             }
             Deferred::Settle(job) => {
--- a/src/cell/machine/crash.rs
+++ b/src/cell/machine/crash.rs
@@ -60,10 +60,10 @@
     pub(super) fn end_with(&self, worker: &Worker, live: &Live) -> RunOutcome {
         if live.is_unsent() {
             RunOutcome::NeverStarted
-        } else if worker.listed.draining {
+        } else if worker.info.draining {
             RunOutcome::WorkerLost
         } else {
-            match (live.has_begun(), live.came_just_before(worker.silent_since)) {
+            match (live.has_begun(), live.came_just_before(worker.unresponsive_since)) {
                 (Some(true), true) => RunOutcome::WorkerCrashedAtStart,
                 (Some(false), false) => RunOutcome::WorkerLost,
                 _ => RunOutcome::WorkerCrashed,
--- a/src/cell/machine/field.rs
+++ b/src/cell/machine/field.rs
@@ -284,8 +284,8 @@
 
     /// When a worker will be seen otherwise without a change of its own.
     fn next_renewal(&self, worker: &Worker) -> Option<Instant> {
-        let rest = worker.next_end_of_rest(self.now);
-        let known = worker.room_known_until(self.timings.room_known_for);
+        let rest = worker.next_backoff_change(self.now);
+        let known = worker.capacity_valid_until(self.timings.capacity_max_age);
         let lapse = known.map(|until| until.after(MOMENT)).filter(|lapse| *lapse > self.now);
         rest.into_iter().chain(lapse).min()
     }
@@ -293,21 +293,21 @@
     fn field(&self, worker: &Worker, concerns: Concerns) -> Field {
         let Concerns { sharing, suspecting } = concerns;
         let runs_any = |is: fn(&Step) -> bool| worker.runs.iter().any(|run| self.runs_as(run, is));
-        let known_for = self.timings.room_known_for;
-        let room = worker.room();
+        let known_for = self.timings.capacity_max_age;
+        let room = worker.free_capacity();
         Field {
             id: worker.id.clone(),
-            listed: worker.listed.clone(),
+            listed: worker.info.clone(),
             room,
             free_cpu_millis: room.cpu_millis,
-            open: worker.is_open(self.now) && worker.is_room_known(known_for, self.now),
+            open: worker.accepts_tasks(self.now) && worker.is_capacity_current(known_for, self.now),
             reserved: false,
-            unanswering: worker.silence.is_remembered(self.now),
+            unanswering: worker.order_backoff.is_deprioritized(self.now),
             // Room that comes free where more is reserved than there is takes nothing in.
             yielding: if worker.is_overcommitted() {
                 Rc::default()
             } else {
-                worker.yielding.clone()
+                worker.preemptible.clone()
             },
             serves: sharing && runs_any(Step::has_latency_target),
             fills: sharing && runs_any(|step| step.opportunistic),
--- a/src/cell/machine/judgement.rs
+++ b/src/cell/machine/judgement.rs
@@ -14,11 +14,11 @@
         let Some(worker) = self.workers.get_mut(&live.worker) else { return };
         match end {
             RunOutcome::Succeeded => {
-                worker.note_success();
+                worker.record_success();
                 self.learn(run, live);
             }
             RunOutcome::Failed => {
-                let quarantined = worker.note_failure(step.job, self.now);
+                let quarantined = worker.record_failure(step.job, self.now);
                 self.failed_on.entry(step).or_default().insert(live.worker.clone());
                 if quarantined {
                     log::warn!("event=worker.quarantined worker={} reason=failures", live.worker);
--- a/src/cell/machine/looks.rs
+++ b/src/cell/machine/looks.rs
@@ -25,7 +25,7 @@
         let (epoch, may_grant) = (self.epoch, self.may_grant());
         for id in self.looks.due(now, LOOKS_A_STEP) {
             let Some(worker) = self.workers.get_mut(&id) else { continue };
-            worker.looking = Some(now);
+            worker.poll_sent_at = Some(now);
             let look = look(worker, epoch, may_grant, now);
             let peer = worker.address();
             self.effects.push(Effect::Look { worker: id, peer, look });
@@ -45,14 +45,14 @@
     fn next_look(&self, worker: &Worker) -> Option<Instant> {
         // An entry of a service that no configuration names may be another program's. What an
         // earlier owner started there is looked after all the same.
-        let is_ours = self.table.has_service(&worker.listed.service);
+        let is_ours = self.table.has_service(&worker.info.service);
         if worker.runs.is_empty() && !worker.fenced && !is_ours {
             return None;
         }
         // An answer that never comes: the adapter's own timeout has been overslept, or the message of
         // its end got lost with the task.
-        let overdue = worker.looking.map(|sent| sent.after(POLL_WAIT + POLL_TIMEOUT * 2));
-        Some(worker.next_look.max(overdue.unwrap_or_default()))
+        let overdue = worker.poll_sent_at.map(|sent| sent.after(POLL_WAIT + POLL_TIMEOUT * 2));
+        Some(worker.next_poll.max(overdue.unwrap_or_default()))
     }
 
     /// Whether this owner may still extend leases.
@@ -72,18 +72,18 @@
     ) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else { return };
-        worker.looking = None;
+        worker.poll_sent_at = None;
         match outcome {
             Ok(report) => {
-                if worker.missed > 0 || !worker.fenced {
-                    log::info!("event=worker.reached worker={id} missed={}", worker.missed);
+                if worker.missed_polls > 0 || !worker.fenced {
+                    log::info!("event=worker.reached worker={id} missed={}", worker.missed_polls);
                     self.dirty = true;
                 }
-                worker.missed = 0;
-                worker.silent_since = None;
+                worker.missed_polls = 0;
+                worker.unresponsive_since = None;
                 worker.fenced = true;
                 worker.lease.observe_clock(report.clock_ms, now);
-                worker.next_look = now;
+                worker.next_poll = now;
                 self.take_report(id, sent, report);
             }
             Err(fault) => self.missed_look(id, sent, &fault),
@@ -97,10 +97,12 @@
             WorkerError::OtherIncarnation => self.bury(id, "another_life"),
             _ => {
                 let Some(worker) = self.workers.get_mut(id) else { return };
-                worker.silent_since.get_or_insert_with(|| silent_since(worker.fenced, sent, now));
-                worker.missed += 1;
-                worker.next_look = now.after(POLL_RETRY);
-                if worker.missed == 1 {
+                worker
+                    .unresponsive_since
+                    .get_or_insert_with(|| silent_since(worker.fenced, sent, now));
+                worker.missed_polls += 1;
+                worker.next_poll = now.after(POLL_RETRY);
+                if worker.missed_polls == 1 {
                     log::warn!("event=worker.silent worker={id} cause={:?}", fault.to_string());
                 }
             }
@@ -128,15 +130,15 @@
     /// Records what ended, and lets the worker forget it once that is stored.
     fn take_ends(&mut self, id: &str, ended: Vec<EndedRun>) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let (told, recorded) = (worker.told, worker.recorded);
+        let (told, recorded) = (worker.last_reported_end, worker.last_recorded_end);
         let Some(last) = ended.iter().map(|end| end.number).max() else { return };
-        worker.told = told.max(last);
+        worker.last_reported_end = told.max(last);
         // The same ends come again at once until the worker may forget them, so that the next look
         // waits for the journal.
-        worker.next_look = self.now.after(POLL_RETRY);
+        worker.next_poll = self.now.after(POLL_RETRY);
         for end in ended {
             if end.number > told && self.is_on(&end.run, id) {
-                self.end_run(end.run, end.end, end.saved);
+                self.end_run(end.run, end.outcome, end.checkpoint);
             }
         }
         if last > recorded {
@@ -166,7 +168,7 @@
         }
         let unwanted = live.unwanted && matches!(live.stage, Stage::Running(_));
         self.state.mark_started(run.task.step.job);
-        self.state.set_checkpoint(&run.task, &running.saved);
+        self.state.set_checkpoint(&run.task, &running.checkpoint);
         if unwanted {
             self.stop_run(run);
         }
@@ -233,8 +235,13 @@
 ) -> PollRequest {
     // A look that gets no answer may still extend the lease when it arrives; while a worker does
     // not answer, nothing is granted, so that the end of its lease stays known.
-    let grants = may_grant && worker.missed == 0 && worker.fenced;
+    let grants = may_grant && worker.missed_polls == 0 && worker.fenced;
     let until_ms = if grants { worker.lease.grant(now) } else { None };
-    let wait = if worker.fenced && worker.missed == 0 { POLL_WAIT } else { Duration::ZERO };
-    PollRequest { epoch, recorded: worker.recorded, until_ms, wait }
+    let wait = if worker.fenced && worker.missed_polls == 0 { POLL_WAIT } else { Duration::ZERO };
+    PollRequest {
+        epoch,
+        acked_end: worker.last_recorded_end,
+        lease_until_ms: until_ms,
+        max_wait: wait,
+    }
 }
--- a/src/cell/machine/loss.rs
+++ b/src/cell/machine/loss.rs
@@ -28,15 +28,17 @@
     /// then: a task that crashes its worker is told apart from those beside it.
     fn tell_gone(&self, worker: &Worker, reason: &str) {
         let placed = worker.runs.iter().filter_map(|run| self.runs.get(run)).map(|live| live.since);
-        let silent = worker.silent_since.map(|since| self.now.since(since));
-        let youngest =
-            worker.silent_since.zip(placed.max()).map(|(silent, placed)| silent.since(placed));
+        let silent = worker.unresponsive_since.map(|since| self.now.since(since));
+        let youngest = worker
+            .unresponsive_since
+            .zip(placed.max())
+            .map(|(silent, placed)| silent.since(placed));
         log::warn!(
             "event=worker.gone worker={} reason={reason} tasks={} draining={} silent_ms={} \
              youngest_ms={}",
             worker.id,
             worker.runs.len(),
-            worker.listed.draining,
+            worker.info.draining,
             shown(silent),
             shown(youngest)
         );
--- a/src/cell/machine/orders.rs
+++ b/src/cell/machine/orders.rs
@@ -32,8 +32,8 @@
     fn is_room_known(&self, run: Run) -> bool {
         let live = self.runs.get(&run);
         let worker = live.and_then(|live| self.workers.get(&live.worker));
-        let known_for = self.timings.room_known_for;
-        worker.is_none_or(|worker| worker.is_room_known(known_for, self.now))
+        let known_for = self.timings.capacity_max_age;
+        worker.is_none_or(|worker| worker.is_capacity_current(known_for, self.now))
     }
 
     fn send_start(&mut self, run: Run) {
@@ -44,7 +44,7 @@
         let Some(live) = self.runs.get_mut(&run) else { return };
         live.stage = Stage::Starting { out: true };
         live.tries += 1;
-        live.ordered_until_ms = live.ordered_until_ms.max(start.until_ms);
+        live.ordered_until_ms = live.ordered_until_ms.max(start.lease_until_ms);
         let worker = live.worker.clone();
         let Some(peer) = self.workers.get(&worker).map(super::Worker::address) else { return };
         self.effects.push(Effect::Start { worker, peer, start });
@@ -62,7 +62,7 @@
         let model = entry.job.steps.get(key.step as usize)?;
         let queue = self.table.queue(&entry.job.queue)?;
         let ticket = match queue.advice {
-            Some(_) => Some(self.tickets.get(&key)?.valid(&worker.id, now)?.to_owned()),
+            Some(_) => Some(self.tickets.get(&key)?.valid_ticket(&worker.id, now)?.to_owned()),
             None => None,
         };
         let step = self.state.step(&key)?;
@@ -72,7 +72,14 @@
             step.tasks.get(run.task.index as usize)?.checkpoint.clone()
         };
         let until_ms = if may_grant { worker.lease.grant(now)? } else { return None };
-        Some(StartOrder { epoch, run, payload: entry.job.clone(), until_ms, saved, ticket })
+        Some(StartOrder {
+            epoch,
+            run,
+            job: entry.job.clone(),
+            lease_until_ms: until_ms,
+            checkpoint: saved,
+            ticket,
+        })
     }
 
     /// Ends a try that was never begun, or stops it where an order may still arrive.
@@ -159,7 +166,7 @@
             }
             WorkerError::NoCapacity | WorkerError::Unhealthy | WorkerError::Refused(_) => {
                 if let Some(worker) = self.workers.get_mut(worker) {
-                    worker.distrust(now);
+                    worker.pause_after_refusal(now);
                 }
                 self.give_up_start(run);
             }
@@ -213,9 +220,9 @@
         let Some(worker) = self.workers.get_mut(worker) else { return };
         if taken.is_some() {
             // A report settles it only if its look leaves in a later millisecond.
-            worker.next_look = worker.next_look.min(now.after(Duration::from_millis(1)));
+            worker.next_poll = worker.next_poll.min(now.after(Duration::from_millis(1)));
         } else {
-            worker.silence.note_stop(now);
+            worker.order_backoff.record_unanswered_stop(now);
         }
     }
 
@@ -225,7 +232,7 @@
             return;
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.silence.end();
+            worker.order_backoff.reset();
         }
     }
 
@@ -241,11 +248,11 @@
     fn note_unanswered(&mut self, id: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else { return };
-        if worker.silence.note_start(now) {
-            let times = worker.silence.times();
+        if worker.order_backoff.record_unanswered_start(now) {
+            let times = worker.order_backoff.consecutive();
             log::warn!(
                 "event=worker.unanswering worker={id} times={times} missed={}",
-                worker.missed
+                worker.missed_polls
             );
         }
     }
--- a/src/cell/machine/place.rs
+++ b/src/cell/machine/place.rs
@@ -127,7 +127,7 @@
     /// Fields for which the step has a ticket that holds.
     fn ticketed(&self, step: &StepKey, fields: &Fields) -> Vec<usize> {
         let Some(tickets) = self.tickets.get(step) else { return Vec::new() };
-        tickets.holding(self.now).filter_map(|worker| fields.find(worker)).collect()
+        tickets.with_valid_ticket(self.now).filter_map(|worker| fields.find(worker)).collect()
     }
 
     fn plan(&self, step: &Waiting, allowed: &[usize], fields: &Fields) -> Plan {
--- a/src/cell/machine/preemption.rs
+++ b/src/cell/machine/preemption.rs
@@ -138,14 +138,14 @@
                     .push(PreemptibleRun { priority, victim });
             }
         }
-        let before = self.workers.values().filter(|worker| !worker.yielding.is_empty());
+        let before = self.workers.values().filter(|worker| !worker.preemptible.is_empty());
         let before: Vec<WorkerId> = before.map(|worker| worker.id.clone()).collect();
         for id in before {
             found.entry(id).or_default();
         }
         for (id, yielding) in found {
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.yielding = yielding.into();
+                worker.preemptible = yielding.into();
             }
         }
     }
--- a/src/cell/machine/rank.rs
+++ b/src/cell/machine/rank.rs
@@ -54,7 +54,7 @@
     /// Guards against questions in vain: in a flood each gang was asked about when it was just on time, and
     /// was late when its answer came, while others behind it that could be on time were not asked about.
     fn asking_ms(&self, job: &Job, key: &StepKey, queue: &Queue) -> f64 {
-        let unasked = self.tickets.get(key).is_none_or(|tickets| tickets.tally().0 == 0);
+        let unasked = self.tickets.get(key).is_none_or(|tickets| tickets.counts().0 == 0);
         let gang = job.steps[key.step as usize].gang;
         queue
             .advice
--- a/src/cell/machine/reservation.rs
+++ b/src/cell/machine/reservation.rs
@@ -89,7 +89,7 @@
     pub(super) fn is_under_way(&self, step: &Waiting) -> bool {
         let tickets = self.tickets.get(&step.key);
         tickets.is_some_and(|tickets| {
-            tickets.is_asking() || tickets.holding(self.now).next().is_some()
+            tickets.has_pending_question() || tickets.with_valid_ticket(self.now).next().is_some()
         })
     }
 
--- a/src/cell/machine/roster.rs
+++ b/src/cell/machine/roster.rs
@@ -13,21 +13,21 @@
 
 impl Machine {
     pub(super) fn roster(&mut self, roster: RosterUpdate) {
-        if roster.whole {
-            let present: BTreeSet<&WorkerId> = roster.present.iter().map(|(id, _)| id).collect();
+        if roster.is_complete {
+            let present: BTreeSet<&WorkerId> = roster.changed.iter().map(|(id, _)| id).collect();
             let missing: Vec<WorkerId> =
                 self.workers.keys().filter(|id| !present.contains(id)).cloned().collect();
             missing.iter().for_each(|id| self.miss(id));
             self.dead.retain(|id| present.contains(id));
         }
         let mut any_new = false;
-        for (id, listed) in roster.present {
+        for (id, listed) in roster.changed {
             any_new |= self.list(id, listed);
         }
         if any_new {
             self.reserve_inherited();
         }
-        for entry in roster.gone {
+        for entry in roster.removed {
             self.miss_lives(&entry);
         }
     }
@@ -38,7 +38,7 @@
             return false;
         }
         if let Some(worker) = self.workers.get_mut(&id) {
-            if worker.missing_since.take().is_some() || worker.listed != listed {
+            if worker.unlisted_since.take().is_some() || worker.info != listed {
                 log::info!(
                     "event=worker.changed worker={id} draining={} capacity={:?} used={:?}",
                     listed.draining,
@@ -47,9 +47,9 @@
                 );
                 self.dirty = true;
             }
-            self.dirty |= !worker.is_room_known(self.timings.room_known_for, self.now);
-            worker.listed = listed;
-            worker.listed_at = self.now;
+            self.dirty |= !worker.is_capacity_current(self.timings.capacity_max_age, self.now);
+            worker.info = listed;
+            worker.info_at = self.now;
             return false;
         }
         log::info!(
@@ -92,9 +92,9 @@
     fn miss(&mut self, id: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else { return };
-        if worker.missing_since.is_none() {
+        if worker.unlisted_since.is_none() {
             log::info!("event=worker.unlisted worker={id} tasks={}", worker.runs.len());
-            worker.missing_since = Some(now);
+            worker.unlisted_since = Some(now);
         }
     }
 
@@ -111,8 +111,8 @@
     pub(super) fn drop_unlisted(&mut self) {
         let now = self.now;
         let over = |worker: &&Worker| {
-            let gone = worker.missing_since.is_some_and(|since| {
-                now.since(since) > crate::cell::timings::UNLISTED_AFTER && worker.missed > 0
+            let gone = worker.unlisted_since.is_some_and(|since| {
+                now.since(since) > crate::cell::timings::UNLISTED_AFTER && worker.missed_polls > 0
             });
             gone && worker.runs.is_empty()
         };
--- a/src/cell/node/answer.rs
+++ b/src/cell/node/answer.rs
@@ -69,16 +69,16 @@
     /// takes the other's silence for long.
     async fn watched(&self, watch: &WatchRequest) -> WatchResponse {
         if let Some(owning) = self.owning(watch.cell) {
-            let (peer, strength, domain) = (watch.from, watch.strength, watch.domain.clone());
+            let (peer, strength, domain) = (watch.follower, watch.cpu_millis, watch.domain.clone());
             owning.send(Message::Present { peer, strength, domain });
-            if watch.patient {
+            if watch.long_poll {
                 let _ = monoio::time::timeout(WATCH_HOLD, self.until_relief(watch.cell)).await;
             }
-        } else if watch.patient {
+        } else if watch.long_poll {
             self.await_begin(watch.cell, WATCH_HOLD).await;
         }
         let table = self.table();
-        let newer = (table.version > watch.version).then(|| (*table).clone());
+        let newer = (table.version > watch.config_version).then(|| (*table).clone());
         let strength = self.strength;
         let look = move |machine: &Machine, now| {
             let succession = machine.succession();
@@ -91,11 +91,20 @@
         };
         let owns = seen.is_some();
         let (offer, order, succession, end) = seen.unwrap_or_default();
-        let is_told = succession != 0 && succession == watch.succession;
+        let is_told = succession != 0 && succession == watch.succession_digest;
         let present = (!is_told).then(|| order.to_vec());
         let offer = if self.stop.is_triggered() { HandoverOffer::Anyone } else { offer };
         let owner = self.owner(watch.cell);
-        WatchResponse { owns, owner, strength, end, offer, present, succession, table: newer }
+        WatchResponse {
+            is_owner: owns,
+            owner,
+            cpu_millis: strength,
+            journal_end: end,
+            offer,
+            succession_order: present,
+            succession_digest: succession,
+            config: newer,
+        }
     }
 }
 
@@ -109,7 +118,7 @@
         let method = method.to_owned();
         let duty = if method == CALL { Activity::Call } else { Activity::Watch };
         let answer = async move { self.answer(&method, &body).await }.boxed_local();
-        self.borders.duties.measure(duty, answer).boxed_local()
+        self.borders.profiler.measure(duty, answer).boxed_local()
     }
 }
 
--- a/src/cell/node/config.rs
+++ b/src/cell/node/config.rs
@@ -48,7 +48,7 @@
         let mut store = DependencyStatus::new("store");
         while !self.left.get() {
             let version = self.table().version;
-            match self.borders.lists.table(version, TABLE_WAIT).await {
+            match self.borders.discovery.newer_config(version, TABLE_WAIT).await {
                 Ok(table) => {
                     store.answered();
                     if let Some(table) = table {
--- a/src/cell/node/mod.rs
+++ b/src/cell/node/mod.rs
@@ -119,7 +119,7 @@
         self.left.set(true);
         for view in self.views.borrow().values() {
             if let Some(owning) = &view.owning {
-                owning.end();
+                owning.stop();
             }
         }
     }
--- a/src/cell/order_backoff.rs
+++ b/src/cell/order_backoff.rs
@@ -29,44 +29,44 @@
 
 impl OrderBackoff {
     /// Notes a start that was given up without an answer; `true` when a rest begins with it.
-    pub fn note_start(&mut self, now: Instant) -> bool {
-        if self.is_resting(now) {
+    pub fn record_unanswered_start(&mut self, now: Instant) -> bool {
+        if self.is_active(now) {
             return false;
         }
-        let before = if self.is_remembered(now) { self.times } else { 0 };
+        let before = if self.is_deprioritized(now) { self.times } else { 0 };
         self.times = (before + 1).min(MOST_RESTS);
         self.rests_until = Some(now.after(REST * self.times));
         true
     }
 
     /// Notes a stop without an answer, which is sent again: the worker rests on.
-    pub fn note_stop(&mut self, now: Instant) {
+    pub fn record_unanswered_stop(&mut self, now: Instant) {
         self.times = self.times.max(1);
         self.rests_until = self.rests_until.max(Some(now.after(REST)));
     }
 
     /// Notes that an order was answered, whatever the answer.
-    pub fn end(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 
     /// Whether the worker gets nothing new.
-    pub fn is_resting(&self, now: Instant) -> bool {
+    pub fn is_active(&self, now: Instant) -> bool {
         self.rests_until.is_some_and(|until| now < until)
     }
 
     /// Whether the worker gets tasks only where no other has room.
-    pub fn is_remembered(&self, now: Instant) -> bool {
+    pub fn is_deprioritized(&self, now: Instant) -> bool {
         self.rests_until.is_some_and(|until| now < until.after(MEMORY))
     }
 
     /// When its rest is over, and when that is forgotten.
-    pub fn ends(&self) -> impl Iterator<Item = Instant> {
+    pub fn deadlines(&self) -> impl Iterator<Item = Instant> {
         self.rests_until.into_iter().flat_map(|until| [until, until.after(MEMORY)])
     }
 
     /// Times in a row.
-    pub const fn times(&self) -> u32 {
+    pub const fn consecutive(&self) -> u32 {
         self.times
     }
 }
--- a/src/cell/owner.rs
+++ b/src/cell/owner.rs
@@ -41,13 +41,13 @@
     /// The policy service.
     pub advisor: Rc<dyn Advisor>,
     /// The platform's lists.
-    pub lists: Rc<dyn Discovery>,
+    pub discovery: Rc<dyn Discovery>,
     /// Other instances.
     pub peers: Rc<peer::Client>,
     /// Time, which also passes while the instance is suspended.
     pub clock: Rc<dyn Clock>,
     /// What the instance spends its time on while it owns a cell.
-    pub duties: Rc<ThreadProfiler>,
+    pub profiler: Rc<ThreadProfiler>,
 }
 
 /// A look at the machine, run by the task that owns it.
@@ -105,7 +105,7 @@
     }
 
     /// Ends the task.
-    pub fn end(&self) {
+    pub fn stop(&self) {
         let _ = self.inputs.send(Input::End);
     }
 }
@@ -151,7 +151,7 @@
             last_call: 0,
             saves: 0,
             ended: Rc::new(Cell::new(false)),
-            duties: borders.duties.clone(),
+            duties: borders.profiler.clone(),
             borders,
             health,
         };
@@ -169,7 +169,7 @@
     }
 
     async fn serve(&mut self) -> String {
-        let mut lap = self.duties.lap();
+        let mut lap = self.duties.stopwatch();
         loop {
             let first = monoio::time::timeout(TICK, self.inputs.recv()).await.ok().flatten();
             lap.restart();
@@ -180,7 +180,7 @@
             (self.health)(self.machine.store_health(now));
             let mut round = Duration::ZERO;
             let effects = self.machine.step_by_duty(now, unix, &mut |duty| {
-                let took = lap.end(duty);
+                let took = lap.record(duty);
                 if duty == Activity::Placement {
                     round = took;
                 }
@@ -191,7 +191,7 @@
                 if let Some(why) = self.carry_out(effect) {
                     return why;
                 }
-                lap.end(duty);
+                lap.record(duty);
             }
         }
     }
@@ -206,14 +206,14 @@
             let Some(input) = next.take().or_else(|| self.inputs.try_recv().ok()) else { break };
             let before = duty.replace(input.duty());
             if let Some(before) = before.filter(|before| *before != input.duty()) {
-                lap.end(before);
+                lap.record(before);
             }
             if self.take(input, now, unix) {
                 return true;
             }
         }
         if let Some(duty) = duty {
-            lap.end(duty);
+            lap.record(duty);
         }
         false
     }
@@ -259,7 +259,7 @@
         monoio::spawn(async move {
             let sent = borders.clock.now();
             let append = borders.journal.append(cell, epoch, sequence, batch, APPEND_TIMEOUT);
-            let outcome = borders.duties.measure(Activity::Append, append).await;
+            let outcome = borders.profiler.measure(Activity::Append, append).await;
             handle.send(Message::Appended { sequence, sent, outcome });
         });
     }
@@ -268,9 +268,9 @@
         let (borders, handle) = (self.borders.clone(), self.handle.clone());
         monoio::spawn(async move {
             let sent = borders.clock.now();
-            let timeout = look.wait + POLL_TIMEOUT;
-            let look = borders.workers.look(peer, &worker, &look, timeout);
-            let outcome = borders.duties.measure(Activity::Look, look).await;
+            let timeout = look.max_wait + POLL_TIMEOUT;
+            let look = borders.workers.poll(peer, &worker, &look, timeout);
+            let outcome = borders.profiler.measure(Activity::Look, look).await;
             handle.send(Message::Looked { worker, sent, outcome });
         });
     }
@@ -279,7 +279,7 @@
         let (borders, handle) = (self.borders.clone(), self.handle.clone());
         monoio::spawn(async move {
             let order = borders.workers.start(peer, &worker, &start, ORDER_TIMEOUT);
-            let outcome = borders.duties.measure(Activity::Order, order).await;
+            let outcome = borders.profiler.measure(Activity::Order, order).await;
             handle.send(Message::Started { worker, run: start.run, outcome });
         });
     }
@@ -290,7 +290,7 @@
         monoio::spawn(async move {
             let order = borders.workers.stop(peer, &worker, run, epoch, ORDER_TIMEOUT);
             let outcome: Result<u64, WorkerError> =
-                borders.duties.measure(Activity::Order, order).await;
+                borders.profiler.measure(Activity::Order, order).await;
             handle.send(Message::Stopped { worker, run, outcome });
         });
     }
@@ -300,7 +300,7 @@
         monoio::spawn(async move {
             let number = question.number;
             let asked = ask(&borders, me, question).boxed_local();
-            let allowed = borders.duties.measure(Activity::Advice, asked).await;
+            let allowed = borders.profiler.measure(Activity::Advice, asked).await;
             if let Err(cause) = &allowed {
                 log::info!("event=advice.no_answer question={number} cause={cause:?}");
             }
@@ -323,7 +323,7 @@
 
     fn tell_duties(&self) {
         let ended = self.ended.clone();
-        monoio::spawn(self.duties.clone().tell(self.cell, move || !ended.get()));
+        monoio::spawn(self.duties.clone().report_periodically(self.cell, move || !ended.get()));
     }
 
     fn save(&mut self, base: Snapshot) {
@@ -333,7 +333,7 @@
         monoio::spawn(async move {
             let bytes = base.state.as_ref().map_or(0, Bytes::len);
             let offset = base.offset;
-            match borders.journal.save(cell, epoch, sequence, &base).await {
+            match borders.journal.save_snapshot(cell, epoch, sequence, &base).await {
                 Ok(()) => {
                     log::info!("event=journal.saved cell={cell} offset={offset} bytes={bytes}")
                 }
@@ -346,11 +346,15 @@
     fn follow_roster(&self) {
         let (borders, handle) = (self.borders.clone(), self.handle.clone());
         let (cell, cells, ended) = (self.cell, self.cells, self.ended.clone());
-        borders.lists.restart();
+        borders.discovery.reset();
         monoio::spawn(async move {
             let mut list = DependencyStatus::new("roster");
             while !ended.get() {
-                match borders.duties.measure(Activity::List, borders.lists.roster()).await {
+                match borders
+                    .profiler
+                    .measure(Activity::List, borders.discovery.roster_update())
+                    .await
+                {
                     Ok(roster) => {
                         list.answered();
                         handle.send(Message::Roster(share(roster, cell, cells)));
@@ -390,6 +394,6 @@
 }
 
 fn share(mut roster: RosterUpdate, cell: Id, cells: u32) -> RosterUpdate {
-    roster.present.retain(|(_, listed)| cell_of(listed, cells) == cell);
+    roster.changed.retain(|(_, listed)| cell_of(listed, cells) == cell);
     roster
 }
--- a/src/cell/peer.rs
+++ b/src/cell/peer.rs
@@ -50,17 +50,22 @@
     /// The cell.
     pub cell: Id,
     /// Address at which the follower is reached.
-    pub from: SocketAddr,
+    #[serde(rename = "from")]
+    pub follower: SocketAddr,
     /// Failure domain of the follower.
     pub domain: Rc<str>,
     /// Version of the configuration that it has.
-    pub version: u64,
+    #[serde(rename = "version")]
+    pub config_version: u64,
     /// Processor that the follower may use, in thousandths of a core.
-    pub strength: u32,
+    #[serde(rename = "strength")]
+    pub cpu_millis: u32,
     /// Whether the owner may hold its answer back while all is well.
-    pub patient: bool,
+    #[serde(rename = "patient")]
+    pub long_poll: bool,
     /// Digest of the order of succession that the follower was told last; zero for none.
-    pub succession: u64,
+    #[serde(rename = "succession")]
+    pub succession_digest: u64,
 }
 
 /// Whether an owner wants to be relieved.
@@ -93,22 +98,28 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WatchResponse {
     /// Whether the instance owns the cell.
-    pub owns: bool,
+    #[serde(rename = "owns")]
+    pub is_owner: bool,
     /// The instance that does, where it knows; itself while it prepares to.
     pub owner: Option<SocketAddr>,
     /// Processor that the instance may use, in thousandths of a core.
-    pub strength: u32,
+    #[serde(rename = "strength")]
+    pub cpu_millis: u32,
     /// End of the journal, as the owner knows it.
-    pub end: u64,
+    #[serde(rename = "end")]
+    pub journal_end: u64,
     /// Whether the owner wants another instance to take over.
     pub offer: HandoverOffer,
     /// Instances that follow the owner, in the order in which they would take over, where the
     /// follower was told of another order last.
-    pub present: Option<Vec<SocketAddr>>,
+    #[serde(rename = "present")]
+    pub succession_order: Option<Vec<SocketAddr>>,
     /// Digest of that order; zero while there is none.
-    pub succession: u64,
+    #[serde(rename = "succession")]
+    pub succession_digest: u64,
     /// The owner's configuration, when it is newer.
-    pub table: Option<QueueConfig>,
+    #[serde(rename = "table")]
+    pub config: Option<QueueConfig>,
 }
 
 /// A question to the policy service.
--- a/src/cell/retry.rs
+++ b/src/cell/retry.rs
@@ -15,8 +15,8 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
     deadline: Instant,
-    hold: Instant,
-    doubtful: bool,
+    retry_until: Instant,
+    may_have_run: bool,
 }
 
 /// What became of one try to reach the owner.
@@ -56,12 +56,12 @@
     pub fn new(now: Instant, span: Duration, contact: Option<Instant>) -> Self {
         let deadline = now.after(span).before(ANSWER_MARGIN);
         let hold = contact.unwrap_or(now).after(NO_OWNER_WAIT).min(deadline);
-        Self { deadline, hold, doubtful: false }
+        Self { deadline, retry_until: hold, may_have_run: false }
     }
 
     /// What to do at `now`.
     pub fn next(&self, now: Instant) -> Decision {
-        if now >= self.hold {
+        if now >= self.retry_until {
             return self.give_up();
         }
         // A try may outlast the hold: an owner that took the call waits for the store.
@@ -73,12 +73,12 @@
     /// Guards against a call that is held until its caller has given up: one that an owner refused
     /// would be refused again, since a store that is away comes back after seconds; one that went out
     /// on a connection that broke is settled soonest by the caller's own repeat at another instance.
-    pub fn after(&mut self, trial: AttemptOutcome, now: Instant) -> Decision {
-        self.doubtful |= trial == AttemptOutcome::Unknown;
+    pub fn after_attempt(&mut self, trial: AttemptOutcome, now: Instant) -> Decision {
+        self.may_have_run |= trial == AttemptOutcome::Unknown;
         if trial == AttemptOutcome::Refused { self.give_up() } else { self.next(now) }
     }
 
     const fn give_up(&self) -> Decision {
-        if self.doubtful { Decision::Unknown } else { Decision::NotExecuted }
+        if self.may_have_run { Decision::Unknown } else { Decision::NotExecuted }
     }
 }
--- a/src/cell/ticket.rs
+++ b/src/cell/ticket.rs
@@ -13,8 +13,8 @@
 /// Proof that a worker may run a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Ticket {
-    text: String,
-    until: Instant,
+    token: String,
+    expires_at: Instant,
 }
 
 /// What is known of one step.
@@ -25,19 +25,19 @@
     /// Workers that a question under way names.
     asked: BTreeSet<WorkerId>,
     /// End of the ticket that holds longest, so that a step without any is passed over at once.
-    last_until: Instant,
+    last_expiry: Instant,
     /// When a question is to be thought about again.
-    rests_until: Instant,
+    next_question_at: Instant,
 }
 
 impl Tickets {
     /// Notes that a question about `workers` is under way.
-    pub fn ask(&mut self, workers: &[WorkerId]) {
+    pub fn mark_asked(&mut self, workers: &[WorkerId]) {
         self.asked.extend(workers.iter().cloned());
     }
 
     /// Takes in the answer to a question about `workers`; `None` when none came.
-    pub fn answer(
+    pub fn record_answer(
         &mut self,
         workers: &[WorkerId],
         allowed: Option<&Eligibility>,
@@ -50,9 +50,9 @@
         let Some(allowed) = allowed else { return };
         let valid = allowed.valid_ms.map_or(valid, Duration::from_millis);
         let until = now.after(valid).before(TICKET_MARGIN);
-        self.last_until = self.last_until.max(until);
+        self.last_expiry = self.last_expiry.max(until);
         for (worker, text) in &allowed.workers {
-            self.eligible.insert(worker.clone(), Ticket { text: text.clone(), until });
+            self.eligible.insert(worker.clone(), Ticket { token: text.clone(), expires_at: until });
         }
         for worker in workers {
             if !self.eligible.contains_key(worker) {
@@ -62,56 +62,57 @@
     }
 
     /// Whether the service said that the worker may run the step.
-    pub fn allows(&self, worker: &str) -> bool {
+    pub fn is_eligible(&self, worker: &str) -> bool {
         self.eligible.contains_key(worker)
     }
 
     /// Whether nothing is known of the worker, and no question about it is under way.
     pub fn is_unasked(&self, worker: &str) -> bool {
-        !self.allows(worker) && !self.refused.contains(worker) && !self.asked.contains(worker)
+        !self.is_eligible(worker) && !self.refused.contains(worker) && !self.asked.contains(worker)
     }
 
     /// Whether a question is under way.
-    pub fn is_asking(&self) -> bool {
+    pub fn has_pending_question(&self) -> bool {
         !self.asked.is_empty()
     }
 
     /// Workers that a question under way is the first to name.
-    pub fn awaited(&self) -> impl Iterator<Item = &WorkerId> {
-        self.asked.iter().filter(|worker| !self.allows(worker))
+    pub fn awaiting_answer(&self) -> impl Iterator<Item = &WorkerId> {
+        self.asked.iter().filter(|worker| !self.is_eligible(worker))
     }
 
     /// The ticket for a worker, while it holds.
-    pub fn valid(&self, worker: &str, now: Instant) -> Option<&str> {
+    pub fn valid_ticket(&self, worker: &str, now: Instant) -> Option<&str> {
         let ticket = self.eligible.get(worker)?;
-        (now < ticket.until).then_some(ticket.text.as_str())
+        (now < ticket.expires_at).then_some(ticket.token.as_str())
     }
 
     /// Workers whose tickets hold.
-    pub fn holding(&self, now: Instant) -> impl Iterator<Item = &WorkerId> {
-        let any = now < self.last_until;
-        let holding = self.eligible.iter().filter(move |(_, ticket)| any && now < ticket.until);
+    pub fn with_valid_ticket(&self, now: Instant) -> impl Iterator<Item = &WorkerId> {
+        let any = now < self.last_expiry;
+        let holding =
+            self.eligible.iter().filter(move |(_, ticket)| any && now < ticket.expires_at);
         holding.map(|(worker, _)| worker)
     }
 
     /// Workers that may run the step, with the end of their tickets.
     pub fn eligible(&self) -> impl Iterator<Item = (&WorkerId, Instant)> {
-        self.eligible.iter().map(|(worker, ticket)| (worker, ticket.until))
+        self.eligible.iter().map(|(worker, ticket)| (worker, ticket.expires_at))
     }
 
     /// Whether tickets were given out and the last expired no longer than `span` ago.
     pub fn expired_within(&self, span: Duration, now: Instant) -> bool {
-        !self.eligible.is_empty() && now >= self.last_until && now < self.last_until.after(span)
+        !self.eligible.is_empty() && now >= self.last_expiry && now < self.last_expiry.after(span)
     }
 
     /// Whether it is time to think about a question again.
-    pub fn is_due(&self, now: Instant) -> bool {
-        now >= self.rests_until
+    pub fn may_ask(&self, now: Instant) -> bool {
+        now >= self.next_question_at
     }
 
     /// Thinks about no question before `until`.
-    pub fn rest(&mut self, until: Instant) {
-        self.rests_until = until;
+    pub fn postpone(&mut self, until: Instant) {
+        self.next_question_at = until;
     }
 
     /// Forgets a life of a worker that is over.
@@ -123,12 +124,12 @@
     /// Forgets a ticket that the worker did not take.
     pub fn expire(&mut self, worker: &str) {
         if let Some(ticket) = self.eligible.get_mut(worker) {
-            ticket.until = Instant::default();
+            ticket.expires_at = Instant::default();
         }
     }
 
     /// Workers asked about and those among them that may run the step.
-    pub fn tally(&self) -> (usize, usize) {
+    pub fn counts(&self) -> (usize, usize) {
         (self.eligible.len() + self.refused.len(), self.eligible.len())
     }
 }
--- a/src/cell/timings.rs
+++ b/src/cell/timings.rs
@@ -14,7 +14,7 @@
     pub lease: Duration,
     /// How long what the list last said of a worker's room is relied on; `None` where the list tells
     /// each change at once.
-    pub room_known_for: Option<Duration>,
+    pub capacity_max_age: Option<Duration>,
 }
 
 impl Default for Timings {
@@ -23,7 +23,7 @@
             status_retention: Duration::from_secs(120),
             stop_grace: Duration::from_secs(6),
             lease: LEASE,
-            room_known_for: None,
+            capacity_max_age: None,
         }
     }
 }
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -23,10 +23,10 @@
 const QUARANTINE: Duration = Duration::from_secs(4);
 
 /// Time without new work after a worker refused an order: about one look.
-const REFUSAL_REST: Duration = Duration::from_secs(1);
+const REFUSAL_PAUSE: Duration = Duration::from_secs(1);
 
 /// Looks in a row without an answer after which nothing new is placed on a worker.
-const MISSED_LOOKS: u32 = 1;
+const MISSED_POLLS_LIMIT: u32 = 1;
 
 /// A task that may be stopped for steps of queues that go before its own.
 #[derive(Clone, Debug)]
@@ -43,37 +43,37 @@
     /// Name of this life of it.
     pub id: WorkerId,
     /// What the list says of it.
-    pub listed: Rc<WorkerInfo>,
+    pub info: Rc<WorkerInfo>,
     /// When the list last told of it.
-    pub listed_at: Instant,
+    pub info_at: Instant,
     /// Since when the list has not named it.
-    pub missing_since: Option<Instant>,
+    pub unlisted_since: Option<Instant>,
     /// Its clock and lease.
     pub lease: Lease,
     /// Whether it has answered under this owner's epoch, so that it refuses earlier owners.
     pub fenced: bool,
     /// Latest end that is in the journal; the worker may forget it.
-    pub recorded: u64,
+    pub last_recorded_end: u64,
     /// Latest end that it has told of.
-    pub told: u64,
+    pub last_reported_end: u64,
     /// Room taken by the tries on it.
     pub used: Amount,
     /// Tries placed on it and not known to be over.
     pub runs: BTreeSet<Run>,
     /// Whether a look is out, since when.
-    pub looking: Option<Instant>,
+    pub poll_sent_at: Option<Instant>,
     /// When the next look is due.
-    pub next_look: Instant,
+    pub next_poll: Instant,
     /// Looks in a row without an answer.
-    pub missed: u32,
+    pub missed_polls: u32,
     /// When it stopped answering looks, as early as the first unanswered look shows.
-    pub silent_since: Option<Instant>,
+    pub unresponsive_since: Option<Instant>,
     /// Jobs whose tasks failed here since the last one that went well.
     pub failures: BTreeSet<super::job::Id>,
     /// Tasks on it that may be stopped for more urgent ones, as of the last look for such.
-    pub yielding: Rc<[PreemptibleRun]>,
+    pub preemptible: Rc<[PreemptibleRun]>,
     /// Orders that it left without an answer.
-    pub silence: OrderBackoff,
+    pub order_backoff: OrderBackoff,
     /// Until when it gets no new work because of failures.
     pub quarantined_until: Option<Instant>,
 }
@@ -83,70 +83,70 @@
     pub fn new(id: WorkerId, listed: Rc<WorkerInfo>, lease: Duration, now: Instant) -> Self {
         Self {
             id,
-            listed,
-            listed_at: now,
-            missing_since: None,
+            info: listed,
+            info_at: now,
+            unlisted_since: None,
             lease: Lease::new(lease),
             fenced: false,
-            recorded: 0,
-            told: 0,
+            last_recorded_end: 0,
+            last_reported_end: 0,
             used: Amount::ZERO,
             runs: BTreeSet::new(),
-            looking: None,
-            next_look: now,
-            missed: 0,
-            silent_since: None,
+            poll_sent_at: None,
+            next_poll: now,
+            missed_polls: 0,
+            unresponsive_since: None,
             failures: BTreeSet::new(),
-            yielding: Rc::default(),
-            silence: OrderBackoff::default(),
+            preemptible: Rc::default(),
+            order_backoff: OrderBackoff::default(),
             quarantined_until: None,
         }
     }
 
     /// Address at which it takes orders.
     pub fn address(&self) -> SocketAddr {
-        self.listed.address
+        self.info.address
     }
 
     /// Whether new work may go there.
-    pub fn is_open(&self, now: Instant) -> bool {
+    pub fn accepts_tasks(&self, now: Instant) -> bool {
         let quarantined = self.quarantined_until.is_some_and(|until| now < until);
         self.fenced
             && self.lease.is_clock_known()
-            && self.missing_since.is_none()
-            && !self.listed.draining
-            && self.missed < MISSED_LOOKS
+            && self.unlisted_since.is_none()
+            && !self.info.draining
+            && self.missed_polls < MISSED_POLLS_LIMIT
             && !quarantined
-            && !self.silence.is_resting(now)
+            && !self.order_backoff.is_active(now)
     }
 
     /// The next moment after `now` at which a rest of it, or what is remembered of one, is over.
-    pub fn next_end_of_rest(&self, now: Instant) -> Option<Instant> {
-        let ends = self.quarantined_until.into_iter().chain(self.silence.ends());
+    pub fn next_backoff_change(&self, now: Instant) -> Option<Instant> {
+        let ends = self.quarantined_until.into_iter().chain(self.order_backoff.deadlines());
         ends.filter(|end| *end > now).min()
     }
 
     /// Room that nothing is reserved for.
-    pub fn room(&self) -> Amount {
-        self.listed.capacity.saturating_sub(&self.used)
+    pub fn free_capacity(&self) -> Amount {
+        self.info.capacity.saturating_sub(&self.used)
     }
 
     /// Whether what the list said of its room is no older than `known_for`.
     ///
     /// Guards against room that shrinks while the list cannot be read: what waited until then would go out
     /// by the room before, all at once.
-    pub fn is_room_known(&self, known_for: Option<Duration>, now: Instant) -> bool {
-        self.room_known_until(known_for).is_none_or(|until| now <= until)
+    pub fn is_capacity_current(&self, known_for: Option<Duration>, now: Instant) -> bool {
+        self.capacity_valid_until(known_for).is_none_or(|until| now <= until)
     }
 
     /// Last moment at which its room counts as known; `None` for no end.
-    pub fn room_known_until(&self, known_for: Option<Duration>) -> Option<Instant> {
-        known_for.map(|known_for| self.listed_at.after(known_for))
+    pub fn capacity_valid_until(&self, known_for: Option<Duration>) -> Option<Instant> {
+        known_for.map(|known_for| self.info_at.after(known_for))
     }
 
     /// Whether more is reserved than it has, since its room has shrunk.
     pub fn is_overcommitted(&self) -> bool {
-        !self.used.fits(&self.listed.capacity)
+        !self.used.fits(&self.info.capacity)
     }
 
     /// Reserves room for a try.
@@ -164,28 +164,28 @@
     }
 
     /// Places nothing there for a moment, after it refused an order.
-    pub fn distrust(&mut self, now: Instant) {
-        self.rest_until(now.after(REFUSAL_REST));
+    pub fn pause_after_refusal(&mut self, now: Instant) {
+        self.pause_until(now.after(REFUSAL_PAUSE));
     }
 
     /// Places nothing there until `end`, nor before the end of an earlier rest.
-    fn rest_until(&mut self, end: Instant) {
+    fn pause_until(&mut self, end: Instant) {
         self.quarantined_until = self.quarantined_until.max(Some(end));
     }
 
     /// Notes a task that went well.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures.clear();
     }
 
     /// Notes a failed task; `true` when the worker is quarantined for it.
-    pub fn note_failure(&mut self, job: super::job::Id, now: Instant) -> bool {
+    pub fn record_failure(&mut self, job: super::job::Id, now: Instant) -> bool {
         self.failures.insert(job);
         if self.failures.len() < FAILURES_TO_QUARANTINE {
             return false;
         }
         self.failures.clear();
-        self.rest_until(now.after(QUARANTINE));
+        self.pause_until(now.after(QUARANTINE));
         true
     }
 }
--- a/tests/logic/cell/crash.rs
+++ b/tests/logic/cell/crash.rs
@@ -30,7 +30,11 @@
     let listed = Rc::new(model::listed(next, cores(8)));
     let gone = vec![format!("w{worker}").into()];
     let present = vec![(format!("w{next}").into(), listed)];
-    story.tell(Message::Roster(RosterUpdate { present, gone, whole: false }));
+    story.tell(Message::Roster(RosterUpdate {
+        changed: present,
+        removed: gone,
+        is_complete: false,
+    }));
     story.pass(1);
     story.report(next, &[], &[]);
     settle(story);
@@ -170,7 +174,11 @@
         let mut listed = model::listed(worker, cores(8));
         listed.draining = true;
         let present = vec![(format!("w{worker}").into(), Rc::new(listed))];
-        story.tell(Message::Roster(RosterUpdate { present, gone: Vec::new(), whole: false }));
+        story.tell(Message::Roster(RosterUpdate {
+            changed: present,
+            removed: Vec::new(),
+            is_complete: false,
+        }));
         crash(&mut story, &starts, next);
     }
     assert_ne!(story.phase(1), Some(Answer::Phase(Phase::Failed)));
--- a/tests/logic/cell/duty.rs
+++ b/tests/logic/cell/duty.rs
@@ -15,17 +15,17 @@
         let answer = ledger.measure(Activity::Look, ready(7).boxed_local()).now_or_never();
         assert_eq!(answer, Some(7));
     }
-    assert_eq!((ledger.times(Activity::Look), ledger.times(Activity::Order)), (64, 0));
+    assert_eq!((ledger.count(Activity::Look), ledger.count(Activity::Order)), (64, 0));
 }
 
 #[test]
 fn lap_counts_what_went_before() {
     let ledger = ThreadProfiler::new();
-    let mut lap = ledger.lap();
-    lap.end(Activity::Placement);
+    let mut lap = ledger.stopwatch();
+    lap.record(Activity::Placement);
     lap.restart();
-    lap.end(Activity::Append);
-    assert_eq!((ledger.times(Activity::Placement), ledger.times(Activity::Append)), (1, 1));
+    lap.record(Activity::Append);
+    assert_eq!((ledger.count(Activity::Placement), ledger.count(Activity::Append)), (1, 1));
 }
 
 #[test]
--- a/tests/logic/cell/left_behind.rs
+++ b/tests/logic/cell/left_behind.rs
@@ -86,7 +86,7 @@
     let mut story = Story::take_over(state, 3);
     let present = ["gone@2", "w0@2"].map(|name| (name.into(), Rc::new(model::listed(5, cores(8)))));
     story
-        .tell(Message::Roster(RosterUpdate { present: present.into(), ..RosterUpdate::default() }));
+        .tell(Message::Roster(RosterUpdate { changed: present.into(), ..RosterUpdate::default() }));
     while !story.effects.iter().any(|effect| matches!(effect, Effect::Start { .. })) {
         assert!(story.now < NEXT_LIFE_MS, "it still waits");
         for worker in ["gone@2", "w0@2"] {
@@ -107,12 +107,14 @@
     let mut story = Story::begin(0);
     let listed = Rc::new(model::listed(5, cores(8)));
     let present = vec![("w5@1".into(), listed)];
-    story.tell(Message::Roster(RosterUpdate { present, ..RosterUpdate::default() }));
+    story.tell(Message::Roster(RosterUpdate { changed: present, ..RosterUpdate::default() }));
     let report = PollReport { clock_ms: WORKER_CLOCK, ..PollReport::default() };
     let sent = Instant::from_millis(story.now);
     story.tell(Message::Looked { worker: "w5@1".into(), sent, outcome: Ok(report) });
-    story
-        .tell(Message::Roster(RosterUpdate { gone: vec!["w5".into()], ..RosterUpdate::default() }));
+    story.tell(Message::Roster(RosterUpdate {
+        removed: vec!["w5".into()],
+        ..RosterUpdate::default()
+    }));
     story.ask(1, Call::Submit(model::job(1, model::step(1, cores(1)))));
     story.store_all();
     story.pass(100);
@@ -126,7 +128,7 @@
     let listed = Rc::new(model::listed(5, cores(8)));
     for life in ["w5@1", "w5@2"] {
         let present = vec![(life.into(), listed.clone())];
-        story.tell(Message::Roster(RosterUpdate { present, ..RosterUpdate::default() }));
+        story.tell(Message::Roster(RosterUpdate { changed: present, ..RosterUpdate::default() }));
         if life == "w5@1" {
             let report = PollReport { clock_ms: WORKER_CLOCK, ..PollReport::default() };
             let sent = Instant::from_millis(story.now);
--- a/tests/logic/cell/looks.rs
+++ b/tests/logic/cell/looks.rs
@@ -89,7 +89,11 @@
     let mut story = Story::begin(1);
     let listed = WorkerInfo { service: "archive".to_owned(), ..model::listed(7, cores(8)) };
     let present = vec![("w7".into(), Rc::new(listed))];
-    story.tell(Message::Roster(RosterUpdate { present, gone: Vec::new(), whole: false }));
+    story.tell(Message::Roster(RosterUpdate {
+        changed: present,
+        removed: Vec::new(),
+        is_complete: false,
+    }));
     story.pass(100);
     let looked_at = |story: &Story| {
         let is_seven =
--- a/tests/logic/cell/machine.rs
+++ b/tests/logic/cell/machine.rs
@@ -257,7 +257,11 @@
     let mut story = Story::begin(1);
     let listed = WorkerInfo { service: "elsewhere".to_owned(), ..model::listed(7, cores(8)) };
     let present = vec![("w7".into(), Rc::new(listed))];
-    story.tell(Message::Roster(RosterUpdate { present, gone: Vec::new(), whole: false }));
+    story.tell(Message::Roster(RosterUpdate {
+        changed: present,
+        removed: Vec::new(),
+        is_complete: false,
+    }));
     story.pass(400);
     let looked_at =
         |effect: &Effect| matches!(effect, Effect::Look { worker, .. } if &**worker == "w7");
--- a/tests/logic/cell/model.rs
+++ b/tests/logic/cell/model.rs
@@ -75,7 +75,7 @@
 pub fn roster(workers: usize, capacity: Amount) -> RosterUpdate {
     let present =
         (0..workers).map(|number| (format!("w{number}").into(), Rc::new(listed(number, capacity))));
-    RosterUpdate { present: present.collect(), gone: Vec::new(), whole: true }
+    RosterUpdate { changed: present.collect(), removed: Vec::new(), is_complete: true }
 }
 
 /// The claim of `epoch`.
--- a/tests/logic/cell/patience.rs
+++ b/tests/logic/cell/patience.rs
@@ -20,7 +20,7 @@
 #[test]
 fn after_refused_gives_up_at_once() {
     let mut patience = in_contact();
-    assert_eq!(patience.after(AttemptOutcome::Refused, NOW), Decision::NotExecuted);
+    assert_eq!(patience.after_attempt(AttemptOutcome::Refused, NOW), Decision::NotExecuted);
 }
 
 /// An owner dies and its successor claims the cell 0.3 s later: a call waits for that.
@@ -28,9 +28,12 @@
 fn after_untaken_waits_for_a_change_of_owner() {
     let mut patience = in_contact();
     let soon = NOW.after(NO_OWNER_WAIT / 2);
-    assert!(matches!(patience.after(AttemptOutcome::NotDelivered, soon), Decision::Attempt(_)));
+    assert!(matches!(
+        patience.after_attempt(AttemptOutcome::NotDelivered, soon),
+        Decision::Attempt(_)
+    ));
     assert_eq!(
-        patience.after(AttemptOutcome::NotDelivered, NOW.after(NO_OWNER_WAIT)),
+        patience.after_attempt(AttemptOutcome::NotDelivered, NOW.after(NO_OWNER_WAIT)),
         Decision::NotExecuted
     );
 }
@@ -54,17 +57,17 @@
 #[test]
 fn after_doubtful_says_unknown_when_the_hold_ends() {
     let mut patience = in_contact();
-    assert!(matches!(patience.after(AttemptOutcome::Unknown, NOW), Decision::Attempt(_)));
+    assert!(matches!(patience.after_attempt(AttemptOutcome::Unknown, NOW), Decision::Attempt(_)));
     let end = NOW.after(NO_OWNER_WAIT);
-    assert_eq!(patience.after(AttemptOutcome::NotDelivered, end), Decision::Unknown);
+    assert_eq!(patience.after_attempt(AttemptOutcome::NotDelivered, end), Decision::Unknown);
 }
 
 /// Once a try may have been carried out, no later one makes *not done* true again.
 #[test]
 fn after_refused_stays_unknown_once_doubtful() {
     let mut patience = in_contact();
-    patience.after(AttemptOutcome::Unknown, NOW);
-    assert_eq!(patience.after(AttemptOutcome::Refused, NOW), Decision::Unknown);
+    patience.after_attempt(AttemptOutcome::Unknown, NOW);
+    assert_eq!(patience.after_attempt(AttemptOutcome::Refused, NOW), Decision::Unknown);
 }
 
 #[test]
--- a/tests/logic/cell/place.rs
+++ b/tests/logic/cell/place.rs
@@ -40,9 +40,9 @@
 fn drained_worker_gets_nothing_new() {
     let mut story = Story::begin(1);
     let mut roster = model::roster(1, cores(8));
-    let mut listed = (*roster.present[0].1).clone();
+    let mut listed = (*roster.changed[0].1).clone();
     listed.draining = true;
-    roster.present[0].1 = listed.into();
+    roster.changed[0].1 = listed.into();
     story.tell(Message::Roster(roster));
     assert!(story.running(1, model::step(1, cores(1))).is_empty());
 }
--- a/tests/logic/cell/preempt.rs
+++ b/tests/logic/cell/preempt.rs
@@ -109,7 +109,7 @@
     story.store_all();
     let next = story.starts();
     assert_eq!(next.len(), 1);
-    assert_eq!(next[0].1.payload.queue, URGENT);
+    assert_eq!(next[0].1.job.queue, URGENT);
 }
 
 /// A task that saves nothing would lose all it has done.
--- a/tests/logic/cell/shrink.rs
+++ b/tests/logic/cell/shrink.rs
@@ -14,7 +14,11 @@
 /// The list says what worker `w0` has from now on.
 fn resize(story: &mut Story, capacity: Amount) {
     let present = vec![("w0".into(), Rc::new(model::listed(0, capacity)))];
-    story.tell(Message::Roster(RosterUpdate { present, gone: Vec::new(), whole: false }));
+    story.tell(Message::Roster(RosterUpdate {
+        changed: present,
+        removed: Vec::new(),
+        is_complete: false,
+    }));
     story.pass(1);
 }
 
@@ -64,7 +68,7 @@
 #[test]
 fn shrink_that_the_list_cannot_tell_is_waited_for() {
     const KNOWN: Duration = Duration::from_secs(3);
-    let timings = Timings { room_known_for: Some(KNOWN), ..Timings::default() };
+    let timings = Timings { capacity_max_age: Some(KNOWN), ..Timings::default() };
     let mut story = Story::begin_with(timings, 1);
     story.ask(1, Call::Submit(model::job(1, model::step(4, cores(2)))));
     for _ in 0..50 {
--- a/tests/logic/cell/store.rs
+++ b/tests/logic/cell/store.rs
@@ -119,9 +119,9 @@
     let starts = story.running(1, model::step(1, cores(1)));
     story.report(0, &[], &[(7, starts[0].1.run, RunOutcome::Succeeded)]);
     story.pass(5);
-    assert_eq!(story.machine.workers["w0"].recorded, 0);
+    assert_eq!(story.machine.workers["w0"].last_recorded_end, 0);
     story.store_all();
-    assert_eq!(story.machine.workers["w0"].recorded, 7);
+    assert_eq!(story.machine.workers["w0"].last_recorded_end, 7);
 }
 
 /// An owner that was replaced without knowing must not say that a job does not exist: its successor
--- a/tests/logic/cell/story.rs
+++ b/tests/logic/cell/story.rs
@@ -107,15 +107,15 @@
     pub fn report(&mut self, worker: usize, running: &[Run], ended: &[(u64, Run, RunOutcome)]) {
         let running = running.iter().map(|run| RunStatus {
             run: *run,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: 10,
             load: 0,
         });
         let ended = ended.iter().map(|(number, run, end)| EndedRun {
             number: *number,
             run: *run,
-            end: *end,
-            saved: String::new(),
+            outcome: *end,
+            checkpoint: String::new(),
         });
         let report = PollReport {
             clock_ms: WORKER_CLOCK + self.now,
--- a/tests/logic/cell/ticket.rs
+++ b/tests/logic/cell/ticket.rs
@@ -16,27 +16,27 @@
 fn answered() -> Tickets {
     let mut tickets = Tickets::default();
     let workers = ["w1".into(), "w2".into()];
-    tickets.ask(&workers);
+    tickets.mark_asked(&workers);
     let allowed = Eligibility { workers: vec![("w1".into(), "t1".to_owned())], valid_ms: None };
-    tickets.answer(&workers, Some(&allowed), VALID, at(100));
+    tickets.record_answer(&workers, Some(&allowed), VALID, at(100));
     tickets
 }
 
 #[test]
 fn answer_splits_workers() {
     let tickets = answered();
-    assert!(tickets.allows("w1"));
-    assert!(!tickets.allows("w2"));
+    assert!(tickets.is_eligible("w1"));
+    assert!(!tickets.is_eligible("w2"));
     assert!(!tickets.is_unasked("w2"));
     assert!(tickets.is_unasked("w3"));
-    assert_eq!(tickets.tally(), (2, 1));
+    assert_eq!(tickets.counts(), (2, 1));
 }
 
 #[test]
 fn valid_ends_before_the_ticket_does() {
     let tickets = answered();
-    assert_eq!(tickets.valid("w1", at(200)), Some("t1"));
-    assert_eq!(tickets.valid("w1", at(1_590)), None);
+    assert_eq!(tickets.valid_ticket("w1", at(200)), Some("t1"));
+    assert_eq!(tickets.valid_ticket("w1", at(1_590)), None);
     let stale: Vec<&WorkerId> = tickets
         .eligible()
         .filter(|(_, until)| *until <= at(1_590))
@@ -51,10 +51,10 @@
 fn answer_missing_can_be_asked_again() {
     let mut tickets = Tickets::default();
     let workers = ["w1".into()];
-    tickets.ask(&workers);
-    assert!(tickets.is_asking());
-    tickets.answer(&workers, None, VALID, at(100));
-    assert!(!tickets.is_asking());
+    tickets.mark_asked(&workers);
+    assert!(tickets.has_pending_question());
+    tickets.record_answer(&workers, None, VALID, at(100));
+    assert!(!tickets.has_pending_question());
     assert!(tickets.is_unasked("w1"));
 }
 
@@ -62,6 +62,6 @@
 fn expire_keeps_eligibility() {
     let mut tickets = answered();
     tickets.expire("w1");
-    assert_eq!(tickets.valid("w1", at(200)), None);
-    assert!(tickets.allows("w1"));
+    assert_eq!(tickets.valid_ticket("w1", at(200)), None);
+    assert!(tickets.is_eligible("w1"));
 }
--- a/tests/logic/cell/unanswered.rs
+++ b/tests/logic/cell/unanswered.rs
@@ -162,7 +162,7 @@
     let remembered = |story: &Story| {
         let now = Instant::from_millis(story.now);
         let worker = story.machine.workers.values().find(|worker| *worker.id == *named);
-        worker.expect("a worker").silence.is_remembered(now)
+        worker.expect("a worker").order_backoff.is_deprioritized(now)
     };
     assert!(remembered(&story), "it comes last for a while");
     story.pass(30_000);
--- a/tests/logic/cell/upstream.rs
+++ b/tests/logic/cell/upstream.rs
@@ -96,12 +96,12 @@
 
     pub fn look(&mut self, look: &PollRequest, now: u64) -> Result<PollReport, WorkerError> {
         self.check(look.epoch)?;
-        self.extend(look.until_ms, now);
-        self.forgotten = self.forgotten.max(look.recorded);
+        self.extend(look.lease_until_ms, now);
+        self.forgotten = self.forgotten.max(look.acked_end);
         let forgotten = self.forgotten;
         self.ended.retain(|end| end.number > forgotten);
         let running =
-            |run: &Run| RunStatus { run: *run, saved: String::new(), percent: 0, load: 0 };
+            |run: &Run| RunStatus { run: *run, checkpoint: String::new(), percent: 0, load: 0 };
         Ok(PollReport {
             clock_ms: self.clock_ms(now),
             running: self.runs.keys().map(running).collect(),
@@ -123,13 +123,13 @@
         }
         let over = self.over.get(&start.run.task).copied().unwrap_or(0);
         if start.run.number <= over {
-            self.extend(Some(start.until_ms), now);
+            self.extend(Some(start.lease_until_ms), now);
             return Err(WorkerError::RunEnded);
         }
-        if start.until_ms <= self.clock_ms(now) {
+        if start.lease_until_ms <= self.clock_ms(now) {
             return Err(WorkerError::LeaseExpired);
         }
-        self.extend(Some(start.until_ms), now);
+        self.extend(Some(start.lease_until_ms), now);
         self.runs.insert(start.run, demand);
         Ok(true)
     }
@@ -156,7 +156,7 @@
         }
         self.last_number += 1;
         let number = self.last_number;
-        self.ended.push(EndedRun { number, run, end, saved: String::new() });
+        self.ended.push(EndedRun { number, run, outcome: end, checkpoint: String::new() });
         let over = self.over.entry(run.task).or_insert(0);
         *over = (*over).max(run.number);
     }
--- a/tests/logic/cell/world/check.rs
+++ b/tests/logic/cell/world/check.rs
@@ -70,7 +70,7 @@
         }
         assert!(!self.done_noted.contains(&run.task), "{now}: {run} starts after it was done");
         let watched = &self.jobs[&run.task.step.job];
-        assert_eq!(start.payload.payload, watched.job.payload);
+        assert_eq!(start.job.payload, watched.job.payload);
         if let Some(cancelled) = watched.cancelled_at {
             // A stop overtakes an order that is held up on its way, but for a worker that resets it.
             let in_time = if upstream.resetting {
--- a/tests/logic/cell/world/faults.rs
+++ b/tests/logic/cell/world/faults.rs
@@ -121,7 +121,8 @@
                 self.workers.get(&name).map_or(model::cores(CORES), |upstream| upstream.capacity);
             (name.into(), Rc::new(model::listed(*number, capacity)))
         });
-        let roster = RosterUpdate { present: present.collect(), gone: Vec::new(), whole: true };
+        let roster =
+            RosterUpdate { changed: present.collect(), removed: Vec::new(), is_complete: true };
         for owner in 0..self.owners.len() {
             let delay = self.rng.random_range(5..400);
             let message = Message::Roster(roster.clone());
--- a/tests/logic/cell/world/orders.rs
+++ b/tests/logic/cell/world/orders.rs
@@ -101,7 +101,7 @@
         };
         if answered {
             let wait = match order {
-                Order::Look(look) => (look.wait.as_millis() as u64).min(100),
+                Order::Look(look) => (look.max_wait.as_millis() as u64).min(100),
                 _ => 0,
             };
             self.schedule(2 + wait, Event::Owner { owner, message });
@@ -110,7 +110,7 @@
 
     pub(super) fn begin(&mut self, worker: &str, start: &StartOrder) {
         let run = start.run;
-        let model = &start.payload.steps[run.task.step.step as usize];
+        let model = &start.job.steps[run.task.step.step as usize];
         if self.jobs[&run.task.step.job].crashes && run.task.index == 0 {
             return self.schedule(CRASH_MS, Event::Crash { worker: worker.to_owned(), run });
         }
@@ -195,7 +195,7 @@
 }
 
 pub(super) fn demand(start: &StartOrder) -> Amount {
-    start.payload.steps[start.run.task.step.step as usize].reservation()
+    start.job.steps[start.run.task.step.step as usize].reservation()
 }
 
 fn reply(
--- a/tests/process/election.rs
+++ b/tests/process/election.rs
@@ -59,14 +59,15 @@
         self.reads.set(self.reads.get() + 1);
         self.end.set(self.end.get() + u64::from(self.writes));
         let end = self.end.get();
-        async move { Ok(Page { records: Vec::new(), next: end, end }) }.boxed_local()
+        async move { Ok(Page { records: Vec::new(), next_offset: end, end_offset: end }) }
+            .boxed_local()
     }
 
-    fn base(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Snapshot, String>> {
+    fn snapshot(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Snapshot, String>> {
         async { Ok(Snapshot::default()) }.boxed_local()
     }
 
-    fn save<'a>(
+    fn save_snapshot<'a>(
         &'a self,
         _cell: Id,
         _epoch: Epoch,
@@ -76,7 +77,7 @@
         std::future::pending().boxed_local()
     }
 
-    fn publish(
+    fn publish_owner(
         &self,
         _cell: Id,
         _sequence: u64,
@@ -85,8 +86,8 @@
         std::future::pending().boxed_local()
     }
 
-    fn sign(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Option<OwnerRecord>, String>> {
-        let sign = OwnerRecord { epoch: Epoch(1), peer: self.owner, strength: 250 };
+    fn owner_record(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Option<OwnerRecord>, String>> {
+        let sign = OwnerRecord { epoch: Epoch(1), peer: self.owner, cpu_millis: 250 };
         async move { Ok(Some(sign)) }.boxed_local()
     }
 }
@@ -95,7 +96,7 @@
 struct Nobody;
 
 impl WorkerClient for Nobody {
-    fn look<'a>(
+    fn poll<'a>(
         &'a self,
         _peer: SocketAddr,
         _worker: &'a str,
@@ -139,13 +140,13 @@
 }
 
 impl Discovery for Nobody {
-    fn restart(&self) {}
+    fn reset(&self) {}
 
-    fn roster(&self) -> LocalBoxFuture<'_, Result<RosterUpdate, String>> {
+    fn roster_update(&self) -> LocalBoxFuture<'_, Result<RosterUpdate, String>> {
         std::future::pending().boxed_local()
     }
 
-    fn table(
+    fn newer_config(
         &self,
         _version: u64,
         _wait: Duration,
@@ -177,10 +178,10 @@
             journal: journal.clone(),
             workers: Rc::new(Nobody),
             advisor: Rc::new(Nobody),
-            lists: Rc::new(Nobody),
+            discovery: Rc::new(Nobody),
             peers: Rc::new(peer::Client::new(limits)),
             clock,
-            duties: ThreadProfiler::new(),
+            profiler: ThreadProfiler::new(),
         };
         let identity = Identity {
             me: ([127, 0, 0, 1], 9).into(),
