--- a/src/cell/dependency_status.rs
+++ b/src/cell/dependency_status.rs
@@ -14,7 +14,7 @@
     }
 
     /// Takes in an answer.
-    pub(super) fn answered(&mut self) {
+    pub(super) fn record_success(&mut self) {
         if self.is_lost {
             log::info!("event={}.regained", self.name);
         }
@@ -22,7 +22,7 @@
     }
 
     /// Takes in that none came.
-    pub(super) fn failed(&mut self, cause: &str) {
+    pub(super) fn record_failure(&mut self, cause: &str) {
         if !self.is_lost {
             log::warn!("event={}.lost cause={cause:?}", self.name);
         }
--- a/src/cell/election/claim.rs
+++ b/src/cell/election/claim.rs
@@ -36,12 +36,12 @@
         let epoch = known.next();
         let Ok(bytes) = codec::encode(&self.claim_batch(epoch)) else { return };
         log::info!("event=owner.claim cell={} epoch={epoch} motive={motive:?}", self.cell);
-        let first = self.node.first_sequence();
-        let journal = self.node.borders.journal.clone();
+        let first = self.node.claim_sequence();
+        let journal = self.node.deps.journal.clone();
         match journal.append(self.cell, epoch, first, bytes, APPEND_TIMEOUT).await {
             Ok(_) => {
                 names::CELL_CLAIMS.increment(&[("outcome", "written")]);
-                self.prepare(epoch).await;
+                self.replay_and_own(epoch).await;
             }
             Err(AppendError::Fenced) => {
                 names::CELL_CLAIMS.increment(&[("outcome", "lost")]);
@@ -52,10 +52,10 @@
             Err(rejected) => {
                 names::CELL_CLAIMS.increment(&[("outcome", "unknown")]);
                 log::warn!("event=owner.claim_unknown cell={} epoch={epoch} {rejected}", self.cell);
-                self.node.borders.clock.sleep(READ_RETRY).await;
+                self.node.deps.clock.sleep(READ_RETRY).await;
                 if self.read().await {
-                    if self.holds(epoch) {
-                        self.make_known(epoch);
+                    if self.is_last_claimant(epoch) {
+                        self.advertise(epoch);
                     }
                     self.own_or_follow(epoch).await;
                 }
@@ -65,55 +65,55 @@
 
     /// Reads the journal up to the claim of `epoch`, while others wait for this instance, and owns the
     /// cell unless a later claim has come.
-    async fn prepare(&mut self, epoch: Epoch) {
+    async fn replay_and_own(&mut self, epoch: Epoch) {
         let node = self.node.clone();
-        node.begin_preparing(self.cell);
-        self.make_known(epoch);
-        let begun = node.borders.clock.now();
-        let from = self.reading.next;
+        node.begin_takeover(self.cell);
+        self.advertise(epoch);
+        let begun = node.deps.clock.now();
+        let from = self.replay.next_offset;
         let found = self.read_unless_owned(epoch).await;
-        let took_ms = node.borders.clock.now().since(begun).as_millis();
-        let (cell, records) = (self.cell, self.reading.next.saturating_sub(from));
+        let took_ms = node.deps.clock.now().since(begun).as_millis();
+        let (cell, records) = (self.cell, self.replay.next_offset.saturating_sub(from));
         log::info!(
             "event=journal.read cell={cell} epoch={epoch} records={records} took_ms={took_ms}"
         );
         match found {
             ReplayResult::Journal => self.own_or_follow(epoch).await,
             ReplayResult::Owner => {}
-            ReplayResult::Nothing => node.borders.clock.sleep(READ_RETRY).await,
+            ReplayResult::Nothing => node.deps.clock.sleep(READ_RETRY).await,
         }
-        node.end_preparing(self.cell);
+        node.end_takeover(self.cell);
     }
 
     /// Owns the cell if the journal's last claim is this instance's of `epoch`; else follows the one
     /// that made it.
     async fn own_or_follow(&mut self, epoch: Epoch) {
-        if self.holds(epoch) {
-            self.own().await;
+        if self.is_last_claimant(epoch) {
+            self.run_as_owner().await;
         } else {
             self.follow_last_claim();
         }
     }
 
     /// Whether the journal's last claim is this instance's of `epoch`.
-    fn holds(&self, epoch: Epoch) -> bool {
-        let mine = self.reading.state.owner.is_some_and(|owner| {
+    fn is_last_claimant(&self, epoch: Epoch) -> bool {
+        let mine = self.replay.state.owner.is_some_and(|owner| {
             owner.peer == self.node.me && owner.incarnation == self.node.incarnation
         });
-        mine && self.reading.state.epoch == epoch
+        mine && self.replay.state.epoch == epoch
     }
 
     /// Follows the instance that made the journal's last claim.
     fn follow_last_claim(&self) {
-        let owner = self.reading.state.owner.map(|owner| owner.peer);
+        let owner = self.replay.state.owner.map(|owner| owner.peer);
         self.node.set_owner(self.cell, owner.filter(|owner| *owner != self.node.me));
     }
 
     /// Lets other instances find this one, which has claimed the cell.
-    fn make_known(&self, epoch: Epoch) {
+    fn advertise(&self, epoch: Epoch) {
         self.node.note_epoch(self.cell, epoch);
         self.announce(epoch);
-        self.publish(epoch);
+        self.publish_owner(epoch);
     }
 
     /// Follows the instance whose claim came first, once it shows.
@@ -121,15 +121,15 @@
     /// If it does not, it has gone right after its claim; then the journal tells its epoch.
     async fn find_winner(&mut self, before: Epoch) {
         for _ in 0..WINNER_LOOKS {
-            self.node.borders.clock.sleep(WINNER_REST).await;
+            self.node.deps.clock.sleep(WINNER_REST).await;
             if self.node.epoch(self.cell) > before {
                 return;
             }
-            if let Ok(Some(sign)) = self.sign().await
+            if let Ok(Some(sign)) = self.owner_record().await
                 && sign.epoch > before
                 && sign.peer != self.node.me
             {
-                return self.follow_sign(sign);
+                return self.follow_record(sign);
             }
         }
         if let ReplayResult::Journal = self.read_unless_owned(before).await {
@@ -139,15 +139,15 @@
 
     /// Latest epoch that this instance has heard of.
     pub(super) fn known_epoch(&self) -> Epoch {
-        let followed = self.followed.map_or(Epoch(0), |sign| sign.epoch);
-        self.reading.state.epoch.max(self.node.epoch(self.cell)).max(followed)
+        let followed = self.last_owner_record.map_or(Epoch(0), |sign| sign.epoch);
+        self.replay.state.epoch.max(self.node.epoch(self.cell)).max(followed)
     }
 
     /// Tells the instances that followed the owner before.
     fn announce(&self, epoch: Epoch) {
         let announcement = Announcement { cell: self.cell, epoch, owner: self.node.me };
         for peer in self.peers.iter().copied().filter(|peer| *peer != self.node.me) {
-            let borders = self.node.borders.clone();
+            let borders = self.node.deps.clone();
             monoio::spawn(async move {
                 let told: Result<(), _> =
                     borders.peers.call(peer, ANNOUNCE, &announcement, ANNOUNCE_TIMEOUT).await;
@@ -160,29 +160,36 @@
 
     fn claim_batch(&self, epoch: Epoch) -> Batch {
         let claim = Record::Claimed { peer: self.node.me, incarnation: self.node.incarnation };
-        Batch { epoch, at: self.node.borders.clock.unix(), records: vec![claim] }
+        Batch { epoch, at: self.node.deps.clock.unix(), records: vec![claim] }
     }
 
     /// Owns the cell until another instance takes it over.
-    async fn own(&mut self) {
+    async fn run_as_owner(&mut self) {
         let node = self.node.clone();
-        let JournalReplay { state, next, .. } = std::mem::take(&mut self.reading);
+        let JournalReplay { state, next_offset: next, .. } = std::mem::take(&mut self.replay);
         let (epoch, jobs, tasks) = (state.epoch, state.jobs.len(), state.live.len());
-        let (now, unix) = (node.borders.clock.now(), node.borders.clock.unix());
-        let mut machine =
-            Machine::new(state, node.first_sequence(), next, node.table(), node.timings, now, unix);
-        let (peer, strength, domain) = (node.me, node.strength, node.domain.clone());
+        let (now, unix) = (node.deps.clock.now(), node.deps.clock.unix());
+        let mut machine = Machine::new(
+            state,
+            node.claim_sequence(),
+            next,
+            node.config(),
+            node.timings,
+            now,
+            unix,
+        );
+        let (peer, strength, domain) = (node.me, node.cpu_millis, node.domain.clone());
         machine.handle(Message::Present { peer, strength, domain }, now, unix);
         let (noted, cell) = (node.clone(), self.cell);
-        let health = Box::new(move |health| noted.note_health(cell, health));
+        let health = Box::new(move |health| noted.apply_store_health(cell, health));
         let (owner, handle) =
-            OwnerTask::new(self.cell, node.cells, node.me, machine, node.borders.clone(), health);
+            OwnerTask::new(self.cell, node.cells, node.me, machine, node.deps.clone(), health);
         log::info!("event=owner.begin cell={} epoch={epoch} jobs={jobs} tasks={tasks}", self.cell);
         logging::flush();
-        node.set_owning(self.cell, Some(handle));
+        node.set_owner_handle(self.cell, Some(handle));
         let why = owner.run().await;
         log::warn!("event=owner.end cell={} epoch={epoch} {why}", self.cell);
         logging::flush();
-        node.set_owning(self.cell, None);
+        node.set_owner_handle(self.cell, None);
     }
 }
--- a/src/cell/election/follow.rs
+++ b/src/cell/election/follow.rs
@@ -14,7 +14,7 @@
 const FOLLOW_REST: Duration = Duration::from_millis(50);
 
 /// Refusals in a row from which an owner counts as gone that takes no calls: a second.
-const MOST_REFUSALS: u32 = 20;
+const MAX_REFUSALS: u32 = 20;
 
 /// Time that an instance may take from its claim to the begin of its work: a journal of some megabytes
 /// over a link of 10 Mbit/s.
@@ -29,23 +29,23 @@
             if owner == self.node.me {
                 return TakeoverReason::Unknown;
             }
-            let watched = self.watch(owner, !self.unheard).await;
-            self.unheard = watched.as_ref().is_err_and(|error| !error.is_busy());
+            let watched = self.watch(owner, !self.owner_unresponsive).await;
+            self.owner_unresponsive = watched.as_ref().is_err_and(|error| !error.is_busy());
             match watched {
                 Ok(watched) => {
                     refusals = 0;
                     let owns = watched.is_owner;
-                    if let Some(motive) = self.learn(owner, watched) {
+                    if let Some(motive) = self.apply_response(owner, watched) {
                         return motive;
                     }
                     if owns {
-                        self.keep_up().await;
+                        self.catch_up().await;
                     }
                 }
                 // Guards against an owner that is taken for gone because it has too much to do.
-                Err(error) if error.is_busy() && refusals < MOST_REFUSALS => {
+                Err(error) if error.is_busy() && refusals < MAX_REFUSALS => {
                     refusals += 1;
-                    self.node.borders.clock.sleep(FOLLOW_REST).await;
+                    self.node.deps.clock.sleep(FOLLOW_REST).await;
                     continue;
                 }
                 Err(error) => {
@@ -70,10 +70,10 @@
         owner: SocketAddr,
         patient: bool,
     ) -> Result<WatchResponse, peer::Error> {
-        let (version, strength) = (self.node.table().version, self.node.strength);
+        let (version, strength) = (self.node.config().version, self.node.cpu_millis);
         let (cell, from, domain) = (self.cell, self.node.me, self.node.domain.clone());
         let told_by_it = self.last_owner == Some(owner);
-        let succession = if told_by_it { self.succession } else { 0 };
+        let succession = if told_by_it { self.succession_digest } else { 0 };
         let watch = WatchRequest {
             cell,
             follower: from,
@@ -84,12 +84,16 @@
             succession_digest: succession,
         };
         let timeout = if patient { WATCH_TIMEOUT } else { PROBE_TIMEOUT };
-        self.node.borders.peers.call(owner, WATCH, &watch, timeout).await
+        self.node.deps.peers.call(owner, WATCH, &watch, timeout).await
     }
 
-    fn learn(&mut self, owner: SocketAddr, watched: WatchResponse) -> Option<TakeoverReason> {
+    fn apply_response(
+        &mut self,
+        owner: SocketAddr,
+        watched: WatchResponse,
+    ) -> Option<TakeoverReason> {
         if let Some(table) = watched.config {
-            self.node.take_table(table);
+            self.node.apply_config(table);
         }
         if !watched.is_owner {
             let elsewhere = watched.owner.filter(|other| *other != owner && *other != self.node.me);
@@ -97,23 +101,23 @@
                 self.node.set_owner(self.cell, elsewhere);
                 return None;
             }
-            return self.await_begin(owner, watched.owner);
+            return self.check_takeover_progress(owner, watched.owner);
         }
         self.preparing_since = None;
-        self.seen_end = watched.journal_end;
-        self.owner_strength = watched.cpu_millis;
+        self.known_journal_end = watched.journal_end;
+        self.owner_cpu_millis = watched.cpu_millis;
         if self.last_owner.replace(owner) != Some(owner) {
-            self.rest_from_reading();
+            self.postpone_catch_up();
         }
         if let Some(present) = watched.succession_order {
-            self.take_succession(owner, present);
-            self.succession = watched.succession_digest;
+            self.apply_succession(owner, present);
+            self.succession_digest = watched.succession_digest;
         }
         // An owner that answers is in contact, also while the store keeps it from serving: callers
         // are passed on to it and keep their connections, since they fare no better elsewhere.
-        self.node.note_contact(self.cell);
+        self.node.note_owner_heard(self.cell);
         if watched.offer != HandoverOffer::Anyone {
-            self.node.note_served(self.cell);
+            self.node.note_serving_owner(self.cell);
         }
         match watched.offer {
             HandoverOffer::Anyone => Some(TakeoverReason::Offered(owner)),
@@ -123,7 +127,7 @@
     }
 
     /// Takes in the order in which instances would take over from `owner`.
-    fn take_succession(&mut self, owner: SocketAddr, order: Vec<SocketAddr>) {
+    fn apply_succession(&mut self, owner: SocketAddr, order: Vec<SocketAddr>) {
         let mut followers = order.iter().filter(|peer| **peer != owner);
         let place = followers.position(|peer| *peer == self.node.me);
         self.rank = place.map(|place| (place as u32).min(LOWEST_RANK));
@@ -133,7 +137,7 @@
     }
 
     /// Waits for an instance that has claimed the cell and reads its journal, within bounds.
-    fn await_begin(
+    fn check_takeover_progress(
         &mut self,
         peer: SocketAddr,
         owner: Option<SocketAddr>,
@@ -142,31 +146,31 @@
             self.preparing_since = None;
             return Some(TakeoverReason::Unknown);
         }
-        let now = self.node.borders.clock.now();
+        let now = self.node.deps.clock.now();
         let since = *self.preparing_since.get_or_insert(now);
         if now.since(since) > PREPARE_LIMIT {
             self.preparing_since = None;
             return Some(TakeoverReason::Stalled(peer));
         }
-        self.node.note_contact(self.cell);
+        self.node.note_owner_heard(self.cell);
         None
     }
 
     /// Passes on what is known of the owner, without taking over.
-    pub(super) async fn follow_quietly(&mut self) {
+    pub(super) async fn follow_without_claiming(&mut self) {
         match self.node.owner(self.cell) {
             Some(owner) if owner != self.node.me => {
                 if let Ok(watched) = self.watch(owner, true).await {
-                    let _ = self.learn(owner, watched);
+                    let _ = self.apply_response(owner, watched);
                 }
             }
             _ => {
-                let sign = self.sign().await.unwrap_or_default();
+                let sign = self.owner_record().await.unwrap_or_default();
                 if let Some(sign) = sign.filter(|sign| sign.peer != self.node.me) {
-                    self.follow_sign(sign);
+                    self.follow_record(sign);
                 }
             }
         }
-        self.node.borders.clock.sleep(FOLLOW_REST).await;
+        self.node.deps.clock.sleep(FOLLOW_REST).await;
     }
 }
--- a/src/cell/election/journal.rs
+++ b/src/cell/election/journal.rs
@@ -6,26 +6,26 @@
 impl Election {
     /// Reads the journal to its end; `false` when the store does not answer.
     pub(super) async fn read(&mut self) -> bool {
-        let journal = self.node.borders.journal.clone();
-        if !self.reading.begun {
+        let journal = self.node.deps.journal.clone();
+        if !self.replay.has_snapshot {
             match journal.snapshot(self.cell).await {
-                Ok(base) => self.reading.begin(&base),
+                Ok(base) => self.replay.load_snapshot(&base),
                 Err(cause) => return self.unread(&cause),
             }
         }
         loop {
-            match journal.read(self.cell, self.reading.next).await {
+            match journal.read(self.cell, self.replay.next_offset).await {
                 Ok(page) => {
                     for record in &page.records {
-                        self.reading.take(record);
+                        self.replay.apply_record(record);
                     }
-                    self.reading.next = page.next_offset;
+                    self.replay.next_offset = page.next_offset;
                     if page.next_offset >= page.end_offset {
                         return true;
                     }
                 }
                 Err(ReadError::Truncated) => {
-                    self.reading.begun = false;
+                    self.replay.has_snapshot = false;
                     return self.unread(&ReadError::Truncated.to_string());
                 }
                 Err(ReadError::Failed(cause)) => return self.unread(&cause),
--- a/src/cell/election/mod.rs
+++ b/src/cell/election/mod.rs
@@ -41,55 +41,55 @@
 struct Election {
     node: Rc<Node>,
     cell: Id,
-    reading: JournalReplay,
+    replay: JournalReplay,
     /// Place in the order of succession, as the owner told it last.
     rank: Option<u32>,
     /// Instances that followed the owner when it last answered.
     peers: Vec<SocketAddr>,
     /// Digest of the order of succession that the present owner told last; zero for none.
-    succession: u64,
+    succession_digest: u64,
     /// The sign that this instance went by last.
-    followed: Option<OwnerRecord>,
+    last_owner_record: Option<OwnerRecord>,
     /// Whether the owner did not answer when it was last asked.
-    unheard: bool,
+    owner_unresponsive: bool,
     /// When an heir reads on in the journal.
-    next_keep_up: Instant,
+    next_catch_up: Instant,
     /// Since when the instance that claimed the cell has been reading its journal.
     preparing_since: Option<Instant>,
     /// The owner that answered last.
     last_owner: Option<SocketAddr>,
     /// Processor that it may use, in thousandths of a core.
-    owner_strength: u32,
+    owner_cpu_millis: u32,
     /// End of the journal, as the owner told it last.
-    seen_end: u64,
+    known_journal_end: u64,
 }
 
 /// Follows or owns the cell until the instance leaves.
 pub async fn run(node: Rc<Node>, cell: Id) {
-    let next_keep_up = node.borders.clock.now();
+    let next_keep_up = node.deps.clock.now();
     let mut election = Election {
         node,
         cell,
-        reading: JournalReplay::default(),
+        replay: JournalReplay::default(),
         rank: None,
         peers: Vec::new(),
-        succession: 0,
-        followed: None,
-        unheard: false,
-        next_keep_up,
+        succession_digest: 0,
+        last_owner_record: None,
+        owner_unresponsive: false,
+        next_catch_up: next_keep_up,
         preparing_since: None,
         last_owner: None,
-        owner_strength: 0,
-        seen_end: 0,
+        owner_cpu_millis: 0,
+        known_journal_end: 0,
     };
     let mut motive = TakeoverReason::Unknown;
     while !election.node.has_left() {
         if election.node.stop.is_triggered() {
             // A process about to end takes nothing over; it passes calls on until it is gone.
-            election.follow_quietly().await;
+            election.follow_without_claiming().await;
             continue;
         }
-        election.consider(motive).await;
+        election.take_over_if_needed(motive).await;
         motive = election.follow().await;
     }
 }
--- a/src/cell/election/owner_record.rs
+++ b/src/cell/election/owner_record.rs
@@ -12,8 +12,8 @@
 
 impl Election {
     /// What the last owner says of itself; `None` without one.
-    pub(super) async fn sign(&self) -> Result<Option<OwnerRecord>, ()> {
-        let read = self.node.borders.journal.owner_record(self.cell);
+    pub(super) async fn owner_record(&self) -> Result<Option<OwnerRecord>, ()> {
+        let read = self.node.deps.journal.owner_record(self.cell);
         let cause = match monoio::time::timeout(OWNER_RECORD_TIMEOUT, read).await {
             Ok(Ok(sign)) => return Ok(sign),
             Ok(Err(cause)) => cause,
@@ -29,41 +29,41 @@
     /// Guards against small instances that never learn who owns the cell: once all have come back
     /// after a loss of power, reading a journal of megabytes over a link of 10 Mbit/s took longer
     /// than its timeout again and again, and 24 of 30 instances turned their callers away.
-    pub(super) fn follows_sign(
+    pub(super) fn follows_record(
         &mut self,
         sign: Option<OwnerRecord>,
         motive: TakeoverReason,
     ) -> bool {
         let Some(sign) = sign else { return false };
-        let known = self.followed == Some(sign) || motive.replaced() == Some(sign.peer);
+        let known = self.last_owner_record == Some(sign) || motive.replaced() == Some(sign.peer);
         if known || sign.peer == self.node.me {
             return false;
         }
-        self.follow_sign(sign);
+        self.follow_record(sign);
         true
     }
 
     /// Follows the owner that left the sign.
-    pub(super) fn follow_sign(&mut self, sign: OwnerRecord) {
-        self.followed = Some(sign);
+    pub(super) fn follow_record(&mut self, sign: OwnerRecord) {
+        self.last_owner_record = Some(sign);
         self.node.note_epoch(self.cell, sign.epoch);
         self.node.set_owner(self.cell, Some(sign.peer));
     }
 
     /// Leaves a sign for instances that do not know the owner.
-    pub(super) fn publish(&self, epoch: Epoch) {
+    pub(super) fn publish_owner(&self, epoch: Epoch) {
         let (node, cell) = (self.node.clone(), self.cell);
-        let sign = OwnerRecord { epoch, peer: node.me, cpu_millis: node.strength };
+        let sign = OwnerRecord { epoch, peer: node.me, cpu_millis: node.cpu_millis };
         monoio::spawn(async move {
-            let journal = node.borders.journal.clone();
+            let journal = node.deps.journal.clone();
             for _ in 0..PUBLISH_TRIES {
-                match journal.publish_owner(cell, node.first_sequence(), sign).await {
+                match journal.publish_owner(cell, node.claim_sequence(), sign).await {
                     Ok(()) | Err(AppendError::Fenced) => return,
                     Err(rejected) => {
                         log::warn!("event=owner.sign_unwritten cell={cell} {rejected}");
                     }
                 }
-                node.borders.clock.sleep(READ_RETRY).await;
+                node.deps.clock.sleep(READ_RETRY).await;
             }
         });
     }
--- a/src/cell/election/search.rs
+++ b/src/cell/election/search.rs
@@ -34,12 +34,12 @@
     /// through the same store, 24 of 30 were at it for 13 s, and neither took calls nor asked the
     /// policy service while the first of them had owned the cell since the second second.
     pub(super) async fn read_unless_owned(&mut self, before: Epoch) -> ReplayResult {
-        let shown = newer_sign(self.node.clone(), self.cell, before);
+        let shown = newer_owner_record(self.node.clone(), self.cell, before);
         match race(self.read(), shown).await {
             Ok(true) => ReplayResult::Journal,
             Ok(false) => ReplayResult::Nothing,
             Err(sign) => {
-                self.follow_sign(sign);
+                self.follow_record(sign);
                 ReplayResult::Owner
             }
         }
@@ -58,12 +58,12 @@
 }
 
 /// Waits for the sign of another instance that owns the cell in an epoch after `before`.
-async fn newer_sign(node: Rc<Node>, cell: Id, before: Epoch) -> OwnerRecord {
+async fn newer_owner_record(node: Rc<Node>, cell: Id, before: Epoch) -> OwnerRecord {
     loop {
-        node.borders.clock.sleep(SIGN_REST).await;
+        node.deps.clock.sleep(SIGN_REST).await;
         // The store's own timeout applies: behind the journals that others read, an answer may take
         // longer than an instance usually waits for a sign.
-        if let Ok(Some(sign)) = node.borders.journal.owner_record(cell).await
+        if let Ok(Some(sign)) = node.deps.journal.owner_record(cell).await
             && sign.epoch > before
             && sign.peer != node.me
         {
--- a/src/cell/election/takeover.rs
+++ b/src/cell/election/takeover.rs
@@ -29,28 +29,28 @@
 
 impl Election {
     /// Takes the cell over, where that is called for.
-    pub(super) async fn consider(&mut self, motive: TakeoverReason) {
-        if self.known_epoch() == Epoch(0) && !self.learns_epoch(motive).await {
+    pub(super) async fn take_over_if_needed(&mut self, motive: TakeoverReason) {
+        if self.known_epoch() == Epoch(0) && !self.find_epoch(motive).await {
             return;
         }
         let known = self.known_epoch();
-        if !self.may_claim(motive).await {
+        if !self.wait_for_turn(motive).await {
             return;
         }
         let goes_on = match motive {
             TakeoverReason::Offered(owner) | TakeoverReason::Struggling(owner) => {
                 self.is_recovered(owner).await
             }
-            TakeoverReason::Silent(_) => self.is_busy().await,
+            TakeoverReason::Silent(_) => self.is_owner_working().await,
             TakeoverReason::Gone(owner) => match self.probe(owner).await {
                 Probe::Answers => true,
-                Probe::Silent => self.is_busy().await,
+                Probe::Silent => self.is_owner_working().await,
                 Probe::Gone => false,
             },
             TakeoverReason::Unknown | TakeoverReason::Stalled(_) => false,
         };
         if goes_on {
-            self.unheard = false;
+            self.owner_unresponsive = false;
         }
         // Whoever made an epoch known meanwhile is to be followed, not replaced.
         if !goes_on && self.known_epoch() == known && !self.node.stop.is_triggered() {
@@ -60,9 +60,9 @@
 
     /// Learns the last epoch from the owner's sign or, without one, from the journal; `false` if there
     /// is an owner to follow or the store does not answer.
-    async fn learns_epoch(&mut self, motive: TakeoverReason) -> bool {
-        if let Ok(sign @ Some(_)) = self.sign().await
-            && self.follows_sign(sign, motive)
+    async fn find_epoch(&mut self, motive: TakeoverReason) -> bool {
+        if let Ok(sign @ Some(_)) = self.owner_record().await
+            && self.follows_record(sign, motive)
         {
             return false;
         }
@@ -71,7 +71,7 @@
             ReplayResult::Owner => false,
             ReplayResult::Nothing => {
                 // Without the store nobody can take over; the owner may come back.
-                self.node.borders.clock.sleep(READ_RETRY).await;
+                self.node.deps.clock.sleep(READ_RETRY).await;
                 false
             }
         }
@@ -79,7 +79,7 @@
 
     /// Whether the journal names an owner other than the one to be replaced.
     fn follows_other(&self, motive: TakeoverReason, before: Epoch) -> bool {
-        let state = &self.reading.state;
+        let state = &self.replay.state;
         let Some(owner) = state.owner else { return false };
         let replaced = motive.replaced();
         if owner.peer == self.node.me {
@@ -102,7 +102,7 @@
     /// Guards against a change of owner right when the store is back for all: the owner that
     /// offered the cell tries its append again every `APPEND_RETRY`, and needs no successor.
     async fn is_recovered(&self, owner: SocketAddr) -> bool {
-        self.node.borders.clock.sleep(APPEND_RETRY).await;
+        self.node.deps.clock.sleep(APPEND_RETRY).await;
         let watched = self.watch(owner, false).await;
         watched.is_ok_and(|watched| watched.is_owner && watched.offer == HandoverOffer::NotOffered)
     }
@@ -124,14 +124,14 @@
     /// Guards against a busy owner that is replaced by one that begins with the same work and more: each
     /// in turn answered nobody in its first second and was replaced in the next, for as long as the
     /// site had work, and what had been accepted was never run.
-    async fn is_busy(&self) -> bool {
+    async fn is_owner_working(&self) -> bool {
         self.is_preparing() || self.is_owner_writing().await
     }
 
     /// Whether the silent instance has claimed the cell a moment ago: it reads the journal, and neither
     /// writes nor always answers in time while it does.
     fn is_preparing(&self) -> bool {
-        let now = self.node.borders.clock.now();
+        let now = self.node.deps.clock.now();
         let claimed = self.node.epoch_since(self.cell);
         claimed.is_some_and(|claimed| now.since(claimed) < SILENT_PREPARING)
     }
@@ -140,14 +140,14 @@
     ///
     /// Guards against taking a cell from an owner that only this instance cannot reach.
     async fn is_owner_writing(&self) -> bool {
-        let Some(seen) = self.journal_end(self.seen_end).await else { return true };
-        self.node.borders.clock.sleep(SILENT_OWNER).await;
+        let Some(seen) = self.journal_end(self.known_journal_end).await else { return true };
+        self.node.deps.clock.sleep(SILENT_OWNER).await;
         self.journal_end(seen).await.is_none_or(|end| end > seen)
     }
 
     /// Offset at which the next append goes, asked for with few of the records: those from `near` on.
     async fn journal_end(&self, near: u64) -> Option<u64> {
-        match self.node.borders.journal.read(self.cell, near).await {
+        match self.node.deps.journal.read(self.cell, near).await {
             Ok(page) => Some(page.end_offset),
             Err(cause) => {
                 log::warn!("event=journal.unread cell={} cause={:?}", self.cell, cause.to_string());
--- a/src/cell/forward.rs
+++ b/src/cell/forward.rs
@@ -60,9 +60,9 @@
     /// when the one before has gone silent. Whether one of the tries may have been carried out
     /// decides between the two ways to say no.
     pub async fn call(&self, cell: Id, call: Call, span: Duration) -> Outcome {
-        let clock = self.node.borders.clock.clone();
+        let clock = self.node.deps.clock.clone();
         let changes = matches!(call, Call::Submit(_) | Call::Cancel(_));
-        let mut patience = RetryPolicy::new(clock.now(), span, self.node.contact(cell));
+        let mut patience = RetryPolicy::new(clock.now(), span, self.node.owner_heard_at(cell));
         let mut next = patience.next(clock.now());
         loop {
             let limit = match next {
@@ -87,7 +87,7 @@
         call: &Call,
         limit: Duration,
     ) -> Result<Answer, AttemptOutcome> {
-        let answer = match self.node.owning(cell) {
+        let answer = match self.node.owner_handle(cell) {
             Some(owning) => match monoio::time::timeout(limit, owning.call(call.clone())).await {
                 Ok(Some(answer)) => answer,
                 Ok(None) | Err(_) => return Err(AttemptOutcome::Unknown),
@@ -107,7 +107,7 @@
         let owner = owner.ok_or(AttemptOutcome::NotDelivered)?;
         let envelope = ForwardedCall { cell, call: call.clone() };
         let reply: Result<Reply, _> =
-            self.node.borders.peers.call(owner, CALL, &envelope, limit).await;
+            self.node.deps.peers.call(owner, CALL, &envelope, limit).await;
         match reply {
             Ok(Reply::Answer(answer)) => Ok(answer),
             Ok(Reply::NotOwner(_)) => Err(AttemptOutcome::NotDelivered),
--- a/src/cell/node/answer.rs
+++ b/src/cell/node/answer.rs
@@ -26,15 +26,15 @@
 impl Node {
     async fn answer(&self, method: &str, body: &[u8]) -> Result<Bytes, Refusal> {
         match method {
-            CALL => encode(&self.take_call(decode(body)?).await),
+            CALL => encode(&self.answer_call(decode(body)?).await),
             WATCH => encode(&self.watched(&decode(body)?).await),
             ADVISE => encode(&self.advise(decode(body)?).await),
             TABLE => {
-                self.take_table(decode(body)?);
+                self.apply_config(decode(body)?);
                 encode(&())
             }
             ANNOUNCE => {
-                self.take_announcement(decode(body)?);
+                self.apply_announcement(decode(body)?);
                 encode(&())
             }
             other => Err(Refusal::new(Code::UnknownMethod, format!("no method {other}"))),
@@ -42,19 +42,19 @@
     }
 
     /// Follows an owner that makes itself known, unless a later one is known already.
-    fn take_announcement(&self, announcement: Announcement) {
+    fn apply_announcement(&self, announcement: Announcement) {
         let Announcement { cell, epoch, owner } = announcement;
         let known = self.epoch(cell);
-        if epoch <= known || self.owning(cell).is_some() {
+        if epoch <= known || self.owner_handle(cell).is_some() {
             return;
         }
         self.note_epoch(cell, epoch);
         self.set_owner(cell, Some(owner));
     }
 
-    async fn take_call(&self, envelope: ForwardedCall) -> Reply {
-        self.await_begin(envelope.cell, CALL_HOLD).await;
-        let Some(owning) = self.owning(envelope.cell) else {
+    async fn answer_call(&self, envelope: ForwardedCall) -> Reply {
+        self.wait_for_takeover(envelope.cell, CALL_HOLD).await;
+        let Some(owning) = self.owner_handle(envelope.cell) else {
             return Reply::NotOwner(self.owner(envelope.cell));
         };
         owning.call(envelope.call).await.map_or(Reply::Interrupted, Reply::Answer)
@@ -62,30 +62,31 @@
 
     async fn advise(&self, ask: AdviceRequest) -> Result<Eligibility, String> {
         let timeout = Duration::from_millis(ask.timeout_ms);
-        self.borders.advisor.advise(&ask.step, &ask.workers, timeout).await
+        self.deps.advisor.advise(&ask.step, &ask.workers, timeout).await
     }
 
     /// Answers a follower after a while, so that its next word is due again soon and neither side
     /// takes the other's silence for long.
     async fn watched(&self, watch: &WatchRequest) -> WatchResponse {
-        if let Some(owning) = self.owning(watch.cell) {
+        if let Some(owning) = self.owner_handle(watch.cell) {
             let (peer, strength, domain) = (watch.follower, watch.cpu_millis, watch.domain.clone());
             owning.send(Message::Present { peer, strength, domain });
             if watch.long_poll {
-                let _ = monoio::time::timeout(WATCH_HOLD, self.until_relief(watch.cell)).await;
+                let _ =
+                    monoio::time::timeout(WATCH_HOLD, self.until_handover_due(watch.cell)).await;
             }
         } else if watch.long_poll {
-            self.await_begin(watch.cell, WATCH_HOLD).await;
+            self.wait_for_takeover(watch.cell, WATCH_HOLD).await;
         }
-        let table = self.table();
+        let table = self.config();
         let newer = (table.version > watch.config_version).then(|| (*table).clone());
-        let strength = self.strength;
+        let strength = self.cpu_millis;
         let look = move |machine: &Machine, now| {
             let succession = machine.succession();
             let (order, digest) = (succession.order.clone(), succession.digest);
             (machine.offer(strength, now), order, digest, machine.journal_end())
         };
-        let seen = match self.owning(watch.cell) {
+        let seen = match self.owner_handle(watch.cell) {
             Some(owning) => owning.inspect(look).await,
             None => None,
         };
@@ -118,7 +119,7 @@
         let method = method.to_owned();
         let duty = if method == CALL { Activity::Call } else { Activity::Watch };
         let answer = async move { self.answer(&method, &body).await }.boxed_local();
-        self.borders.profiler.measure(duty, answer).boxed_local()
+        self.deps.profiler.measure(duty, answer).boxed_local()
     }
 }
 
--- a/src/cell/node/config.rs
+++ b/src/cell/node/config.rs
@@ -21,55 +21,55 @@
 
 impl Node {
     /// The configuration in force here.
-    pub fn table(&self) -> Rc<QueueConfig> {
-        self.table.borrow().clone()
+    pub fn config(&self) -> Rc<QueueConfig> {
+        self.config.borrow().clone()
     }
 
     /// Takes a configuration that is newer than the present one.
     ///
     /// Guards against going back: an older version that arrives late, from the store or from an
     /// instance that has been cut off, is passed over.
-    pub fn take_table(&self, table: QueueConfig) {
-        if table.version <= self.table().version {
+    pub fn apply_config(&self, table: QueueConfig) {
+        if table.version <= self.config().version {
             return;
         }
         log::info!("event=config.received version={} queues={}", table.version, table.queues.len());
         let table = Rc::new(table);
-        *self.table.borrow_mut() = table.clone();
+        *self.config.borrow_mut() = table.clone();
         for view in self.views.borrow().values() {
-            if let Some(owning) = &view.owning {
+            if let Some(owning) = &view.owner_handle {
                 owning.send(Message::Table(table.clone()));
             }
         }
     }
 
     /// Reads the configuration as it changes, and passes it to owners that may not have it.
-    pub(in crate::cell) async fn follow_table(self: Rc<Self>) {
+    pub(in crate::cell) async fn follow_config(self: Rc<Self>) {
         let mut store = DependencyStatus::new("store");
         while !self.left.get() {
-            let version = self.table().version;
-            match self.borders.discovery.newer_config(version, TABLE_WAIT).await {
+            let version = self.config().version;
+            match self.deps.discovery.newer_config(version, TABLE_WAIT).await {
                 Ok(table) => {
-                    store.answered();
+                    store.record_success();
                     if let Some(table) = table {
-                        self.take_table(table);
-                        self.spread_table();
+                        self.apply_config(table);
+                        self.push_config();
                     }
                 }
                 Err(cause) => {
-                    store.failed(&cause);
-                    self.borders.clock.sleep(TABLE_RETRY).await;
+                    store.record_failure(&cause);
+                    self.deps.clock.sleep(TABLE_RETRY).await;
                 }
             }
         }
     }
 
-    fn spread_table(&self) {
-        let table = self.table();
+    fn push_config(&self) {
+        let table = self.config();
         let owners: Vec<SocketAddr> =
             self.views.borrow().values().filter_map(|view| view.owner).collect();
         for owner in owners.into_iter().filter(|owner| *owner != self.me) {
-            let (borders, table) = (self.borders.clone(), table.clone());
+            let (borders, table) = (self.deps.clone(), table.clone());
             monoio::spawn(async move {
                 let told: Result<(), _> =
                     borders.peers.call(owner, TABLE, &*table, TABLE_TIMEOUT).await;
--- a/src/cell/node/mod.rs
+++ b/src/cell/node/mod.rs
@@ -33,7 +33,7 @@
     /// Drawn at the start of the process.
     pub incarnation: u64,
     /// Processor that the process may use, in thousandths of a core.
-    pub strength: u32,
+    pub cpu_millis: u32,
     /// Its failure domain.
     pub domain: Rc<str>,
 }
@@ -45,7 +45,7 @@
     /// Drawn at the start of the process.
     pub incarnation: u64,
     /// Processor that the process may use, in thousandths of a core.
-    pub strength: u32,
+    pub cpu_millis: u32,
     /// Its failure domain.
     pub domain: Rc<str>,
     /// Cells of the site.
@@ -53,14 +53,14 @@
     /// Spans that the site sets.
     pub timings: Timings,
     /// Ways to the outside.
-    pub borders: Rc<Dependencies>,
+    pub deps: Rc<Dependencies>,
     /// Raised when the process is told to stop.
     pub stop: Shutdown,
-    table: RefCell<Rc<QueueConfig>>,
+    config: RefCell<Rc<QueueConfig>>,
     views: RefCell<BTreeMap<Id, CellView>>,
     left: Cell<bool>,
     /// Raised while callers are served better elsewhere.
-    relief: RefCell<Shutdown>,
+    close_idle_signal: RefCell<Shutdown>,
 }
 
 impl Node {
@@ -73,29 +73,29 @@
         stop: Shutdown,
     ) -> Rc<Self> {
         let views = (0..cells.max(1)).map(|cell| (Id(cell), CellView::default())).collect();
-        let Identity { me, incarnation, strength, domain } = identity;
+        let Identity { me, incarnation, cpu_millis: strength, domain } = identity;
         Rc::new(Self {
             me,
             incarnation,
-            strength,
+            cpu_millis: strength,
             domain,
             cells: cells.max(1),
             timings,
-            borders,
+            deps: borders,
             stop,
-            table: RefCell::default(),
+            config: RefCell::default(),
             views: RefCell::new(views),
             left: Cell::new(false),
-            relief: RefCell::new(Shutdown::new()),
+            close_idle_signal: RefCell::new(Shutdown::new()),
         })
     }
 
     /// Starts following the configuration and every cell; the tasks end with the process.
     pub fn start(self: &Rc<Self>) {
         let node = self.clone();
-        monoio::spawn(async move { node.follow_table().await });
+        monoio::spawn(async move { node.follow_config().await });
         let node = self.clone();
-        monoio::spawn(async move { node.follow_contact().await });
+        monoio::spawn(async move { node.update_close_idle_signal().await });
         for cell in 0..self.cells {
             let node = self.clone();
             monoio::spawn(async move { election::run(node, Id(cell)).await });
@@ -103,14 +103,14 @@
     }
 
     /// Rank of the process by its processor alone: zero from half a core on, `lowest` for none.
-    pub(super) fn weakness(&self, lowest: u32) -> u32 {
+    pub(super) fn cpu_rank(&self, lowest: u32) -> u32 {
         /// Processor of the strongest instances, in thousandths of a core.
         const STRONG: u32 = 500;
-        lowest - lowest * self.strength.min(STRONG) / STRONG
+        lowest - lowest * self.cpu_millis.min(STRONG) / STRONG
     }
 
     /// Number of this process's claims within their epochs; small enough to count on from.
-    pub const fn first_sequence(&self) -> u64 {
+    pub const fn claim_sequence(&self) -> u64 {
         self.incarnation >> 16
     }
 
@@ -118,7 +118,7 @@
     pub fn leave(&self) {
         self.left.set(true);
         for view in self.views.borrow().values() {
-            if let Some(owning) = &view.owning {
+            if let Some(owning) = &view.owner_handle {
                 owning.stop();
             }
         }
--- a/src/cell/node/view.rs
+++ b/src/cell/node/view.rs
@@ -17,15 +17,15 @@
     pub(super) epoch: Epoch,
     /// When that epoch was first heard of.
     epoch_since: Option<Instant>,
-    pub(super) owning: Option<OwnerHandle>,
+    pub(super) owner_handle: Option<OwnerHandle>,
     /// When the owner was last heard of.
-    pub(super) contact: Option<Instant>,
+    pub(super) owner_heard_at: Option<Instant>,
     /// When an owner was last heard of that reaches the store.
-    pub(super) served: Option<Instant>,
+    pub(super) serving_owner_heard_at: Option<Instant>,
     /// Raised while this instance owns the cell and the store keeps it waiting.
-    pub(super) alarm: Shutdown,
+    pub(super) handover_due: Shutdown,
     /// While this instance has claimed the cell and reads its journal; raised when that ends.
-    preparing: Option<Shutdown>,
+    takeover: Option<Shutdown>,
 }
 
 impl Node {
@@ -35,8 +35,8 @@
     }
 
     /// The way to the cell's owner when that is this instance.
-    pub fn owning(&self, cell: Id) -> Option<OwnerHandle> {
-        self.views.borrow().get(&cell).and_then(|view| view.owning.clone())
+    pub fn owner_handle(&self, cell: Id) -> Option<OwnerHandle> {
+        self.views.borrow().get(&cell).and_then(|view| view.owner_handle.clone())
     }
 
     pub(in crate::cell) fn set_owner(&self, cell: Id, owner: Option<SocketAddr>) {
@@ -49,57 +49,57 @@
         }
     }
 
-    pub(in crate::cell) fn set_owning(&self, cell: Id, owning: Option<OwnerHandle>) {
+    pub(in crate::cell) fn set_owner_handle(&self, cell: Id, owning: Option<OwnerHandle>) {
         if let Some(view) = self.views.borrow_mut().get_mut(&cell) {
             view.owner = owning.as_ref().map(|_| self.me);
-            view.owning = owning;
+            view.owner_handle = owning;
         }
-        self.end_preparing(cell);
+        self.end_takeover(cell);
     }
 
     /// Notes that this instance has claimed the cell and is about to own it.
-    pub(in crate::cell) fn begin_preparing(&self, cell: Id) {
+    pub(in crate::cell) fn begin_takeover(&self, cell: Id) {
         if let Some(view) = self.views.borrow_mut().get_mut(&cell) {
             view.owner = Some(self.me);
-            view.preparing = Some(Shutdown::new());
+            view.takeover = Some(Shutdown::new());
         }
-        self.note_contact(cell);
+        self.note_owner_heard(cell);
     }
 
     /// Notes that this instance owns the cell, or will not.
-    pub(in crate::cell) fn end_preparing(&self, cell: Id) {
+    pub(in crate::cell) fn end_takeover(&self, cell: Id) {
         let mut views = self.views.borrow_mut();
         let Some(view) = views.get_mut(&cell) else { return };
-        let Some(preparing) = view.preparing.take() else { return };
+        let Some(preparing) = view.takeover.take() else { return };
         preparing.trigger();
-        if view.owning.is_none() && view.owner == Some(self.me) {
+        if view.owner_handle.is_none() && view.owner == Some(self.me) {
             view.owner = None;
         }
     }
 
     /// Waits, for `limit` at most, while this instance is about to own the cell.
-    pub(super) async fn await_begin(&self, cell: Id, limit: Duration) {
-        let preparing = self.views.borrow().get(&cell).and_then(|view| view.preparing.clone());
+    pub(super) async fn wait_for_takeover(&self, cell: Id, limit: Duration) {
+        let preparing = self.views.borrow().get(&cell).and_then(|view| view.takeover.clone());
         if let Some(preparing) = preparing {
             let _ = monoio::time::timeout(limit, preparing.wait()).await;
         }
     }
 
     /// Notes that an owner was heard of that reaches the store.
-    pub(in crate::cell) fn note_served(&self, cell: Id) {
+    pub(in crate::cell) fn note_serving_owner(&self, cell: Id) {
         if let Some(view) = self.views.borrow_mut().get_mut(&cell) {
-            view.served = Some(self.borders.clock.now());
+            view.serving_owner_heard_at = Some(self.deps.clock.now());
         }
     }
 
     /// When this instance last heard of the cell's owner.
-    pub(in crate::cell) fn contact(&self, cell: Id) -> Option<Instant> {
-        self.views.borrow().get(&cell).and_then(|view| view.contact)
+    pub(in crate::cell) fn owner_heard_at(&self, cell: Id) -> Option<Instant> {
+        self.views.borrow().get(&cell).and_then(|view| view.owner_heard_at)
     }
 
-    pub(in crate::cell) fn note_contact(&self, cell: Id) {
+    pub(in crate::cell) fn note_owner_heard(&self, cell: Id) {
         if let Some(view) = self.views.borrow_mut().get_mut(&cell) {
-            view.contact = Some(self.borders.clock.now());
+            view.owner_heard_at = Some(self.deps.clock.now());
         }
     }
 
@@ -118,7 +118,7 @@
             && epoch > view.epoch
         {
             view.epoch = epoch;
-            view.epoch_since = Some(self.borders.clock.now());
+            view.epoch_since = Some(self.deps.clock.now());
         }
     }
 }
--- a/src/cell/owner.rs
+++ b/src/cell/owner.rs
@@ -30,7 +30,7 @@
 
 /// Most messages taken in between two looks at what is due: as many as come in a tenth of a second where
 /// a site is at its busiest, so that a round of placement never comes after each few of them.
-const MESSAGES_A_STEP: usize = 1_024;
+const MAX_MESSAGES_PER_STEP: usize = 1_024;
 
 /// Ways to the outside that every instance has.
 pub struct Dependencies {
@@ -116,16 +116,16 @@
     cells: u32,
     me: SocketAddr,
     machine: Machine,
-    borders: Rc<Dependencies>,
+    deps: Rc<Dependencies>,
     inputs: Rx<Input>,
     handle: OwnerHandle,
-    waiting: BTreeMap<CallId, oneshot::Sender<Answer>>,
+    pending_replies: BTreeMap<CallId, oneshot::Sender<Answer>>,
     last_call: CallId,
     saves: u64,
     ended: Rc<Cell<bool>>,
-    duties: Rc<ThreadProfiler>,
+    profiler: Rc<ThreadProfiler>,
     /// Told at each step how the store takes what is decided.
-    health: Box<dyn Fn(Health)>,
+    report_health: Box<dyn Fn(Health)>,
 }
 
 impl OwnerTask {
@@ -147,13 +147,13 @@
             machine,
             inputs,
             handle: handle.clone(),
-            waiting: BTreeMap::new(),
+            pending_replies: BTreeMap::new(),
             last_call: 0,
             saves: 0,
             ended: Rc::new(Cell::new(false)),
-            duties: borders.profiler.clone(),
-            borders,
-            health,
+            profiler: borders.profiler.clone(),
+            deps: borders,
+            report_health: health,
         };
         (owner, handle)
     }
@@ -161,23 +161,23 @@
     /// Runs until another instance takes over or the handle says so; returns why.
     pub async fn run(mut self) -> String {
         self.follow_roster();
-        self.remind_to_save();
-        self.tell_duties();
-        let why = self.serve().await;
+        self.schedule_snapshots();
+        self.report_activities();
+        let why = self.run_loop().await;
         self.ended.set(true);
         why
     }
 
-    async fn serve(&mut self) -> String {
-        let mut lap = self.duties.stopwatch();
+    async fn run_loop(&mut self) -> String {
+        let mut lap = self.profiler.stopwatch();
         loop {
             let first = monoio::time::timeout(TICK, self.inputs.recv()).await.ok().flatten();
             lap.restart();
-            if self.take_all(first, &mut lap) {
+            if self.drain_inputs(first, &mut lap) {
                 return "told to end".to_owned();
             }
-            let (now, unix) = (self.borders.clock.now(), self.borders.clock.unix());
-            (self.health)(self.machine.store_health(now));
+            let (now, unix) = (self.deps.clock.now(), self.deps.clock.unix());
+            (self.report_health)(self.machine.store_health(now));
             let mut round = Duration::ZERO;
             let effects = self.machine.step_by_duty(now, unix, &mut |duty| {
                 let took = lap.record(duty);
@@ -188,7 +188,7 @@
             self.machine.rest_from_placement(round);
             for effect in effects {
                 let duty = effect.duty();
-                if let Some(why) = self.carry_out(effect) {
+                if let Some(why) = self.execute(effect) {
                     return why;
                 }
                 lap.record(duty);
@@ -197,18 +197,18 @@
     }
 
     /// Takes in what has come, `first` first; `true` when the task is to end.
-    fn take_all(&mut self, first: Option<Input>, lap: &mut Stopwatch) -> bool {
+    fn drain_inputs(&mut self, first: Option<Input>, lap: &mut Stopwatch) -> bool {
         // All of it had come by now, since nothing else runs meanwhile.
-        let (now, unix) = (self.borders.clock.now(), self.borders.clock.unix());
+        let (now, unix) = (self.deps.clock.now(), self.deps.clock.unix());
         let mut next = first;
         let mut duty = None;
-        for _ in 0..MESSAGES_A_STEP {
+        for _ in 0..MAX_MESSAGES_PER_STEP {
             let Some(input) = next.take().or_else(|| self.inputs.try_recv().ok()) else { break };
             let before = duty.replace(input.duty());
             if let Some(before) = before.filter(|before| *before != input.duty()) {
                 lap.record(before);
             }
-            if self.take(input, now, unix) {
+            if self.process(input, now, unix) {
                 return true;
             }
         }
@@ -219,13 +219,13 @@
     }
 
     /// Takes in one message; `true` when the task is to end.
-    fn take(&mut self, input: Input, now: Instant, unix: Unix) -> bool {
+    fn process(&mut self, input: Input, now: Instant, unix: Unix) -> bool {
         match input {
             Input::Message(message) => self.machine.handle(message, now, unix),
             Input::Call { call, reply } => {
                 self.last_call += 1;
                 let id = self.last_call;
-                self.waiting.insert(id, reply);
+                self.pending_replies.insert(id, reply);
                 self.machine.handle(Message::Call { id, call }, now, unix);
             }
             Input::Inspect(look) => look(&self.machine, now),
@@ -234,27 +234,27 @@
         false
     }
 
-    fn carry_out(&mut self, effect: Effect) -> Option<String> {
+    fn execute(&mut self, effect: Effect) -> Option<String> {
         match effect {
             Effect::Append { sequence, batch } => self.append(sequence, batch),
-            Effect::Look { worker, peer, look } => self.look(worker, peer, look),
+            Effect::Look { worker, peer, look } => self.poll(worker, peer, look),
             Effect::Start { worker, peer, start } => self.start(worker, peer, start),
             Effect::Stop { worker, peer, run } => self.stop(worker, peer, run),
             Effect::Advise(question) => self.advise(question),
             Effect::Reply { id, answer } => {
-                if let Some(reply) = self.waiting.remove(&id) {
+                if let Some(reply) = self.pending_replies.remove(&id) {
                     // The caller has gone away when nobody takes the answer.
                     let _ = reply.send(answer);
                 }
             }
-            Effect::Save(base) => self.save(base),
+            Effect::Save(base) => self.save_snapshot(base),
             Effect::StepDown { why } => return Some(why),
         }
         None
     }
 
     fn append(&self, sequence: u64, batch: Bytes) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (borders, handle) = (self.deps.clone(), self.handle.clone());
         let (cell, epoch) = (self.cell, self.machine.epoch);
         monoio::spawn(async move {
             let sent = borders.clock.now();
@@ -264,8 +264,8 @@
         });
     }
 
-    fn look(&self, worker: WorkerId, peer: SocketAddr, look: PollRequest) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+    fn poll(&self, worker: WorkerId, peer: SocketAddr, look: PollRequest) {
+        let (borders, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
             let sent = borders.clock.now();
             let timeout = look.max_wait + POLL_TIMEOUT;
@@ -276,7 +276,7 @@
     }
 
     fn start(&self, worker: WorkerId, peer: SocketAddr, start: StartOrder) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (borders, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
             let order = borders.workers.start(peer, &worker, &start, ORDER_TIMEOUT);
             let outcome = borders.profiler.measure(Activity::Order, order).await;
@@ -285,7 +285,7 @@
     }
 
     fn stop(&self, worker: WorkerId, peer: SocketAddr, run: Run) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (borders, handle) = (self.deps.clone(), self.handle.clone());
         let epoch: Epoch = self.machine.epoch;
         monoio::spawn(async move {
             let order = borders.workers.stop(peer, &worker, run, epoch, ORDER_TIMEOUT);
@@ -296,10 +296,10 @@
     }
 
     fn advise(&self, question: Question) {
-        let (borders, handle, me) = (self.borders.clone(), self.handle.clone(), self.me);
+        let (borders, handle, me) = (self.deps.clone(), self.handle.clone(), self.me);
         monoio::spawn(async move {
             let number = question.number;
-            let asked = ask(&borders, me, question).boxed_local();
+            let asked = ask_policy_service(&borders, me, question).boxed_local();
             let allowed = borders.profiler.measure(Activity::Advice, asked).await;
             if let Err(cause) = &allowed {
                 log::info!("event=advice.no_answer question={number} cause={cause:?}");
@@ -310,9 +310,9 @@
 
     /// Asks for the whole state to be saved at times, so that a successor reads little and the store
     /// may drop old records.
-    fn remind_to_save(&self) {
+    fn schedule_snapshots(&self) {
         let (clock, handle, ended) =
-            (self.borders.clock.clone(), self.handle.clone(), self.ended.clone());
+            (self.deps.clock.clone(), self.handle.clone(), self.ended.clone());
         monoio::spawn(async move {
             while !ended.get() {
                 clock.sleep(SNAPSHOT_INTERVAL).await;
@@ -321,14 +321,14 @@
         });
     }
 
-    fn tell_duties(&self) {
+    fn report_activities(&self) {
         let ended = self.ended.clone();
-        monoio::spawn(self.duties.clone().report_periodically(self.cell, move || !ended.get()));
+        monoio::spawn(self.profiler.clone().report_periodically(self.cell, move || !ended.get()));
     }
 
-    fn save(&mut self, base: Snapshot) {
+    fn save_snapshot(&mut self, base: Snapshot) {
         self.saves += 1;
-        let (borders, cell, epoch) = (self.borders.clone(), self.cell, self.machine.epoch);
+        let (borders, cell, epoch) = (self.deps.clone(), self.cell, self.machine.epoch);
         let sequence = self.machine.claim_number() + self.saves;
         monoio::spawn(async move {
             let bytes = base.state.as_ref().map_or(0, Bytes::len);
@@ -344,7 +344,7 @@
 
     /// Reads the list of workers as long as the task runs.
     fn follow_roster(&self) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (borders, handle) = (self.deps.clone(), self.handle.clone());
         let (cell, cells, ended) = (self.cell, self.cells, self.ended.clone());
         borders.discovery.reset();
         monoio::spawn(async move {
@@ -356,10 +356,10 @@
                     .await
                 {
                     Ok(roster) => {
-                        list.answered();
-                        handle.send(Message::Roster(share(roster, cell, cells)));
+                        list.record_success();
+                        handle.send(Message::Roster(retain_cell(roster, cell, cells)));
                     }
-                    Err(cause) => list.failed(&cause),
+                    Err(cause) => list.record_failure(&cause),
                 }
                 borders.clock.sleep(ROSTER_INTERVAL).await;
             }
@@ -367,7 +367,7 @@
     }
 }
 
-async fn ask(
+async fn ask_policy_service(
     borders: &Dependencies,
     me: SocketAddr,
     question: Question,
@@ -393,7 +393,7 @@
     Id((xxhash_rust::xxh3::xxh3_64(rack.as_bytes()) % u64::from(cells.max(1))) as u32)
 }
 
-fn share(mut roster: RosterUpdate, cell: Id, cells: u32) -> RosterUpdate {
+fn retain_cell(mut roster: RosterUpdate, cell: Id, cells: u32) -> RosterUpdate {
     roster.changed.retain(|(_, listed)| cell_of(listed, cells) == cell);
     roster
 }
--- a/src/cell/replay.rs
+++ b/src/cell/replay.rs
@@ -10,16 +10,16 @@
 pub(super) struct JournalReplay {
     pub(super) state: State,
     /// Offset of the next record to read.
-    pub(super) next: u64,
+    pub(super) next_offset: u64,
     /// Whether the saved state has been read.
-    pub(super) begun: bool,
+    pub(super) has_snapshot: bool,
 }
 
 impl JournalReplay {
     /// Begins with the saved state.
-    pub(super) fn begin(&mut self, base: &Snapshot) {
-        self.begun = true;
-        self.next = base.offset;
+    pub(super) fn load_snapshot(&mut self, base: &Snapshot) {
+        self.has_snapshot = true;
+        self.next_offset = base.offset;
         self.state = State::default();
         let Some(bytes) = &base.state else { return };
         match codec::decode(bytes) {
@@ -29,7 +29,7 @@
     }
 
     /// Takes in one record.
-    pub(super) fn take(&mut self, record: &[u8]) {
+    pub(super) fn apply_record(&mut self, record: &[u8]) {
         match codec::decode::<Batch>(record) {
             Ok(batch) => {
                 self.state.apply_batch(batch);
--- a/tests/process/election.rs
+++ b/tests/process/election.rs
@@ -186,7 +186,7 @@
         let identity = Identity {
             me: ([127, 0, 0, 1], 9).into(),
             incarnation: 1 << 20,
-            strength: 250,
+            cpu_millis: 250,
             domain: "hall".into(),
         };
         let stop = Shutdown::new();
