--- a/benches/cell/mix.rs
+++ b/benches/cell/mix.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use oriolefork::cell::job::{Id, Job, Step};
-use oriolefork::cell::queue::{Advice, Queue, QueueConfig, Service};
+use oriolefork::cell::queue::{PolicyTiming, Queue, QueueConfig, Service};
 use oriolefork::resource::Amount;
 use rand::Rng;
 use rand::rngs::StdRng;
@@ -49,7 +49,7 @@
     pub attempts: u32,
     pub stretch: f64,
     pub target_ms: u64,
-    /// Decision, each worker named, share of workers that may run a step.
+    /// RetryDecision, each worker named, share of workers that may run a step.
     pub advice: (f64, f64, f64),
 }
 
@@ -198,7 +198,7 @@
             max_failures: kind.attempts,
             stretch: kind.stretch,
             target_ms: kind.target_ms,
-            advice: Some(Advice {
+            policy: Some(PolicyTiming {
                 decide_ms: kind.advice.0,
                 per_worker_ms: kind.advice.1,
                 valid_ms: 1_500,
--- a/benches/cell/replay.rs
+++ b/benches/cell/replay.rs
@@ -329,7 +329,7 @@
         }
     }
 
-    fn start(&mut self, worker: WorkerId, start: &oriolefork::cell::dependencies::StartOrder) {
+    fn start(&mut self, worker: WorkerId, start: &oriolefork::cell::dependencies::StartCommand) {
         let run = start.run;
         let demand = start.job.steps[run.task.step.step as usize].demand;
         let Some(upstream) = self.workers.get_mut(&worker) else { return };
--- a/src/cell/activity.rs
+++ b/src/cell/activity.rs
@@ -24,7 +24,7 @@
 
 /// Something that takes an owner's time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Activity {
+pub enum OwnerActivity {
     /// Calls of callers, in and out.
     Call,
     /// Other instances that follow the owner.
@@ -34,11 +34,11 @@
     /// Taking in what workers report.
     Report,
     /// Sending orders to workers and taking in their answers.
-    Order,
+    Command,
     /// The list of workers and the configuration.
     List,
     /// Questions to the policy service.
-    Advice,
+    Policy,
     /// Writing the journal and what waits for it.
     Append,
     /// Leases that run out, and what is forgotten.
@@ -47,15 +47,15 @@
     Placement,
 }
 
-impl Activity {
+impl OwnerActivity {
     const ALL: [Self; 10] = [
         Self::Call,
         Self::Watch,
         Self::Look,
         Self::Report,
-        Self::Order,
+        Self::Command,
         Self::List,
-        Self::Advice,
+        Self::Policy,
         Self::Append,
         Self::Upkeep,
         Self::Placement,
@@ -67,9 +67,9 @@
             Self::Watch => "watch",
             Self::Look => "look",
             Self::Report => "report",
-            Self::Order => "order",
+            Self::Command => "order",
             Self::List => "list",
-            Self::Advice => "advice",
+            Self::Policy => "advice",
             Self::Append => "append",
             Self::Upkeep => "upkeep",
             Self::Placement => "placement",
@@ -95,7 +95,7 @@
 /// Time of all duties.
 #[derive(Debug)]
 pub struct ThreadProfiler {
-    spent: RefCell<[TimeSpent; Activity::ALL.len()]>,
+    spent: RefCell<[TimeSpent; OwnerActivity::ALL.len()]>,
     /// Pieces of work that [`ThreadProfiler::measure`] has come by.
     pieces: Cell<u32>,
 }
@@ -107,17 +107,17 @@
     }
 
     /// Pieces of work that were counted for `duty` since the last line.
-    pub fn count(&self, duty: Activity) -> u32 {
+    pub fn count(&self, duty: OwnerActivity) -> u32 {
         self.spent.borrow()[duty as usize].times
     }
 
     /// Adds what one piece of work took.
-    fn add(&self, duty: Activity, took: Duration) {
+    fn add(&self, duty: OwnerActivity, took: Duration) {
         self.add_sample(duty, took, 1);
     }
 
     /// Adds `pieces` of work, one of which took that long.
-    fn add_sample(&self, duty: Activity, took: Duration, pieces: u32) {
+    fn add_sample(&self, duty: OwnerActivity, took: Duration, pieces: u32) {
         let spent = &mut self.spent.borrow_mut()[duty as usize];
         spent.times += pieces;
         spent.whole += took * pieces;
@@ -134,7 +134,7 @@
     /// Measures the time that `work` keeps the thread, at some of the times that it goes on.
     pub fn measure<'a, T>(
         self: &Rc<Self>,
-        duty: Activity,
+        duty: OwnerActivity,
         work: LocalBoxFuture<'a, T>,
     ) -> TimedFuture<'a, T> {
         TimedFuture { duty, ledger: self.clone(), work }
@@ -152,7 +152,7 @@
         while goes_on() {
             monoio::time::sleep(REST).await;
             let spent = self.spent.take();
-            let duties = Activity::ALL.iter().zip(spent);
+            let duties = OwnerActivity::ALL.iter().zip(spent);
             let words: Vec<String> =
                 duties.clone().map(|(duty, spent)| format!("{}={spent}", duty.name())).collect();
             for (duty, spent) in duties {
@@ -187,7 +187,7 @@
     }
 
     /// Counts the time since the last call for `duty`, and returns it.
-    pub fn record(&mut self, duty: Activity) -> Duration {
+    pub fn record(&mut self, duty: OwnerActivity) -> Duration {
         let now = Instant::now();
         let took = now - self.since;
         self.ledger.add(duty, took);
@@ -198,7 +198,7 @@
 
 /// Work whose time on the thread is counted.
 pub struct TimedFuture<'a, T> {
-    duty: Activity,
+    duty: OwnerActivity,
     ledger: Rc<ThreadProfiler>,
     work: LocalBoxFuture<'a, T>,
 }
--- a/src/cell/order_backoff.rs
+++ b/src/cell/command_backoff.rs
@@ -22,12 +22,12 @@
 /// comes last for a while. What is out at once counts once, and one answer ends it all, so that a
 /// short cut costs a sound worker a second, however many orders were on their way.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OrderBackoff {
+pub struct CommandBackoff {
     times: u32,
     rests_until: Option<Instant>,
 }
 
-impl OrderBackoff {
+impl CommandBackoff {
     /// Notes a start that was given up without an answer; `true` when a rest begins with it.
     pub fn record_unanswered_start(&mut self, now: Instant) -> bool {
         if self.is_active(now) {
--- a/src/cell/dependencies.rs
+++ b/src/cell/dependencies.rs
@@ -91,7 +91,7 @@
 
 /// An order to start a try.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StartOrder {
+pub struct StartCommand {
     /// Epoch of the owner.
     pub epoch: Epoch,
     /// The try.
@@ -157,7 +157,7 @@
         &'a self,
         peer: SocketAddr,
         worker: &'a str,
-        start: &'a StartOrder,
+        start: &'a StartCommand,
         timeout: Duration,
     ) -> LocalBoxFuture<'a, Result<u64, WorkerError>>;
 
@@ -182,9 +182,9 @@
 }
 
 /// Way to the policy service that knows which workers may run a step.
-pub trait Advisor {
+pub trait PolicyService {
     /// Asks about `workers` for `step`.
-    fn advise<'a>(
+    fn eligible_workers<'a>(
         &'a self,
         step: &'a StepKey,
         workers: &'a [WorkerId],
@@ -230,7 +230,7 @@
 
 /// Where reading a journal begins.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Snapshot {
+pub struct JournalSnapshot {
     /// Whole state up to `offset`, encoded; `None` to begin with an empty one.
     pub state: Option<Bytes>,
     /// First record that the state does not hold.
@@ -271,7 +271,7 @@
     fn read(&self, cell: Id, from: u64) -> LocalBoxFuture<'_, Result<Page, ReadError>>;
 
     /// Reads the last saved state.
-    fn snapshot(&self, cell: Id) -> LocalBoxFuture<'_, Result<Snapshot, String>>;
+    fn snapshot(&self, cell: Id) -> LocalBoxFuture<'_, Result<JournalSnapshot, String>>;
 
     /// Saves the state up to an offset as number `sequence` of the owner's epoch, so that older
     /// records may go.
@@ -280,7 +280,7 @@
         cell: Id,
         epoch: Epoch,
         sequence: u64,
-        base: &'a Snapshot,
+        base: &'a JournalSnapshot,
     ) -> LocalBoxFuture<'a, Result<(), String>>;
 
     /// Says who owns the cell, as number `sequence` of the owner's epoch.
--- a/src/cell/forward.rs
+++ b/src/cell/forward.rs
@@ -8,14 +8,14 @@
 use super::machine::{Answer, Call};
 use super::node::Node;
 use super::peer::{CALL, ForwardedCall, Reply};
-use super::retry::{AttemptOutcome, Decision, RetryPolicy};
+use super::retry::{AttemptOutcome, RetryDecision, RetryPolicy};
 
 /// Rest between two tries while no owner answers.
 const RETRY_REST: Duration = Duration::from_millis(30);
 
 /// What a caller gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// The owner's answer.
     Answer(Answer),
     /// Surely not carried out.
@@ -43,15 +43,15 @@
     }
 
     /// Counts the waiting jobs of a queue over all cells.
-    pub async fn count_waiting(&self, queue: &str, patience: Duration) -> Outcome {
+    pub async fn count_waiting(&self, queue: &str, patience: Duration) -> CallOutcome {
         let mut total = 0;
         for cell in 0..self.node.cells {
             match self.call(Id(cell), Call::Waiting(queue.to_owned()), patience).await {
-                Outcome::Answer(Answer::Waiting(waiting)) => total += waiting,
+                CallOutcome::Answer(Answer::Waiting(waiting)) => total += waiting,
                 other => return other,
             }
         }
-        Outcome::Answer(Answer::Waiting(total))
+        CallOutcome::Answer(Answer::Waiting(total))
     }
 
     /// Passes `call` to the owner of `cell`, for a caller who waits for `span`.
@@ -59,23 +59,25 @@
     /// Every call is idempotent by the job's identity, so that it is repeated at the next owner
     /// when the one before has gone silent. Whether one of the tries may have been carried out
     /// decides between the two ways to say no.
-    pub async fn call(&self, cell: Id, call: Call, span: Duration) -> Outcome {
+    pub async fn call(&self, cell: Id, call: Call, span: Duration) -> CallOutcome {
         let clock = self.node.deps.clock.clone();
         let changes = matches!(call, Call::Submit(_) | Call::Cancel(_));
         let mut patience = RetryPolicy::new(clock.now(), span, self.node.owner_heard_at(cell));
         let mut next = patience.next(clock.now());
         loop {
             let limit = match next {
-                Decision::Attempt(limit) => limit,
-                Decision::Unknown if changes => return Outcome::Unknown,
-                Decision::Unknown | Decision::NotExecuted => return Outcome::NotExecuted,
+                RetryDecision::Attempt(limit) => limit,
+                RetryDecision::Unknown if changes => return CallOutcome::Unknown,
+                RetryDecision::Unknown | RetryDecision::NotExecuted => {
+                    return CallOutcome::NotExecuted;
+                }
             };
             let trial = match self.attempt(cell, &call, limit).await {
-                Ok(answer) => return Outcome::Answer(answer),
+                Ok(answer) => return CallOutcome::Answer(answer),
                 Err(trial) => trial,
             };
             next = patience.after_attempt(trial, clock.now());
-            if matches!(next, Decision::Attempt(_)) {
+            if matches!(next, RetryDecision::Attempt(_)) {
                 clock.sleep(RETRY_REST).await;
             }
         }
--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -151,7 +151,7 @@
     }
 
     /// Room that one task takes on its worker.
-    pub const fn reservation(&self) -> Amount {
+    pub const fn allocation(&self) -> Amount {
         if self.opportunistic { Amount { cpu_millis: 0, ..self.demand } } else { self.demand }
     }
 }
--- a/src/cell/machine/advice.rs
+++ b/src/cell/machine/advice.rs
@@ -12,10 +12,10 @@
 use super::{Effect, Machine};
 use crate::cell::dependencies::Eligibility;
 use crate::cell::job::StepKey;
-use crate::cell::queue::Advice;
+use crate::cell::queue::PolicyTiming;
 use crate::cell::record::WorkerId;
 use crate::cell::ticket::Tickets;
-use crate::cell::timings::{ADVICE_RECHECK_INTERVAL, ADVICE_TIMEOUT_MARGIN, MAX_ADVICE_WORKERS};
+use crate::cell::timings::{MAX_POLICY_WORKERS, POLICY_RECHECK_INTERVAL, POLICY_TIMEOUT_MARGIN};
 use crate::clock::Instant;
 
 /// Workers asked about at least, where so many have room: a question costs far more than a name.
@@ -104,7 +104,7 @@
 
     fn is_enough(&self) -> bool {
         let suffices = self.slots >= self.wanted && self.workers.len() >= FEW_WORKERS;
-        suffices || self.workers.len() >= MAX_ADVICE_WORKERS
+        suffices || self.workers.len() >= MAX_POLICY_WORKERS
     }
 
     fn add(&mut self, field: &Field, slots: f64) {
@@ -118,7 +118,7 @@
     pub(super) fn seek_advice(
         &mut self,
         step: &Waiting,
-        advice: &Advice,
+        advice: &PolicyTiming,
         fields: &mut Fields,
         askers: &mut Askers,
         budget: &mut Budget,
@@ -149,7 +149,7 @@
         } else if !question.is_empty() {
             askers.postpone(step.key, question, *advice);
         } else if let Some(tickets) = self.tickets.get_mut(&step.key) {
-            tickets.postpone(now.after(ADVICE_RECHECK_INTERVAL));
+            tickets.postpone(now.after(POLICY_RECHECK_INTERVAL));
         }
     }
 
@@ -158,7 +158,7 @@
     /// Guards against a policy service that is kept busy in vain: on a grown site that is full, steps
     /// without room renewed their tickets all the time, 29 of 30 instances were always asking, and
     /// new jobs waited for their first answer beside room that came free.
-    fn question(&self, step: &Waiting, advice: &Advice, fields: &Fields) -> Vec<WorkerId> {
+    fn question(&self, step: &Waiting, advice: &PolicyTiming, fields: &Fields) -> Vec<WorkerId> {
         let Some(tickets) = self.tickets.get(&step.key) else { return Vec::new() };
         if step.model().gang {
             return self.gang_question(step, fields, tickets);
@@ -202,7 +202,7 @@
         // Those behind it have their turn first. Guards against a gang that never fits and has its
         // tickets renewed as long as it waits, while narrow ones find nobody to ask for them.
         if !tickets.has_pending_question()
-            && tickets.expired_within(ADVICE_RECHECK_INTERVAL, self.now)
+            && tickets.expired_within(POLICY_RECHECK_INTERVAL, self.now)
         {
             return Vec::new();
         }
@@ -274,7 +274,7 @@
         asker: SocketAddr,
         step: StepKey,
         workers: Vec<WorkerId>,
-        advice: &Advice,
+        advice: &PolicyTiming,
     ) {
         self.last_question += 1;
         let expected = advice.time_ms(workers.len());
@@ -285,7 +285,7 @@
             workers,
             valid: Duration::from_millis(advice.valid_ms),
             sent: self.now,
-            timeout: Duration::from_millis(expected.max(0.0) as u64) + ADVICE_TIMEOUT_MARGIN,
+            timeout: Duration::from_millis(expected.max(0.0) as u64) + POLICY_TIMEOUT_MARGIN,
         };
         self.tickets.entry(step).or_default().mark_asked(&question.workers);
         if let Some(asker) = self.askers.get_mut(&asker) {
--- a/src/cell/machine/asker.rs
+++ b/src/cell/machine/asker.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use crate::cell::timings::{ASKER_BACKOFF, ASKER_MAX_BACKOFFS, PEER_TIMEOUT};
+use crate::cell::timings::{PEER_TIMEOUT, PROXY_BACKOFF, PROXY_MAX_BACKOFFS};
 use crate::clock::Instant;
 
 /// An instance that can ask the policy service.
@@ -31,7 +31,7 @@
     pub(super) fn note_outcome(&mut self, answered: bool, now: Instant) {
         self.question = None;
         self.failures = if answered { 0 } else { self.failures + 1 };
-        self.rests_until = now.after(ASKER_BACKOFF * self.failures.min(ASKER_MAX_BACKOFFS));
+        self.rests_until = now.after(PROXY_BACKOFF * self.failures.min(PROXY_MAX_BACKOFFS));
     }
 
     pub(super) fn is_idle(&self, now: Instant) -> bool {
--- a/src/cell/machine/askers.rs
+++ b/src/cell/machine/askers.rs
@@ -13,7 +13,7 @@
 use super::rank::Hope;
 use super::waiting::Waiting;
 use crate::cell::job::StepKey;
-use crate::cell::queue::{Advice, Queue};
+use crate::cell::queue::{PolicyTiming, Queue};
 use crate::cell::record::WorkerId;
 
 /// Share of the instances that a queue is entitled to, as a part of that of the next higher priority.
@@ -30,7 +30,7 @@
 pub(super) struct Postponement {
     step: StepKey,
     workers: Vec<WorkerId>,
-    advice: Advice,
+    advice: PolicyTiming,
 }
 
 /// How the instances that can ask are dealt out in one round of placement.
@@ -99,7 +99,7 @@
     }
 
     /// Keeps a question until the others have had their turn.
-    pub(super) fn postpone(&mut self, step: StepKey, workers: Vec<WorkerId>, advice: Advice) {
+    pub(super) fn postpone(&mut self, step: StepKey, workers: Vec<WorkerId>, advice: PolicyTiming) {
         self.postponed.push(Postponement { step, workers, advice });
     }
 
@@ -143,7 +143,7 @@
     /// Whether a step may have something to ask.
     fn may_ask(&self, step: &Waiting) -> bool {
         let tickets = self.tickets.get(&step.key);
-        step.queue.advice.is_some()
+        step.queue.policy.is_some()
             && tickets
                 .is_none_or(|tickets| !tickets.has_pending_question() && tickets.may_ask(self.now))
     }
--- a/src/cell/machine/backlog.rs
+++ b/src/cell/machine/backlog.rs
@@ -94,7 +94,7 @@
     /// Whether the step needs the policy service's word and nobody has asked for it.
     pub(super) fn needs_first_question(&self, step: &Waiting) -> bool {
         let tickets = self.tickets.get(&step.key);
-        step.queue.advice.is_some()
+        step.queue.policy.is_some()
             && tickets
                 .is_none_or(|tickets| tickets.counts().0 == 0 && !tickets.has_pending_question())
     }
--- a/src/cell/machine/commit.rs
+++ b/src/cell/machine/commit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{Answer, CallId, Effect, Machine, Stage, remove_job};
-use crate::cell::dependencies::{AppendError, Snapshot};
+use crate::cell::dependencies::{AppendError, JournalSnapshot};
 use crate::cell::job::{Id, Phase, Run, RunOutcome};
 use crate::cell::record::{Batch, Record, WorkerId};
 use crate::cell::timings::{
@@ -157,7 +157,7 @@
         self.save_due = false;
         match codec::encode(&self.state) {
             Ok(state) => {
-                let base = Snapshot { state: Some(state), offset: self.commit.end };
+                let base = JournalSnapshot { state: Some(state), offset: self.commit.end };
                 self.effects.push(Effect::Save(base));
             }
             Err(error) => log::error!("event=journal.base_too_large cause={error:?}"),
--- a/src/cell/machine/field.rs
+++ b/src/cell/machine/field.rs
@@ -216,7 +216,7 @@
         if self.reserved || !self.suits(service, step) || !self.is_quiet(step) {
             return 0.0;
         }
-        let demand = step.reservation();
+        let demand = step.allocation();
         let fits = |room: u64, demand: u64| room.checked_div(demand).unwrap_or(u64::MAX);
         let slots = fits(room.cpu_millis, demand.cpu_millis)
             .min(fits(room.memory_mib, demand.memory_mib))
@@ -302,7 +302,7 @@
             free_cpu_millis: room.cpu_millis,
             open: worker.accepts_tasks(self.now) && worker.is_capacity_current(known_for, self.now),
             reserved: false,
-            unanswering: worker.order_backoff.is_deprioritized(self.now),
+            unanswering: worker.command_backoff.is_deprioritized(self.now),
             // Room that comes free where more is reserved than there is takes nothing in.
             yielding: if worker.is_overcommitted() {
                 Rc::default()
--- a/src/cell/machine/lack.rs
+++ b/src/cell/machine/lack.rs
@@ -68,6 +68,6 @@
     /// Whether the step needs the policy service's word and has none at all.
     fn needs_answer(&self, step: &Waiting) -> bool {
         let tickets = self.tickets.get(&step.key);
-        step.queue.advice.is_some() && tickets.is_none_or(|tickets| tickets.counts().0 == 0)
+        step.queue.policy.is_some() && tickets.is_none_or(|tickets| tickets.counts().0 == 0)
     }
 }
--- a/src/cell/machine/message.rs
+++ b/src/cell/machine/message.rs
@@ -7,9 +7,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::advice::Question;
-use crate::cell::activity::Activity;
+use crate::cell::activity::OwnerActivity;
 use crate::cell::dependencies::{
-    AppendError, Eligibility, PollReport, PollRequest, RosterUpdate, Snapshot, StartOrder,
+    AppendError, Eligibility, JournalSnapshot, PollReport, PollRequest, RosterUpdate, StartCommand,
     WorkerError,
 };
 use crate::cell::job::{Id, Job, Phase, Run};
@@ -122,15 +122,15 @@
 
 impl Message {
     /// What taking it in counts for.
-    pub const fn duty(&self) -> Activity {
+    pub const fn duty(&self) -> OwnerActivity {
         match self {
-            Self::Call { .. } => Activity::Call,
-            Self::Appended { .. } | Self::SaveDue => Activity::Append,
-            Self::Looked { .. } => Activity::Report,
-            Self::Started { .. } | Self::Stopped { .. } => Activity::Order,
-            Self::Advised { .. } => Activity::Advice,
-            Self::Roster(_) | Self::Table(_) => Activity::List,
-            Self::Present { .. } => Activity::Watch,
+            Self::Call { .. } => OwnerActivity::Call,
+            Self::Appended { .. } | Self::SaveDue => OwnerActivity::Append,
+            Self::Looked { .. } => OwnerActivity::Report,
+            Self::Started { .. } | Self::Stopped { .. } => OwnerActivity::Command,
+            Self::Advised { .. } => OwnerActivity::Policy,
+            Self::Roster(_) | Self::Table(_) => OwnerActivity::List,
+            Self::Present { .. } => OwnerActivity::Watch,
         }
     }
 }
@@ -161,7 +161,7 @@
         /// Its address.
         peer: SocketAddr,
         /// The order.
-        start: StartOrder,
+        start: StartCommand,
     },
     /// Stop a try.
     Stop {
@@ -182,7 +182,7 @@
         answer: Answer,
     },
     /// Save the whole state.
-    Save(Snapshot),
+    Save(JournalSnapshot),
     /// Another owner has taken the cell over; end.
     StepDown {
         /// How it showed.
@@ -192,13 +192,13 @@
 
 impl Effect {
     /// What carrying it out counts for.
-    pub const fn duty(&self) -> Activity {
+    pub const fn duty(&self) -> OwnerActivity {
         match self {
-            Self::Append { .. } | Self::Save(_) | Self::StepDown { .. } => Activity::Append,
-            Self::Look { .. } => Activity::Look,
-            Self::Start { .. } | Self::Stop { .. } => Activity::Order,
-            Self::Advise(_) => Activity::Advice,
-            Self::Reply { .. } => Activity::Call,
+            Self::Append { .. } | Self::Save(_) | Self::StepDown { .. } => OwnerActivity::Append,
+            Self::Look { .. } => OwnerActivity::Look,
+            Self::Start { .. } | Self::Stop { .. } => OwnerActivity::Command,
+            Self::Advise(_) => OwnerActivity::Policy,
+            Self::Reply { .. } => OwnerActivity::Call,
         }
     }
 }
--- a/src/cell/machine/mod.rs
+++ b/src/cell/machine/mod.rs
@@ -49,7 +49,7 @@
 use self::field::Fields;
 use self::waiting::Hopeful;
 use super::Epoch;
-use super::activity::Activity;
+use super::activity::OwnerActivity;
 use super::job::{Id, Job, Phase, Run, Step, StepKey};
 use super::peer::HandoverOffer;
 use super::queue::QueueConfig;
@@ -218,17 +218,17 @@
         &mut self,
         now: Instant,
         unix: Unix,
-        done: &mut dyn FnMut(Activity),
+        done: &mut dyn FnMut(OwnerActivity),
     ) -> Vec<Effect> {
         self.advance(now, unix);
         self.review_admission();
-        done(Activity::Call);
+        done(OwnerActivity::Call);
         self.rank_instances();
-        done(Activity::Watch);
+        done(OwnerActivity::Watch);
         self.send_orders();
-        done(Activity::Order);
+        done(OwnerActivity::Command);
         self.look_around();
-        done(Activity::Look);
+        done(OwnerActivity::Look);
         if self.now >= self.next_lapse {
             self.next_lapse = now.after(LAPSE_REST);
             self.give_up_lapsed();
@@ -238,13 +238,13 @@
             self.next_forget = now.after(FORGET_REST);
             self.forget();
         }
-        done(Activity::Upkeep);
+        done(OwnerActivity::Upkeep);
         if self.now >= self.next_place && (self.dirty || self.now >= self.place_by) {
             self.place();
-            done(Activity::Placement);
+            done(OwnerActivity::Placement);
         }
         self.flush();
-        done(Activity::Append);
+        done(OwnerActivity::Append);
         std::mem::take(&mut self.effects)
     }
 
@@ -280,7 +280,7 @@
     }
 
     fn demand(&self, run: &Run) -> Amount {
-        self.model(&run.task.step).map_or(Amount::ZERO, Step::reservation)
+        self.model(&run.task.step).map_or(Amount::ZERO, Step::allocation)
     }
 
     /// The step as it was submitted.
--- a/src/cell/machine/orders.rs
+++ b/src/cell/machine/orders.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::{Effect, Machine, Stage};
-use crate::cell::dependencies::{StartOrder, WorkerError};
+use crate::cell::dependencies::{StartCommand, WorkerError};
 use crate::cell::job::{Run, RunOutcome};
-use crate::cell::timings::{MAX_START_ATTEMPTS, ORDER_RETRY};
+use crate::cell::timings::{COMMAND_RETRY, MAX_START_ATTEMPTS};
 
 impl Machine {
     /// Sends the orders that are due.
@@ -50,7 +50,7 @@
         self.effects.push(Effect::Start { worker, peer, start });
     }
 
-    fn start_order(&mut self, run: Run) -> Option<StartOrder> {
+    fn start_order(&mut self, run: Run) -> Option<StartCommand> {
         let (epoch, now, may_grant) = (self.epoch, self.now, self.may_grant());
         let live = self.runs.get(&run)?;
         let worker = self.workers.get_mut(&live.worker)?;
@@ -61,7 +61,7 @@
         let entry = self.state.jobs.get(&key.job)?;
         let model = entry.job.steps.get(key.step as usize)?;
         let queue = self.table.queue(&entry.job.queue)?;
-        let ticket = match queue.advice {
+        let ticket = match queue.policy {
             Some(_) => Some(self.tickets.get(&key)?.valid_ticket(&worker.id, now)?.to_owned()),
             None => None,
         };
@@ -72,7 +72,7 @@
             step.tasks.get(run.task.index as usize)?.checkpoint.clone()
         };
         let until_ms = if may_grant { worker.lease.grant(now)? } else { return None };
-        Some(StartOrder {
+        Some(StartCommand {
             epoch,
             run,
             job: entry.job.clone(),
@@ -147,10 +147,10 @@
             WorkerError::OtherIncarnation => self.bury(worker, "another_life"),
             // The worker has seen the try end; the next look lists that end, or nothing.
             WorkerError::RunEnded => live.stage = Stage::Running(now),
-            WorkerError::LeaseExpired => live.next_try = now.after(ORDER_RETRY),
+            WorkerError::LeaseExpired => live.next_try = now.after(COMMAND_RETRY),
             WorkerError::NotSent(_) | WorkerError::Unknown(_) => {
                 live.doubtful |= matches!(fault, WorkerError::Unknown(_));
-                live.next_try = now.after(ORDER_RETRY);
+                live.next_try = now.after(COMMAND_RETRY);
                 // The same order again is carried out once, so that repeating it settles whether
                 // the first one arrived.
                 if live.tries >= MAX_START_ATTEMPTS {
@@ -212,7 +212,7 @@
                     "event=task.stop_failed task={run} worker={worker} cause={:?}",
                     fault.to_string()
                 );
-                live.next_try = now.after(ORDER_RETRY * 4);
+                live.next_try = now.after(COMMAND_RETRY * 4);
                 None
             }
         };
@@ -222,7 +222,7 @@
             // A report settles it only if its look leaves in a later millisecond.
             worker.next_poll = worker.next_poll.min(now.after(Duration::from_millis(1)));
         } else {
-            worker.order_backoff.record_unanswered_stop(now);
+            worker.command_backoff.record_unanswered_stop(now);
         }
     }
 
@@ -232,7 +232,7 @@
             return;
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.order_backoff.reset();
+            worker.command_backoff.reset();
         }
     }
 
@@ -248,8 +248,8 @@
     fn note_unanswered(&mut self, id: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else { return };
-        if worker.order_backoff.record_unanswered_start(now) {
-            let times = worker.order_backoff.consecutive();
+        if worker.command_backoff.record_unanswered_start(now) {
+            let times = worker.command_backoff.consecutive();
             log::warn!(
                 "event=worker.unanswering worker={id} times={times} missed={}",
                 worker.missed_polls
--- a/src/cell/machine/place.rs
+++ b/src/cell/machine/place.rs
@@ -69,7 +69,7 @@
             if step.rank.hope != Hope::OnTime && askers.prefers_on_time() {
                 self.ask_postponed(&mut askers);
             }
-            if let Some(advice) = &step.queue.advice {
+            if let Some(advice) = &step.queue.policy {
                 self.seek_advice(step, advice, fields, &mut askers, &mut budget);
             }
             self.place_step(step, fields);
@@ -95,7 +95,7 @@
     /// Fields that the step's rules leave, ticket included.
     pub(super) fn allowed(&self, step: &Waiting, fields: &Fields) -> Vec<usize> {
         let model = step.model();
-        let places: Vec<usize> = match step.queue.advice {
+        let places: Vec<usize> = match step.queue.policy {
             Some(_) => self.ticketed(&step.key, fields),
             None => fields.open().collect(),
         };
@@ -116,7 +116,7 @@
     /// Fields that may run the step, whether a ticket holds or would have to be renewed.
     pub(super) fn eligible(&self, step: &Waiting, fields: &Fields) -> Vec<usize> {
         let suits = |at: &usize| fields.get(*at).suits(&step.queue.service, step.model());
-        if step.queue.advice.is_none() {
+        if step.queue.policy.is_none() {
             return fields.open().filter(suits).collect();
         }
         let Some(tickets) = self.tickets.get(&step.key) else { return Vec::new() };
@@ -158,7 +158,7 @@
     /// Best fit for each task in turn: the worker that is left with the least room.
     fn fill(&self, step: &Waiting, allowed: &[usize], fields: &Fields) -> Plan {
         let model = step.model();
-        let demand = model.reservation();
+        let demand = model.allocation();
         let failed = self.failed_on.get(&step.key);
         let mut rooms: BTreeMap<usize, Amount> = allowed
             .iter()
@@ -212,7 +212,7 @@
     }
 
     fn carry_out_plan(&mut self, step: &Waiting, plan: &Plan, fields: &mut Fields) {
-        let demand = step.model().reservation();
+        let demand = step.model().allocation();
         let numbers = self.numbers(step, plan);
         let mut by_worker: BTreeMap<WorkerId, Vec<Run>> = BTreeMap::new();
         let mut all = Vec::new();
@@ -225,7 +225,7 @@
             field.starting.add(step.key.job, suspect);
             let run = Run { task: TaskKey { step: step.key, index }, number };
             if let Some(worker) = self.workers.get_mut(&field.id) {
-                worker.reserve(run, &demand);
+                worker.allocate(run, &demand);
             }
             let live = Live::new(field.id.clone(), demand, Stage::Recording, self.now);
             self.runs.insert(run, live);
--- a/src/cell/machine/preemption.rs
+++ b/src/cell/machine/preemption.rs
@@ -50,7 +50,7 @@
             return;
         }
         let model = step.model();
-        let demand = model.reservation();
+        let demand = model.allocation();
         let taken = self.spread_counts(step, fields);
         let bound = |at: &usize| match model.max_per_worker {
             0 => usize::MAX,
--- a/src/cell/machine/rank.rs
+++ b/src/cell/machine/rank.rs
@@ -3,7 +3,7 @@
 use super::Machine;
 use crate::cell::job::{Job, Step, StepKey};
 use crate::cell::queue::Queue;
-use crate::cell::timings::MAX_ADVICE_WORKERS;
+use crate::cell::timings::MAX_POLICY_WORKERS;
 
 /// Times its objective after which a job earns nothing any more.
 const WORTHLESS_AFTER: f64 = 3.0;
@@ -57,9 +57,9 @@
         let unasked = self.tickets.get(key).is_none_or(|tickets| tickets.counts().0 == 0);
         let gang = job.steps[key.step as usize].gang;
         queue
-            .advice
+            .policy
             .filter(|_| gang && unasked)
-            .map_or(0.0, |advice| advice.time_ms(MAX_ADVICE_WORKERS))
+            .map_or(0.0, |advice| advice.time_ms(MAX_POLICY_WORKERS))
     }
 
     /// Time that a step of a job may still be held up, in milliseconds; negative once it is late.
@@ -77,7 +77,7 @@
 
     /// Expected time of the longest chain of steps of a job, from `first` on, in milliseconds.
     fn chain(&self, job: &Job, first: usize, queue: &Queue) -> f64 {
-        let asking = queue.advice.map_or(0.0, |advice| advice.time_ms(USUAL_QUESTION));
+        let asking = queue.policy.map_or(0.0, |advice| advice.time_ms(USUAL_QUESTION));
         let mut ends = vec![0.0_f64; job.steps.len()];
         for (number, step) in job.steps.iter().enumerate().skip(first) {
             let begin = step.depends_on.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
--- a/src/cell/machine/roster.rs
+++ b/src/cell/machine/roster.rs
@@ -43,7 +43,7 @@
                     "event=worker.changed worker={id} draining={} capacity={:?} used={:?}",
                     listed.draining,
                     listed.capacity.to_string(),
-                    worker.used.to_string()
+                    worker.allocated.to_string()
                 );
                 self.dirty = true;
             }
@@ -71,7 +71,7 @@
         for run in std::mem::take(&mut self.unlisted) {
             let Some(live) = self.runs.get(&run) else { continue };
             match self.workers.get_mut(&live.worker) {
-                Some(worker) => worker.reserve(run, &live.demand),
+                Some(worker) => worker.allocate(run, &live.demand),
                 None => {
                     self.unlisted.insert(run);
                 }
--- a/src/cell/machine/waiting.rs
+++ b/src/cell/machine/waiting.rs
@@ -38,7 +38,7 @@
 
     /// Processors that its tasks need, in thousandths of a core.
     pub(super) fn cpu_millis(&self) -> u64 {
-        self.model().reservation().cpu_millis.saturating_mul(self.pending.len() as u64)
+        self.model().allocation().cpu_millis.saturating_mul(self.pending.len() as u64)
     }
 }
 
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -19,6 +19,7 @@
 //! | `owner.rs`, `election/`, `forward.rs`, `node/`, `replay.rs`, `dependency_status.rs` | the tasks of an instance |
 
 pub mod activity;
+pub mod command_backoff;
 pub mod crash_score;
 pub mod dependencies;
 mod dependency_status;
@@ -29,7 +30,6 @@
 pub mod lease;
 pub mod machine;
 pub mod node;
-pub mod order_backoff;
 pub mod owner;
 pub mod peer;
 pub mod preempt;
--- a/src/cell/node/answer.rs
+++ b/src/cell/node/answer.rs
@@ -9,11 +9,11 @@
 use serde::Serialize;
 
 use super::Node;
-use crate::cell::activity::Activity;
+use crate::cell::activity::OwnerActivity;
 use crate::cell::dependencies::Eligibility;
 use crate::cell::machine::{Machine, Message};
 use crate::cell::peer::{
-    ADVISE, ANNOUNCE, AdviceRequest, Announcement, CALL, ForwardedCall, HandoverOffer, Reply,
+    ANNOUNCE, Announcement, CALL, ForwardedCall, HandoverOffer, POLICY, PolicyRequest, Reply,
     TABLE, WATCH, WatchRequest, WatchResponse,
 };
 use crate::cell::timings::WATCH_HOLD;
@@ -28,7 +28,7 @@
         match method {
             CALL => encode(&self.answer_call(decode(body)?).await),
             WATCH => encode(&self.watched(&decode(body)?).await),
-            ADVISE => encode(&self.advise(decode(body)?).await),
+            POLICY => encode(&self.advise(decode(body)?).await),
             TABLE => {
                 self.apply_config(decode(body)?);
                 encode(&())
@@ -60,9 +60,9 @@
         owning.call(envelope.call).await.map_or(Reply::Interrupted, Reply::Answer)
     }
 
-    async fn advise(&self, ask: AdviceRequest) -> Result<Eligibility, String> {
+    async fn advise(&self, ask: PolicyRequest) -> Result<Eligibility, String> {
         let timeout = Duration::from_millis(ask.timeout_ms);
-        self.deps.advisor.advise(&ask.step, &ask.workers, timeout).await
+        self.deps.policy_service.eligible_workers(&ask.step, &ask.workers, timeout).await
     }
 
     /// Answers a follower after a while, so that its next word is due again soon and neither side
@@ -117,7 +117,7 @@
         body: Bytes,
     ) -> LocalBoxFuture<'_, Result<Bytes, Refusal>> {
         let method = method.to_owned();
-        let duty = if method == CALL { Activity::Call } else { Activity::Watch };
+        let duty = if method == CALL { OwnerActivity::Call } else { OwnerActivity::Watch };
         let answer = async move { self.answer(&method, &body).await }.boxed_local();
         self.deps.profiler.measure(duty, answer).boxed_local()
     }
--- a/src/cell/owner.rs
+++ b/src/cell/owner.rs
@@ -11,10 +11,10 @@
 use local_sync::mpsc::unbounded::{Rx, Tx, channel};
 use local_sync::oneshot;
 
-use super::activity::{Activity, Stopwatch, ThreadProfiler};
+use super::activity::{OwnerActivity, Stopwatch, ThreadProfiler};
 use super::dependencies::{
-    Advisor, Discovery, Journal, PollRequest, RosterUpdate, Snapshot, StartOrder, WorkerClient,
-    WorkerError, WorkerInfo,
+    Discovery, Journal, JournalSnapshot, PolicyService, PollRequest, RosterUpdate, StartCommand,
+    WorkerClient, WorkerError, WorkerInfo,
 };
 use super::dependency_status::DependencyStatus;
 use super::job::Run;
@@ -22,7 +22,7 @@
 use super::peer as wire;
 use super::record::WorkerId;
 use super::timings::{
-    APPEND_TIMEOUT, ORDER_TIMEOUT, POLL_TIMEOUT, ROSTER_INTERVAL, SNAPSHOT_INTERVAL, TICK,
+    APPEND_TIMEOUT, COMMAND_TIMEOUT, POLL_TIMEOUT, ROSTER_INTERVAL, SNAPSHOT_INTERVAL, TICK,
 };
 use super::{Epoch, Id};
 use crate::clock::{Clock, Instant, Unix};
@@ -39,7 +39,7 @@
     /// Workers.
     pub workers: Rc<dyn WorkerClient>,
     /// The policy service.
-    pub advisor: Rc<dyn Advisor>,
+    pub policy_service: Rc<dyn PolicyService>,
     /// The platform's lists.
     pub discovery: Rc<dyn Discovery>,
     /// Other instances.
@@ -62,11 +62,11 @@
 
 impl Input {
     /// What taking it in counts for.
-    const fn duty(&self) -> Activity {
+    const fn duty(&self) -> OwnerActivity {
         match self {
             Self::Message(message) => message.duty(),
-            Self::Call { .. } | Self::End => Activity::Call,
-            Self::Inspect(_) => Activity::Watch,
+            Self::Call { .. } | Self::End => OwnerActivity::Call,
+            Self::Inspect(_) => OwnerActivity::Watch,
         }
     }
 }
@@ -181,7 +181,7 @@
             let mut round = Duration::ZERO;
             let effects = self.machine.step_by_duty(now, unix, &mut |duty| {
                 let took = lap.record(duty);
-                if duty == Activity::Placement {
+                if duty == OwnerActivity::Placement {
                     round = took;
                 }
             });
@@ -259,7 +259,7 @@
         monoio::spawn(async move {
             let sent = borders.clock.now();
             let append = borders.journal.append(cell, epoch, sequence, batch, APPEND_TIMEOUT);
-            let outcome = borders.profiler.measure(Activity::Append, append).await;
+            let outcome = borders.profiler.measure(OwnerActivity::Append, append).await;
             handle.send(Message::Appended { sequence, sent, outcome });
         });
     }
@@ -270,16 +270,16 @@
             let sent = borders.clock.now();
             let timeout = look.max_wait + POLL_TIMEOUT;
             let look = borders.workers.poll(peer, &worker, &look, timeout);
-            let outcome = borders.profiler.measure(Activity::Look, look).await;
+            let outcome = borders.profiler.measure(OwnerActivity::Look, look).await;
             handle.send(Message::Looked { worker, sent, outcome });
         });
     }
 
-    fn start(&self, worker: WorkerId, peer: SocketAddr, start: StartOrder) {
+    fn start(&self, worker: WorkerId, peer: SocketAddr, start: StartCommand) {
         let (borders, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
-            let order = borders.workers.start(peer, &worker, &start, ORDER_TIMEOUT);
-            let outcome = borders.profiler.measure(Activity::Order, order).await;
+            let order = borders.workers.start(peer, &worker, &start, COMMAND_TIMEOUT);
+            let outcome = borders.profiler.measure(OwnerActivity::Command, order).await;
             handle.send(Message::Started { worker, run: start.run, outcome });
         });
     }
@@ -288,9 +288,9 @@
         let (borders, handle) = (self.deps.clone(), self.handle.clone());
         let epoch: Epoch = self.machine.epoch;
         monoio::spawn(async move {
-            let order = borders.workers.stop(peer, &worker, run, epoch, ORDER_TIMEOUT);
+            let order = borders.workers.stop(peer, &worker, run, epoch, COMMAND_TIMEOUT);
             let outcome: Result<u64, WorkerError> =
-                borders.profiler.measure(Activity::Order, order).await;
+                borders.profiler.measure(OwnerActivity::Command, order).await;
             handle.send(Message::Stopped { worker, run, outcome });
         });
     }
@@ -300,7 +300,7 @@
         monoio::spawn(async move {
             let number = question.number;
             let asked = ask_policy_service(&borders, me, question).boxed_local();
-            let allowed = borders.profiler.measure(Activity::Advice, asked).await;
+            let allowed = borders.profiler.measure(OwnerActivity::Policy, asked).await;
             if let Err(cause) = &allowed {
                 log::info!("event=advice.no_answer question={number} cause={cause:?}");
             }
@@ -326,7 +326,7 @@
         monoio::spawn(self.profiler.clone().report_periodically(self.cell, move || !ended.get()));
     }
 
-    fn save_snapshot(&mut self, base: Snapshot) {
+    fn save_snapshot(&mut self, base: JournalSnapshot) {
         self.saves += 1;
         let (borders, cell, epoch) = (self.deps.clone(), self.cell, self.machine.epoch);
         let sequence = self.machine.claim_number() + self.saves;
@@ -352,7 +352,7 @@
             while !ended.get() {
                 match borders
                     .profiler
-                    .measure(Activity::List, borders.discovery.roster_update())
+                    .measure(OwnerActivity::List, borders.discovery.roster_update())
                     .await
                 {
                     Ok(roster) => {
@@ -374,15 +374,18 @@
 ) -> Result<super::dependencies::Eligibility, String> {
     let timeout = question.timeout;
     if question.asker == me {
-        return borders.advisor.advise(&question.step, &question.workers, timeout).await;
+        return borders
+            .policy_service
+            .eligible_workers(&question.step, &question.workers, timeout)
+            .await;
     }
-    let ask = wire::AdviceRequest {
+    let ask = wire::PolicyRequest {
         step: question.step,
         workers: question.workers,
         timeout_ms: crate::clock::millis(timeout),
     };
     let answer: Result<Result<super::dependencies::Eligibility, String>, peer::Error> =
-        borders.peers.call(question.asker, wire::ADVISE, &ask, timeout + timeout / 4).await;
+        borders.peers.call(question.asker, wire::POLICY, &ask, timeout + timeout / 4).await;
     answer.map_err(|error| error.to_string())?
 }
 
--- a/src/cell/peer.rs
+++ b/src/cell/peer.rs
@@ -16,7 +16,7 @@
 /// Peer method by which an instance follows the owner.
 pub const WATCH: &str = "cell/watch";
 /// Peer method by which the owner has an instance ask the policy service.
-pub const ADVISE: &str = "cell/advise";
+pub const POLICY: &str = "cell/advise";
 /// Peer method by which a new owner makes itself known.
 pub const ANNOUNCE: &str = "cell/announce";
 /// Peer method that passes on a newer configuration.
@@ -124,7 +124,7 @@
 
 /// A question to the policy service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct AdviceRequest {
+pub struct PolicyRequest {
     /// The step.
     pub step: StepKey,
     /// Workers asked about.
--- a/src/cell/queue.rs
+++ b/src/cell/queue.rs
@@ -37,12 +37,13 @@
     /// Time that a job may take beyond that, in milliseconds.
     pub target_ms: u64,
     /// The policy service's terms, where it decides which workers may run a step.
-    pub advice: Option<Advice>,
+    #[serde(rename = "advice")]
+    pub policy: Option<PolicyTiming>,
 }
 
 /// How the policy service answers for a queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Advice {
+pub struct PolicyTiming {
     /// Time of one answer, in milliseconds.
     pub decide_ms: f64,
     /// Time more for each worker named, in milliseconds.
@@ -52,12 +53,12 @@
     pub valid_ms: u64,
 }
 
-impl Advice {
+impl PolicyTiming {
     /// Time of one answer about `workers` workers, in milliseconds.
     ///
     /// ```
-    /// use oriolefork::cell::queue::Advice;
-    /// let advice = Advice { decide_ms: 100.0, each_ms: 2.0, valid_ms: 1_500 };
+    /// use oriolefork::cell::queue::PolicyTiming;
+    /// let advice = PolicyTiming { decide_ms: 100.0, each_ms: 2.0, valid_ms: 1_500 };
     /// assert_eq!(advice.time_ms(30), 160.0);
     /// ```
     pub fn time_ms(&self, workers: usize) -> f64 {
--- a/src/cell/replay.rs
+++ b/src/cell/replay.rs
@@ -1,6 +1,6 @@
 //! What an instance that may take a cell over has read of the cell's journal.
 
-use super::dependencies::Snapshot;
+use super::dependencies::JournalSnapshot;
 use super::record::Batch;
 use super::state::State;
 use crate::codec;
@@ -17,7 +17,7 @@
 
 impl JournalReplay {
     /// Begins with the saved state.
-    pub(super) fn load_snapshot(&mut self, base: &Snapshot) {
+    pub(super) fn load_snapshot(&mut self, base: &JournalSnapshot) {
         self.has_snapshot = true;
         self.next_offset = base.offset;
         self.state = State::default();
--- a/src/cell/retry.rs
+++ b/src/cell/retry.rs
@@ -32,7 +32,7 @@
 
 /// What to do with the call now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decision {
+pub enum RetryDecision {
     /// Try again, for this long at most.
     Attempt(Duration),
     /// Say that it was not done.
@@ -46,12 +46,12 @@
     /// heard of a working owner at `contact`.
     ///
     /// ```
-    /// use oriolefork::cell::retry::{Decision, RetryPolicy};
+    /// use oriolefork::cell::retry::{RetryDecision, RetryPolicy};
     /// use oriolefork::clock::Instant;
     /// use std::time::Duration;
     /// let now = Instant::from_millis(9_000);
     /// let patience = RetryPolicy::new(now, Duration::from_secs(3), Some(now));
-    /// assert!(matches!(patience.next(now), Decision::Attempt(_)));
+    /// assert!(matches!(patience.next(now), RetryDecision::Attempt(_)));
     /// ```
     pub fn new(now: Instant, span: Duration, contact: Option<Instant>) -> Self {
         let deadline = now.after(span).before(ANSWER_MARGIN);
@@ -60,12 +60,12 @@
     }
 
     /// What to do at `now`.
-    pub fn next(&self, now: Instant) -> Decision {
+    pub fn next(&self, now: Instant) -> RetryDecision {
         if now >= self.retry_until {
             return self.give_up();
         }
         // A try may outlast the hold: an owner that took the call waits for the store.
-        Decision::Attempt(self.deadline.since(now).min(ATTEMPT_TIMEOUT))
+        RetryDecision::Attempt(self.deadline.since(now).min(ATTEMPT_TIMEOUT))
     }
 
     /// Takes in how a try ended; what to do at `now`.
@@ -73,12 +73,12 @@
     /// Guards against a call that is held until its caller has given up: one that an owner refused
     /// would be refused again, since a store that is away comes back after seconds; one that went out
     /// on a connection that broke is settled soonest by the caller's own repeat at another instance.
-    pub fn after_attempt(&mut self, trial: AttemptOutcome, now: Instant) -> Decision {
+    pub fn after_attempt(&mut self, trial: AttemptOutcome, now: Instant) -> RetryDecision {
         self.may_have_run |= trial == AttemptOutcome::Unknown;
         if trial == AttemptOutcome::Refused { self.give_up() } else { self.next(now) }
     }
 
-    const fn give_up(&self) -> Decision {
-        if self.may_have_run { Decision::Unknown } else { Decision::NotExecuted }
+    const fn give_up(&self) -> RetryDecision {
+        if self.may_have_run { RetryDecision::Unknown } else { RetryDecision::NotExecuted }
     }
 }
--- a/src/cell/timings.rs
+++ b/src/cell/timings.rs
@@ -54,10 +54,10 @@
 
 /// Time for the answer to an order. A network round trip takes 10 ms at most; orders that workers
 /// carry out late get no answer at all.
-pub const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
+pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Rest before an order without an answer is sent again.
-pub const ORDER_RETRY: Duration = Duration::from_millis(30);
+pub const COMMAND_RETRY: Duration = Duration::from_millis(30);
 
 /// Tries to start a task before it is stopped there and placed elsewhere.
 pub const MAX_START_ATTEMPTS: u32 = 4;
@@ -133,21 +133,21 @@
 pub const TICKET_MARGIN: Duration = Duration::from_millis(150);
 
 /// Time for the policy service's answer beyond what it says it takes.
-pub const ADVICE_TIMEOUT_MARGIN: Duration = Duration::from_millis(2_500);
+pub const POLICY_TIMEOUT_MARGIN: Duration = Duration::from_millis(2_500);
 
 /// Rest of an instance whose question got no answer, for each such question in a row. An instance
 /// that goes is heard of for up to `PEER_TIMEOUT` more; three rests of 0.5, 1 and 1.5 s outlast that.
-pub const ASKER_BACKOFF: Duration = Duration::from_millis(500);
+pub const PROXY_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Most such rests on end: 2 s, so that an instance is of use soon after the service is back.
-pub const ASKER_MAX_BACKOFFS: u32 = 4;
+pub const PROXY_MAX_BACKOFFS: u32 = 4;
 
 /// Rest before a step for which no question is worth its time is looked at again: on a full site
 /// most steps are such, and each look goes through all workers.
-pub const ADVICE_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
+pub const POLICY_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Most workers named in one question to the policy service.
-pub const MAX_ADVICE_WORKERS: usize = 100;
+pub const MAX_POLICY_WORKERS: usize = 100;
 
 /// Time an instance holds a call after it last heard of a working owner: a change of owner takes
 /// half of that. Longer holds cost the caller a try (worth of days with a store outage 0.64 at
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use super::command_backoff::CommandBackoff;
 use super::dependencies::WorkerInfo;
 use super::job::Run;
 use super::lease::Lease;
-use super::order_backoff::OrderBackoff;
 use super::preempt::Victim;
 use super::record::WorkerId;
 use crate::clock::Instant;
@@ -57,7 +57,7 @@
     /// Latest end that it has told of.
     pub last_reported_end: u64,
     /// Room taken by the tries on it.
-    pub used: Amount,
+    pub allocated: Amount,
     /// Tries placed on it and not known to be over.
     pub runs: BTreeSet<Run>,
     /// Whether a look is out, since when.
@@ -73,7 +73,7 @@
     /// Tasks on it that may be stopped for more urgent ones, as of the last look for such.
     pub preemptible: Rc<[PreemptibleRun]>,
     /// Orders that it left without an answer.
-    pub order_backoff: OrderBackoff,
+    pub command_backoff: CommandBackoff,
     /// Until when it gets no new work because of failures.
     pub quarantined_until: Option<Instant>,
 }
@@ -90,7 +90,7 @@
             fenced: false,
             last_recorded_end: 0,
             last_reported_end: 0,
-            used: Amount::ZERO,
+            allocated: Amount::ZERO,
             runs: BTreeSet::new(),
             poll_sent_at: None,
             next_poll: now,
@@ -98,7 +98,7 @@
             unresponsive_since: None,
             failures: BTreeSet::new(),
             preemptible: Rc::default(),
-            order_backoff: OrderBackoff::default(),
+            command_backoff: CommandBackoff::default(),
             quarantined_until: None,
         }
     }
@@ -117,18 +117,18 @@
             && !self.info.draining
             && self.missed_polls < MISSED_POLLS_LIMIT
             && !quarantined
-            && !self.order_backoff.is_active(now)
+            && !self.command_backoff.is_active(now)
     }
 
     /// The next moment after `now` at which a rest of it, or what is remembered of one, is over.
     pub fn next_backoff_change(&self, now: Instant) -> Option<Instant> {
-        let ends = self.quarantined_until.into_iter().chain(self.order_backoff.deadlines());
+        let ends = self.quarantined_until.into_iter().chain(self.command_backoff.deadlines());
         ends.filter(|end| *end > now).min()
     }
 
     /// Room that nothing is reserved for.
     pub fn free_capacity(&self) -> Amount {
-        self.info.capacity.saturating_sub(&self.used)
+        self.info.capacity.saturating_sub(&self.allocated)
     }
 
     /// Whether what the list said of its room is no older than `known_for`.
@@ -146,20 +146,20 @@
 
     /// Whether more is reserved than it has, since its room has shrunk.
     pub fn is_overcommitted(&self) -> bool {
-        !self.used.fits(&self.info.capacity)
+        !self.allocated.fits(&self.info.capacity)
     }
 
     /// Reserves room for a try.
-    pub fn reserve(&mut self, run: Run, demand: &Amount) {
+    pub fn allocate(&mut self, run: Run, demand: &Amount) {
         if self.runs.insert(run) {
-            self.used = self.used.saturating_add(demand);
+            self.allocated = self.allocated.saturating_add(demand);
         }
     }
 
     /// Gives the room of a try back.
     pub fn release(&mut self, run: &Run, demand: &Amount) {
         if self.runs.remove(run) {
-            self.used = self.used.saturating_sub(demand);
+            self.allocated = self.allocated.saturating_sub(demand);
         }
     }
 
--- a/tests/logic/cell/advice.rs
+++ b/tests/logic/cell/advice.rs
@@ -5,13 +5,13 @@
 use oriolefork::cell::dependencies::Eligibility;
 use oriolefork::cell::job::Step;
 use oriolefork::cell::machine::{Call, Message};
-use oriolefork::cell::queue::{Advice, Queue, QueueConfig};
+use oriolefork::cell::queue::{PolicyTiming, Queue, QueueConfig};
 use oriolefork::resource::Amount;
 
 use super::model::{self, cores};
 use super::story::Story;
 
-const TERMS: Advice = Advice { decide_ms: 20.0, per_worker_ms: 1.0, valid_ms: 1_500 };
+const TERMS: PolicyTiming = PolicyTiming { decide_ms: 20.0, per_worker_ms: 1.0, valid_ms: 1_500 };
 
 /// A cell whose one queue is subject to the policy service.
 fn begin(workers: usize) -> Story {
@@ -19,7 +19,7 @@
     let table = model::table();
     let queues = table.queues.iter();
     let queues =
-        queues.map(|queue| Queue { advice: Some(TERMS), ..Queue::clone(queue) }.into()).collect();
+        queues.map(|queue| Queue { policy: Some(TERMS), ..Queue::clone(queue) }.into()).collect();
     let table = QueueConfig { version: 2, queues, services: table.services.clone() };
     story.tell(Message::Table(Rc::new(table)));
     story
--- a/tests/logic/cell/askers.rs
+++ b/tests/logic/cell/askers.rs
@@ -4,12 +4,12 @@
 
 use oriolefork::cell::job::{Job, Run, RunOutcome, Step};
 use oriolefork::cell::machine::{Call, Message};
-use oriolefork::cell::queue::{Advice, Queue, QueueConfig};
+use oriolefork::cell::queue::{PolicyTiming, Queue, QueueConfig};
 
 use super::model::{self, QUEUE, cores, id};
 use super::story::Story;
 
-const TERMS: Advice = Advice { decide_ms: 20.0, per_worker_ms: 1.0, valid_ms: 1_500 };
+const TERMS: PolicyTiming = PolicyTiming { decide_ms: 20.0, per_worker_ms: 1.0, valid_ms: 1_500 };
 
 /// Queue of the next lower priority.
 const LOWER: &str = "thumbnails";
@@ -25,7 +25,7 @@
     let mut story = Story::begin(WORKERS as usize);
     story.running(999, Step { max_per_worker: 1, ..model::step(WORKERS, cores(5)) });
     let table = model::table();
-    let upper = Queue { advice: Some(TERMS), ..Queue::clone(&table.queues[0]) };
+    let upper = Queue { policy: Some(TERMS), ..Queue::clone(&table.queues[0]) };
     let lower = Queue {
         name: LOWER.to_owned(),
         path_prefix: "/thumbnails/".to_owned(),
--- a/tests/logic/cell/crash.rs
+++ b/tests/logic/cell/crash.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use oriolefork::cell::dependencies::{RosterUpdate, StartOrder, WorkerError};
+use oriolefork::cell::dependencies::{RosterUpdate, StartCommand, WorkerError};
 use oriolefork::cell::job::{Phase, Run, Step};
 use oriolefork::cell::machine::{Answer, Call, Message};
 use oriolefork::clock::Instant;
@@ -54,14 +54,14 @@
 }
 
 /// Orders that went out, each taken by its worker.
-fn take_starts(story: &mut Story) -> Vec<(usize, StartOrder)> {
+fn take_starts(story: &mut Story) -> Vec<(usize, StartCommand)> {
     settle(story);
     let starts = story.starts();
     starts.iter().for_each(|start| story.started(start, Ok(WORKER_CLOCK + story.now)));
     starts
 }
 
-fn runs(starts: &[(usize, StartOrder)]) -> Vec<Run> {
+fn runs(starts: &[(usize, StartCommand)]) -> Vec<Run> {
     starts.iter().map(|(_, start)| start.run).collect()
 }
 
@@ -70,7 +70,7 @@
 }
 
 /// Has the workers of `starts` crash at once and come back as `next` and on.
-fn crash(story: &mut Story, starts: &[(usize, StartOrder)], next: usize) {
+fn crash(story: &mut Story, starts: &[(usize, StartCommand)], next: usize) {
     story.pass(CRASH_MS);
     let mut workers: Vec<usize> = starts.iter().map(|start| start.0).collect();
     workers.sort_unstable();
--- a/tests/logic/cell/duty.rs
+++ b/tests/logic/cell/duty.rs
@@ -3,7 +3,7 @@
 use std::future::ready;
 
 use futures_util::FutureExt;
-use oriolefork::cell::activity::{Activity, ThreadProfiler};
+use oriolefork::cell::activity::{OwnerActivity, ThreadProfiler};
 use oriolefork::clock::{Instant, Unix};
 
 use super::story::Story;
@@ -12,20 +12,23 @@
 fn measure_counts_for_its_duty() {
     let ledger = ThreadProfiler::new();
     for _ in 0..64 {
-        let answer = ledger.measure(Activity::Look, ready(7).boxed_local()).now_or_never();
+        let answer = ledger.measure(OwnerActivity::Look, ready(7).boxed_local()).now_or_never();
         assert_eq!(answer, Some(7));
     }
-    assert_eq!((ledger.count(Activity::Look), ledger.count(Activity::Order)), (64, 0));
+    assert_eq!((ledger.count(OwnerActivity::Look), ledger.count(OwnerActivity::Command)), (64, 0));
 }
 
 #[test]
 fn lap_counts_what_went_before() {
     let ledger = ThreadProfiler::new();
     let mut lap = ledger.stopwatch();
-    lap.record(Activity::Placement);
+    lap.record(OwnerActivity::Placement);
     lap.restart();
-    lap.record(Activity::Append);
-    assert_eq!((ledger.count(Activity::Placement), ledger.count(Activity::Append)), (1, 1));
+    lap.record(OwnerActivity::Append);
+    assert_eq!(
+        (ledger.count(OwnerActivity::Placement), ledger.count(OwnerActivity::Append)),
+        (1, 1)
+    );
 }
 
 #[test]
@@ -34,6 +37,9 @@
     let mut duties = Vec::new();
     let (now, unix) = (Instant::from_millis(60_000), Unix::from_millis(60_000));
     story.machine.step_by_duty(now, unix, &mut |duty| duties.push(duty));
-    assert_eq!(duties.last(), Some(&Activity::Append));
-    assert!(duties.contains(&Activity::Look) && duties.contains(&Activity::Upkeep), "{duties:?}");
+    assert_eq!(duties.last(), Some(&OwnerActivity::Append));
+    assert!(
+        duties.contains(&OwnerActivity::Look) && duties.contains(&OwnerActivity::Upkeep),
+        "{duties:?}"
+    );
 }
--- a/tests/logic/cell/model.rs
+++ b/tests/logic/cell/model.rs
@@ -52,7 +52,7 @@
         max_failures: ATTEMPTS,
         stretch: 2.0,
         target_ms: 1_000,
-        advice: None,
+        policy: None,
     };
     let service = Service { name: "portal".to_owned(), enforces_capacity: false };
     Rc::new(QueueConfig { version: 1, queues: vec![queue.into()], services: vec![service] })
--- a/tests/logic/cell/patience.rs
+++ b/tests/logic/cell/patience.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oriolefork::cell::retry::{AttemptOutcome, Decision, RetryPolicy};
+use oriolefork::cell::retry::{AttemptOutcome, RetryDecision, RetryPolicy};
 use oriolefork::cell::timings::{ANSWER_MARGIN, NO_OWNER_WAIT};
 use oriolefork::clock::Instant;
 
@@ -20,7 +20,7 @@
 #[test]
 fn after_refused_gives_up_at_once() {
     let mut patience = in_contact();
-    assert_eq!(patience.after_attempt(AttemptOutcome::Refused, NOW), Decision::NotExecuted);
+    assert_eq!(patience.after_attempt(AttemptOutcome::Refused, NOW), RetryDecision::NotExecuted);
 }
 
 /// An owner dies and its successor claims the cell 0.3 s later: a call waits for that.
@@ -30,11 +30,11 @@
     let soon = NOW.after(NO_OWNER_WAIT / 2);
     assert!(matches!(
         patience.after_attempt(AttemptOutcome::NotDelivered, soon),
-        Decision::Attempt(_)
+        RetryDecision::Attempt(_)
     ));
     assert_eq!(
         patience.after_attempt(AttemptOutcome::NotDelivered, NOW.after(NO_OWNER_WAIT)),
-        Decision::NotExecuted
+        RetryDecision::NotExecuted
     );
 }
 
@@ -43,13 +43,13 @@
 #[test]
 fn next_without_contact_gives_up_at_once() {
     let patience = RetryPolicy::new(NOW, SPAN, Some(NOW.before(NO_OWNER_WAIT)));
-    assert_eq!(patience.next(NOW), Decision::NotExecuted);
+    assert_eq!(patience.next(NOW), RetryDecision::NotExecuted);
 }
 
 /// A process has just begun and knows of no owner yet.
 #[test]
 fn next_before_the_first_contact_tries() {
-    assert!(matches!(RetryPolicy::new(NOW, SPAN, None).next(NOW), Decision::Attempt(_)));
+    assert!(matches!(RetryPolicy::new(NOW, SPAN, None).next(NOW), RetryDecision::Attempt(_)));
 }
 
 /// A call goes out on a connection that a cut has killed. It was held until its caller's time was up,
@@ -57,9 +57,12 @@
 #[test]
 fn after_doubtful_says_unknown_when_the_hold_ends() {
     let mut patience = in_contact();
-    assert!(matches!(patience.after_attempt(AttemptOutcome::Unknown, NOW), Decision::Attempt(_)));
+    assert!(matches!(
+        patience.after_attempt(AttemptOutcome::Unknown, NOW),
+        RetryDecision::Attempt(_)
+    ));
     let end = NOW.after(NO_OWNER_WAIT);
-    assert_eq!(patience.after_attempt(AttemptOutcome::NotDelivered, end), Decision::Unknown);
+    assert_eq!(patience.after_attempt(AttemptOutcome::NotDelivered, end), RetryDecision::Unknown);
 }
 
 /// Once a try may have been carried out, no later one makes *not done* true again.
@@ -67,13 +70,13 @@
 fn after_refused_stays_unknown_once_doubtful() {
     let mut patience = in_contact();
     patience.after_attempt(AttemptOutcome::Unknown, NOW);
-    assert_eq!(patience.after_attempt(AttemptOutcome::Refused, NOW), Decision::Unknown);
+    assert_eq!(patience.after_attempt(AttemptOutcome::Refused, NOW), RetryDecision::Unknown);
 }
 
 #[test]
 fn next_never_outlasts_the_caller() {
     let span = Duration::from_millis(400);
     let patience = RetryPolicy::new(NOW, span, Some(NOW));
-    assert_eq!(patience.next(NOW), Decision::Attempt(span - ANSWER_MARGIN));
-    assert_eq!(patience.next(NOW.after(span - ANSWER_MARGIN)), Decision::NotExecuted);
+    assert_eq!(patience.next(NOW), RetryDecision::Attempt(span - ANSWER_MARGIN));
+    assert_eq!(patience.next(NOW.after(span - ANSWER_MARGIN)), RetryDecision::NotExecuted);
 }
--- a/tests/logic/cell/shrink.rs
+++ b/tests/logic/cell/shrink.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use oriolefork::cell::dependencies::{RosterUpdate, StartOrder, WorkerError};
+use oriolefork::cell::dependencies::{RosterUpdate, StartCommand, WorkerError};
 use oriolefork::cell::machine::{Call, Message};
 use oriolefork::cell::timings::Timings;
 use oriolefork::resource::Amount;
@@ -29,7 +29,7 @@
     story
 }
 
-fn ordered(starts: &[(usize, StartOrder)]) -> u64 {
+fn ordered(starts: &[(usize, StartCommand)]) -> u64 {
     starts.len() as u64 * cores(2).cpu_millis
 }
 
--- a/tests/logic/cell/standstill.rs
+++ b/tests/logic/cell/standstill.rs
@@ -5,19 +5,19 @@
 use oriolefork::cell::dependencies::Eligibility;
 use oriolefork::cell::job::{Job, Step};
 use oriolefork::cell::machine::{Call, Message, Question};
-use oriolefork::cell::queue::{Advice, Queue, QueueConfig};
+use oriolefork::cell::queue::{PolicyTiming, Queue, QueueConfig};
 use test_case::test_case;
 
 use super::model::{self, cores, id};
 use super::story::{Story, WORKER_CLOCK};
 
 /// Queue of gangs: each question about 100 workers takes a second.
-const WIDE: (&str, Advice) =
-    ("wide", Advice { decide_ms: 400.0, per_worker_ms: 6.0, valid_ms: 2_500 });
+const WIDE: (&str, PolicyTiming) =
+    ("wide", PolicyTiming { decide_ms: 400.0, per_worker_ms: 6.0, valid_ms: 2_500 });
 
 /// Queue of small tasks, which come after the gangs.
-const SMALL: (&str, Advice) =
-    ("small", Advice { decide_ms: 100.0, per_worker_ms: 1.0, valid_ms: 2_500 });
+const SMALL: (&str, PolicyTiming) =
+    ("small", PolicyTiming { decide_ms: 100.0, per_worker_ms: 1.0, valid_ms: 2_500 });
 
 /// Workers, each with eight cores.
 const WORKERS: usize = 100;
@@ -37,7 +37,7 @@
     story: Story,
     /// Questions under way with the time of their answer.
     asked: Vec<(u64, Question)>,
-    advice: Vec<(&'static str, Advice)>,
+    advice: Vec<(&'static str, PolicyTiming)>,
 }
 
 impl Site {
@@ -52,7 +52,7 @@
                 name,
                 priority,
                 target_ms,
-                advice: Some(advice),
+                policy: Some(advice),
                 ..Queue::clone(&plain)
             })
         });
--- a/tests/logic/cell/state.rs
+++ b/tests/logic/cell/state.rs
@@ -12,7 +12,7 @@
 const AT: Unix = Unix::from_millis(1_700_000_000_000);
 
 /// Largest state that one append of the store takes.
-const MAX_APPEND_BYTES: usize = 2_000_000;
+const APPEND_BYTES: usize = 2_000_000;
 
 fn run(job: u64, index: u32, number: u32) -> Run {
     let step = StepKey { job: id(job), occurrence: 0, step: 0 };
@@ -101,7 +101,7 @@
     assert!(state.open.is_empty());
     assert_eq!(phase(&state, 4_999), Phase::Completed);
     let bytes = codec::encode(&state).expect("a state").len();
-    assert!(bytes < MAX_APPEND_BYTES / 4, "{bytes} bytes");
+    assert!(bytes < APPEND_BYTES / 4, "{bytes} bytes");
 }
 
 #[test]
--- a/tests/logic/cell/story.rs
+++ b/tests/logic/cell/story.rs
@@ -2,7 +2,7 @@
 
 use oriolefork::cell::Epoch;
 use oriolefork::cell::dependencies::{
-    AppendError, Eligibility, EndedRun, PollReport, RunStatus, StartOrder, WorkerError,
+    AppendError, Eligibility, EndedRun, PollReport, RunStatus, StartCommand, WorkerError,
 };
 use oriolefork::cell::job::{Run, RunOutcome, Step};
 use oriolefork::cell::machine::{Answer, Call, Effect, Machine, Message, Question};
@@ -128,7 +128,7 @@
         self.tell(Message::Looked { worker, sent, outcome: Ok(report) });
     }
 
-    pub fn started(&mut self, start: &(usize, StartOrder), outcome: Result<u64, WorkerError>) {
+    pub fn started(&mut self, start: &(usize, StartCommand), outcome: Result<u64, WorkerError>) {
         let worker = format!("w{}", start.0).into();
         self.tell(Message::Started { worker, run: start.1.run, outcome });
         self.pass(1);
@@ -143,7 +143,7 @@
     }
 
     /// Orders to start since the last call, with the number of their worker.
-    pub fn starts(&mut self) -> Vec<(usize, StartOrder)> {
+    pub fn starts(&mut self) -> Vec<(usize, StartCommand)> {
         let mut starts = Vec::new();
         self.effects.retain(|effect| match effect {
             Effect::Start { worker, start, .. } => {
@@ -209,7 +209,7 @@
     }
 
     /// Accepts a job and starts all its tasks.
-    pub fn running(&mut self, number: u64, step: Step) -> Vec<(usize, StartOrder)> {
+    pub fn running(&mut self, number: u64, step: Step) -> Vec<(usize, StartCommand)> {
         self.ask(number, Call::Submit(model::job(number, step)));
         self.store_all();
         self.pass(10);
--- a/tests/logic/cell/unanswered.rs
+++ b/tests/logic/cell/unanswered.rs
@@ -8,7 +8,7 @@
 //! Proved by the log lines on lost connections: 32 and 31 of the two former owners at that worker,
 //! and fresh ones of the new owner reset while it had two.
 
-use oriolefork::cell::dependencies::{StartOrder, WorkerError};
+use oriolefork::cell::dependencies::{StartCommand, WorkerError};
 use oriolefork::cell::job::Run;
 use oriolefork::cell::machine::{Call, Message};
 use oriolefork::cell::timings::{LEASE, LEASE_MARGIN};
@@ -25,7 +25,7 @@
 }
 
 /// A job with one task whose order has just been sent to the worker returned.
-fn ordered(story: &mut Story, number: u64) -> (usize, StartOrder) {
+fn ordered(story: &mut Story, number: u64) -> (usize, StartCommand) {
     story.ask(number, Call::Submit(model::job(number, model::step(1, cores(1)))));
     story.store_all();
     story.pass(10);
@@ -35,7 +35,7 @@
 
 /// Lets time pass in which the worker `resetting` answers looks and resets orders; returns the orders to
 /// start that went elsewhere.
-fn pass_resetting(story: &mut Story, resetting: usize, millis: u64) -> Vec<(usize, StartOrder)> {
+fn pass_resetting(story: &mut Story, resetting: usize, millis: u64) -> Vec<(usize, StartCommand)> {
     let end = story.now + millis;
     let mut elsewhere = Vec::new();
     while story.now < end {
@@ -57,7 +57,7 @@
     elsewhere
 }
 
-fn runs(starts: &[(usize, StartOrder)]) -> Vec<Run> {
+fn runs(starts: &[(usize, StartCommand)]) -> Vec<Run> {
     starts.iter().map(|(_, start)| start.run).collect()
 }
 
@@ -162,7 +162,7 @@
     let remembered = |story: &Story| {
         let now = Instant::from_millis(story.now);
         let worker = story.machine.workers.values().find(|worker| *worker.id == *named);
-        worker.expect("a worker").order_backoff.is_deprioritized(now)
+        worker.expect("a worker").command_backoff.is_deprioritized(now)
     };
     assert!(remembered(&story), "it comes last for a while");
     story.pass(30_000);
--- a/tests/logic/cell/upstream.rs
+++ b/tests/logic/cell/upstream.rs
@@ -5,7 +5,7 @@
 
 use oriolefork::cell::Epoch;
 use oriolefork::cell::dependencies::{
-    EndedRun, PollReport, PollRequest, RunStatus, StartOrder, WorkerError,
+    EndedRun, PollReport, PollRequest, RunStatus, StartCommand, WorkerError,
 };
 use oriolefork::cell::job::{Run, RunOutcome, TaskKey};
 use oriolefork::resource::Amount;
@@ -113,7 +113,7 @@
     /// Takes an order to start; `true` when the try begins with it.
     pub fn start(
         &mut self,
-        start: &StartOrder,
+        start: &StartCommand,
         demand: Amount,
         now: u64,
     ) -> Result<bool, WorkerError> {
--- a/tests/logic/cell/world/check.rs
+++ b/tests/logic/cell/world/check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use oriolefork::cell::dependencies::StartOrder;
+use oriolefork::cell::dependencies::StartCommand;
 use oriolefork::cell::job::{Id, Phase, StepKey, TaskKey};
 
 use super::World;
@@ -55,7 +55,7 @@
     }
 
     /// The promises that hold at every start, of an order that left its owner at `sent`.
-    pub(super) fn check_start(&mut self, worker: &str, start: &StartOrder, sent: u64) {
+    pub(super) fn check_start(&mut self, worker: &str, start: &StartCommand, sent: u64) {
         self.starts += 1;
         let (run, now) = (start.run, self.now);
         let upstream = &self.workers[worker];
--- a/tests/logic/cell/world/mod.rs
+++ b/tests/logic/cell/world/mod.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use oriolefork::cell::Epoch;
-use oriolefork::cell::dependencies::{AppendError, PollRequest, Snapshot, StartOrder};
+use oriolefork::cell::dependencies::{AppendError, JournalSnapshot, PollRequest, StartCommand};
 use oriolefork::cell::job::{Id, Job, Run, RunOutcome, TaskKey};
 use oriolefork::cell::machine::{Answer, Call, Effect, Machine, Message};
 use oriolefork::cell::record::Batch;
@@ -55,7 +55,7 @@
 
 enum Order {
     Look(PollRequest),
-    Start(StartOrder),
+    Start(StartCommand),
     Stop(Run, Epoch),
 }
 
@@ -75,7 +75,7 @@
 }
 
 /// What the world knows of a job.
-struct WatchResponse {
+struct Watched {
     job: Job,
     accepted: bool,
     /// A cancellation without an answer may be carried out or not.
@@ -98,14 +98,14 @@
     claims: u64,
     store_down: bool,
     /// State that an owner saved last, as far as it got before it was replaced.
-    saved: Option<Snapshot>,
+    saved: Option<JournalSnapshot>,
     workers: BTreeMap<String, Upstream>,
     lives: BTreeMap<usize, u32>,
     /// Workers that have crashed and are not back yet.
     down: BTreeSet<String>,
     events: BTreeMap<(u64, u64), Event>,
     serial: u64,
-    jobs: BTreeMap<Id, WatchResponse>,
+    jobs: BTreeMap<Id, Watched>,
     calls: BTreeMap<(usize, u64), Id>,
     next_call: u64,
     done_noted: BTreeSet<TaskKey>,
@@ -190,7 +190,7 @@
 
     pub fn submit(&mut self, job: Job, fails: bool, crashes: bool) {
         let id = job.id;
-        let watched = WatchResponse {
+        let watched = Watched {
             job: job.clone(),
             accepted: false,
             cancel_asked: false,
@@ -212,7 +212,7 @@
 
     /// Jobs that were accepted and not cancelled.
     pub fn accepted(&self) -> u64 {
-        let kept = |watched: &&WatchResponse| watched.accepted && watched.cancelled_at.is_none();
+        let kept = |watched: &&Watched| watched.accepted && watched.cancelled_at.is_none();
         self.jobs.values().filter(kept).count() as u64
     }
 
--- a/tests/logic/cell/world/orders.rs
+++ b/tests/logic/cell/world/orders.rs
@@ -1,6 +1,6 @@
 //! Orders at the workers: on time, late or lost; and what becomes of the tries there.
 
-use oriolefork::cell::dependencies::{StartOrder, WorkerError};
+use oriolefork::cell::dependencies::{StartCommand, WorkerError};
 use oriolefork::cell::job::{Run, RunOutcome};
 use oriolefork::cell::machine::Message;
 use oriolefork::clock::Instant;
@@ -108,7 +108,7 @@
         }
     }
 
-    pub(super) fn begin(&mut self, worker: &str, start: &StartOrder) {
+    pub(super) fn begin(&mut self, worker: &str, start: &StartCommand) {
         let run = start.run;
         let model = &start.job.steps[run.task.step.step as usize];
         if self.jobs[&run.task.step.job].crashes && run.task.index == 0 {
@@ -194,8 +194,8 @@
     }
 }
 
-pub(super) fn demand(start: &StartOrder) -> Amount {
-    start.job.steps[start.run.task.step.step as usize].reservation()
+pub(super) fn demand(start: &StartCommand) -> Amount {
+    start.job.steps[start.run.task.step.step as usize].allocation()
 }
 
 fn reply(
--- a/tests/process/election.rs
+++ b/tests/process/election.rs
@@ -12,8 +12,9 @@
 use monoio::{LegacyDriver, RuntimeBuilder};
 use oriolefork::cell::activity::ThreadProfiler;
 use oriolefork::cell::dependencies::{
-    Advisor, AppendError, Discovery, Eligibility, Journal, OwnerRecord, Page, PollReport,
-    PollRequest, ReadError, RosterUpdate, Snapshot, StartOrder, WorkerClient, WorkerError,
+    AppendError, Discovery, Eligibility, Journal, JournalSnapshot, OwnerRecord, Page,
+    PolicyService, PollReport, PollRequest, ReadError, RosterUpdate, StartCommand, WorkerClient,
+    WorkerError,
 };
 use oriolefork::cell::job::{Run, StepKey};
 use oriolefork::cell::node::{Identity, Node};
@@ -34,7 +35,7 @@
 const POLL_PAUSE: Duration = Duration::from_millis(5);
 
 /// A journal whose owner of epoch 1 writes at each read, or has stopped.
-struct WatchResponse {
+struct Watched {
     owner: SocketAddr,
     writes: bool,
     end: Cell<u64>,
@@ -42,7 +43,7 @@
     claims: Cell<u32>,
 }
 
-impl Journal for WatchResponse {
+impl Journal for Watched {
     fn append<'a>(
         &'a self,
         _cell: Id,
@@ -63,8 +64,8 @@
             .boxed_local()
     }
 
-    fn snapshot(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Snapshot, String>> {
-        async { Ok(Snapshot::default()) }.boxed_local()
+    fn snapshot(&self, _cell: Id) -> LocalBoxFuture<'_, Result<JournalSnapshot, String>> {
+        async { Ok(JournalSnapshot::default()) }.boxed_local()
     }
 
     fn save_snapshot<'a>(
@@ -72,7 +73,7 @@
         _cell: Id,
         _epoch: Epoch,
         _sequence: u64,
-        _base: &'a Snapshot,
+        _base: &'a JournalSnapshot,
     ) -> LocalBoxFuture<'a, Result<(), String>> {
         std::future::pending().boxed_local()
     }
@@ -110,7 +111,7 @@
         &'a self,
         _peer: SocketAddr,
         _worker: &'a str,
-        _start: &'a StartOrder,
+        _start: &'a StartCommand,
         _timeout: Duration,
     ) -> LocalBoxFuture<'a, Result<u64, WorkerError>> {
         std::future::pending().boxed_local()
@@ -128,8 +129,8 @@
     }
 }
 
-impl Advisor for Nobody {
-    fn advise<'a>(
+impl PolicyService for Nobody {
+    fn eligible_workers<'a>(
         &'a self,
         _step: &'a StepKey,
         _workers: &'a [WorkerId],
@@ -157,14 +158,14 @@
 
 /// Follows an owner whose machine takes connections and answers nothing, until `enough`; returns how
 /// often its cell was claimed.
-fn follow_silent_owner(writes: bool, enough: impl Fn(&WatchResponse) -> bool) -> u32 {
+fn follow_silent_owner(writes: bool, enough: impl Fn(&Watched) -> bool) -> u32 {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let owner = silent.local_addr().expect("an address");
     let builder = RuntimeBuilder::<LegacyDriver>::new();
     // The instance outlives the story; the runtime must not be dropped under it.
     let mut runtime = ManuallyDrop::new(builder.enable_timer().build().expect("a runtime"));
     runtime.block_on(async {
-        let journal = Rc::new(WatchResponse {
+        let journal = Rc::new(Watched {
             owner,
             writes,
             end: Cell::new(7),
@@ -177,7 +178,7 @@
         let borders = Dependencies {
             journal: journal.clone(),
             workers: Rc::new(Nobody),
-            advisor: Rc::new(Nobody),
+            policy_service: Rc::new(Nobody),
             discovery: Rc::new(Nobody),
             peers: Rc::new(peer::Client::new(limits)),
             clock,
@@ -204,8 +205,7 @@
 /// same work and more, which answered nobody either, the cell changed hands each second.
 #[test]
 fn owner_that_is_silent_and_writes_is_kept() {
-    let enough =
-        |journal: &WatchResponse| journal.reads.get() >= MANY_READS || journal.claims.get() > 0;
+    let enough = |journal: &Watched| journal.reads.get() >= MANY_READS || journal.claims.get() > 0;
     assert_eq!(follow_silent_owner(true, enough), 0);
 }
 
--- a/tests/process/peer.rs
+++ b/tests/process/peer.rs
@@ -52,18 +52,18 @@
     }
 }
 
-struct RunStatus {
+struct Running {
     addr: SocketAddr,
     service: Rc<Service>,
     stop: Shutdown,
     ended: Shutdown,
 }
 
-fn serve(limits: Limits) -> RunStatus {
+fn serve(limits: Limits) -> Running {
     serve_at("127.0.0.1:0".parse().unwrap(), limits)
 }
 
-fn serve_at(addr: SocketAddr, limits: Limits) -> RunStatus {
+fn serve_at(addr: SocketAddr, limits: Limits) -> Running {
     // A child process that another test is just starting may hold an earlier listener for a moment.
     let begin = Instant::now();
     let server = loop {
@@ -82,7 +82,7 @@
         serving.await;
         done.trigger();
     });
-    RunStatus { addr, service, stop, ended }
+    Running { addr, service, stop, ended }
 }
 
 #[test]
