--- a/src/cell/activity.rs
+++ b/src/cell/activity.rs
@@ -1,7 +1,7 @@
-//! What an owner spends its time on, told in the log once a second and as metrics.
+//! Time that an owner spends on each kind of work, logged once a second and exported as metrics.
 //!
-//! All of an instance's tasks share one thread, so that a duty which takes long holds up all others.
-//! The time of each duty, and the longest that it kept the thread at a time, tell which one that is.
+//! All tasks of an instance share one thread, so work that takes long delays all other work. The
+//! total and the longest uninterrupted time of each activity show which one is responsible.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Display, Formatter};
@@ -16,34 +16,35 @@
 use crate::clock;
 use crate::telemetry::names;
 
-/// Rest between two lines.
-const REST: Duration = Duration::from_secs(1);
+/// Interval between two log lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One piece of work in so many is measured where pieces are short and many, and counts for all.
-const SAMPLE: u32 = 16;
+/// Only one in this many polls of a future is timed, since the polls are short and frequent. Its
+/// duration is counted for all of them.
+const SAMPLE_INTERVAL: u32 = 16;
 
-/// Something that takes an owner's time.
+/// A kind of work of an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OwnerActivity {
-    /// Calls of callers, in and out.
+    /// Callers' calls and the responses to them.
     Call,
-    /// Other instances that follow the owner.
+    /// Watch requests of the instances that follow the owner.
     Watch,
-    /// Sending looks to workers and reading their answers.
-    Look,
-    /// Taking in what workers report.
+    /// Sending polls to workers and reading their reports.
+    Poll,
+    /// Processing workers' reports.
     Report,
-    /// Sending orders to workers and taking in their answers.
+    /// Sending commands to workers and processing the responses.
     Command,
-    /// The list of workers and the configuration.
+    /// Reading the list of workers and the configuration.
     List,
-    /// Questions to the policy service.
+    /// Queries to the policy service.
     Policy,
-    /// Writing the journal and what waits for it.
+    /// Appending to the journal, and the actions that wait for an append.
     Append,
-    /// Leases that run out, and what is forgotten.
+    /// Expiring leases and removing old jobs.
     Upkeep,
-    /// Rounds of placement.
+    /// Placement rounds.
     Placement,
 }
 
@@ -51,7 +52,7 @@
     const ALL: [Self; 10] = [
         Self::Call,
         Self::Watch,
-        Self::Look,
+        Self::Poll,
         Self::Report,
         Self::Command,
         Self::List,
@@ -65,7 +66,7 @@
         match self {
             Self::Call => "call",
             Self::Watch => "watch",
-            Self::Look => "look",
+            Self::Poll => "look",
             Self::Report => "report",
             Self::Command => "order",
             Self::List => "list",
@@ -77,88 +78,95 @@
     }
 }
 
-/// Time of one duty since the last line.
+/// Time spent on one activity since the last log line.
 #[derive(Clone, Copy, Debug, Default)]
 struct TimeSpent {
-    times: u32,
-    whole: Duration,
+    count: u32,
+    total: Duration,
     longest: Duration,
 }
 
 impl Display for TimeSpent {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let (whole, longest) = (self.whole.as_secs_f64(), self.longest.as_secs_f64());
-        write!(f, "{:.1}/{:.1}/{}", whole * 1e3, longest * 1e3, self.times)
+        let (total, longest) = (self.total.as_secs_f64(), self.longest.as_secs_f64());
+        write!(f, "{:.1}/{:.1}/{}", total * 1e3, longest * 1e3, self.count)
     }
 }
 
-/// Time of all duties.
+/// Time spent on all activities.
 #[derive(Debug)]
 pub struct ThreadProfiler {
     spent: RefCell<[TimeSpent; OwnerActivity::ALL.len()]>,
-    /// Pieces of work that [`ThreadProfiler::measure`] has come by.
-    pieces: Cell<u32>,
+    /// Polls seen by [`ThreadProfiler::measure`].
+    polls: Cell<u32>,
 }
 
 impl ThreadProfiler {
-    /// Nothing spent yet.
+    /// Creates an empty profile.
     pub fn new() -> Rc<Self> {
-        Rc::new(Self { spent: RefCell::default(), pieces: Cell::new(0) })
+        Rc::new(Self { spent: RefCell::default(), polls: Cell::new(0) })
     }
 
-    /// Pieces of work that were counted for `duty` since the last line.
-    pub fn count(&self, duty: OwnerActivity) -> u32 {
-        self.spent.borrow()[duty as usize].times
+    /// Number of times that `activity` was recorded since the last log line.
+    pub fn count(&self, activity: OwnerActivity) -> u32 {
+        self.spent.borrow()[activity as usize].count
     }
 
-    /// Adds what one piece of work took.
-    fn add(&self, duty: OwnerActivity, took: Duration) {
-        self.add_sample(duty, took, 1);
+    /// Records one run of the activity that took `elapsed`.
+    fn record(&self, activity: OwnerActivity, elapsed: Duration) {
+        self.record_sampled(activity, elapsed, 1);
     }
 
-    /// Adds `pieces` of work, one of which took that long.
-    fn add_sample(&self, duty: OwnerActivity, took: Duration, pieces: u32) {
-        let spent = &mut self.spent.borrow_mut()[duty as usize];
-        spent.times += pieces;
-        spent.whole += took * pieces;
-        spent.longest = spent.longest.max(took);
+    /// Records `polls` runs of the activity, one of which was timed and took `elapsed`.
+    fn record_sampled(&self, activity: OwnerActivity, elapsed: Duration, polls: u32) {
+        let spent = &mut self.spent.borrow_mut()[activity as usize];
+        spent.count += polls;
+        spent.total += elapsed * polls;
+        spent.longest = spent.longest.max(elapsed);
     }
 
-    /// Whether the next piece of work stands for those before it.
-    fn is_sample(&self) -> bool {
-        let pieces = self.pieces.get().wrapping_add(1);
-        self.pieces.set(pieces);
-        pieces.is_multiple_of(SAMPLE)
+    /// Whether the next poll is to be timed.
+    fn should_sample(&self) -> bool {
+        let polls = self.polls.get().wrapping_add(1);
+        self.polls.set(polls);
+        polls.is_multiple_of(SAMPLE_INTERVAL)
     }
 
-    /// Measures the time that `work` keeps the thread, at some of the times that it goes on.
+    /// Wraps `work` so that the time of its polls is recorded, by sampling.
     pub fn measure<'a, T>(
         self: &Rc<Self>,
-        duty: OwnerActivity,
+        activity: OwnerActivity,
         work: LocalBoxFuture<'a, T>,
     ) -> TimedFuture<'a, T> {
-        TimedFuture { duty, ledger: self.clone(), work }
+        TimedFuture { activity, profiler: self.clone(), work }
     }
 
-    /// Begins to measure duties that follow one another.
+    /// Starts a stopwatch for activities that follow one another.
     pub fn stopwatch(self: &Rc<Self>) -> Stopwatch {
-        Stopwatch { ledger: self.clone(), since: Instant::now() }
+        Stopwatch { profiler: self.clone(), since: Instant::now() }
     }
 
-    /// Tells the log, once a second, as long as `goes_on` says so.
-    pub async fn report_periodically(self: Rc<Self>, cell: super::Id, goes_on: impl Fn() -> bool) {
+    /// Logs the profile and updates the metrics once a second, as long as `is_active` returns true.
+    pub async fn report_periodically(
+        self: Rc<Self>,
+        cell: super::Id,
+        is_active: impl Fn() -> bool,
+    ) {
         let mut since = Instant::now();
         let mut processor_before = clock::processor_time();
-        while goes_on() {
-            monoio::time::sleep(REST).await;
+        while is_active() {
+            monoio::time::sleep(LOG_INTERVAL).await;
             let spent = self.spent.take();
-            let duties = OwnerActivity::ALL.iter().zip(spent);
-            let words: Vec<String> =
-                duties.clone().map(|(duty, spent)| format!("{}={spent}", duty.name())).collect();
-            for (duty, spent) in duties {
-                let micros = u64::try_from(spent.whole.as_micros()).unwrap_or(u64::MAX);
-                names::CELL_DUTY.add(micros, &[("duty", duty.name())]);
-                names::CELL_DUTY_LONGEST.set(spent.longest.as_secs_f64(), &[("duty", duty.name())]);
+            let activities = OwnerActivity::ALL.iter().zip(spent);
+            let fields: Vec<String> = activities
+                .clone()
+                .map(|(activity, spent)| format!("{}={spent}", activity.name()))
+                .collect();
+            for (activity, spent) in activities {
+                let micros = u64::try_from(spent.total.as_micros()).unwrap_or(u64::MAX);
+                names::CELL_DUTY.add(micros, &[("duty", activity.name())]);
+                names::CELL_DUTY_LONGEST
+                    .set(spent.longest.as_secs_f64(), &[("duty", activity.name())]);
             }
             let span_ms = since.elapsed().as_millis();
             since = Instant::now();
@@ -167,39 +175,39 @@
             processor_before = processor;
             log::info!(
                 "event=owner.duties cell={cell} span_ms={span_ms} processor_ms={processor_ms} {}",
-                words.join(" ")
+                fields.join(" ")
             );
         }
     }
 }
 
-/// Measures duties that follow one another on the thread.
+/// Times activities that follow one another on the thread.
 #[derive(Debug)]
 pub struct Stopwatch {
-    ledger: Rc<ThreadProfiler>,
+    profiler: Rc<ThreadProfiler>,
     since: Instant,
 }
 
 impl Stopwatch {
-    /// Begins anew, so that what went before counts for nothing.
+    /// Restarts, so that the time before is not recorded.
     pub fn restart(&mut self) {
         self.since = Instant::now();
     }
 
-    /// Counts the time since the last call for `duty`, and returns it.
-    pub fn record(&mut self, duty: OwnerActivity) -> Duration {
+    /// Records the time since the last call for `activity`, and returns it.
+    pub fn record(&mut self, activity: OwnerActivity) -> Duration {
         let now = Instant::now();
-        let took = now - self.since;
-        self.ledger.add(duty, took);
+        let elapsed = now - self.since;
+        self.profiler.record(activity, elapsed);
         self.since = now;
-        took
+        elapsed
     }
 }
 
-/// Work whose time on the thread is counted.
+/// Future whose polls are timed by sampling.
 pub struct TimedFuture<'a, T> {
-    duty: OwnerActivity,
-    ledger: Rc<ThreadProfiler>,
+    activity: OwnerActivity,
+    profiler: Rc<ThreadProfiler>,
     work: LocalBoxFuture<'a, T>,
 }
 
@@ -207,12 +215,12 @@
     type Output = T;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<T> {
-        if !self.ledger.is_sample() {
+        if !self.profiler.should_sample() {
             return self.work.as_mut().poll(context);
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let polled = self.work.as_mut().poll(context);
-        self.ledger.add_sample(self.duty, begun.elapsed(), SAMPLE);
+        self.profiler.record_sampled(self.activity, started.elapsed(), SAMPLE_INTERVAL);
         polled
     }
 }
--- a/src/cell/command_backoff.rs
+++ b/src/cell/command_backoff.rs
@@ -1,72 +1,73 @@
-//! Orders that a worker leaves without an answer.
+//! Backoff for workers that leave commands unanswered.
 
 use std::time::Duration;
 
 use crate::clock::Instant;
 
-/// Time without new tasks after an order got no answer: about one look.
-const REST: Duration = Duration::from_secs(1);
+/// Pause in new tasks after an unanswered command: about one poll.
+const PAUSE: Duration = Duration::from_secs(1);
 
-/// Most rests of that length on end, one for each time in a row: as long as a lease, after which a
-/// start without an answer may be tried elsewhere.
-const MOST_RESTS: u32 = 8;
+/// Maximum multiple of that pause. It equals the length of a lease, after which a start without a
+/// response may be attempted elsewhere.
+const MAX_PAUSES: u32 = 8;
 
-/// Time after a rest in which other workers go first: longer than a lease, so that two workers that
-/// take no orders cannot hold the same tasks by turns.
-const MEMORY: Duration = Duration::from_secs(20);
+/// Time after a pause in which other workers are preferred. It is longer than a lease, so that two
+/// workers that answer no commands cannot hold the same tasks alternately.
+const LOW_PREFERENCE: Duration = Duration::from_secs(20);
 
-/// What a worker owes its owner in answers to orders.
+/// Backoff of one worker.
 ///
-/// Guards against a worker that answers looks and takes no orders: it went on getting tasks, and each
-/// was held up for a lease or longer. It rests for a second, a second more each time in a row, and
-/// comes last for a while. What is out at once counts once, and one answer ends it all, so that a
-/// short cut costs a sound worker a second, however many orders were on their way.
+/// Guards against a worker that answers polls but no commands: it kept receiving tasks, and each
+/// was delayed by a lease or longer. The worker gets no tasks for a second, a second more for each
+/// consecutive time, and has the lowest preference for a while. Commands that are outstanding at
+/// the same time count once, and one response clears the backoff. A short network cut therefore
+/// costs a healthy worker one second, however many commands were outstanding.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CommandBackoff {
-    times: u32,
-    rests_until: Option<Instant>,
+    consecutive: u32,
+    paused_until: Option<Instant>,
 }
 
 impl CommandBackoff {
-    /// Notes a start that was given up without an answer; `true` when a rest begins with it.
+    /// Records a start that was given up without a response; `true` when a pause begins with it.
     pub fn record_unanswered_start(&mut self, now: Instant) -> bool {
         if self.is_active(now) {
             return false;
         }
-        let before = if self.is_deprioritized(now) { self.times } else { 0 };
-        self.times = (before + 1).min(MOST_RESTS);
-        self.rests_until = Some(now.after(REST * self.times));
+        let previous = if self.is_deprioritized(now) { self.consecutive } else { 0 };
+        self.consecutive = (previous + 1).min(MAX_PAUSES);
+        self.paused_until = Some(now.after(PAUSE * self.consecutive));
         true
     }
 
-    /// Notes a stop without an answer, which is sent again: the worker rests on.
+    /// Records a stop without a response, which is sent again; the pause is extended.
     pub fn record_unanswered_stop(&mut self, now: Instant) {
-        self.times = self.times.max(1);
-        self.rests_until = self.rests_until.max(Some(now.after(REST)));
+        self.consecutive = self.consecutive.max(1);
+        self.paused_until = self.paused_until.max(Some(now.after(PAUSE)));
     }
 
-    /// Notes that an order was answered, whatever the answer.
+    /// Clears the backoff after any response to a command.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether the worker gets nothing new.
+    /// Whether the worker gets no new tasks.
     pub fn is_active(&self, now: Instant) -> bool {
-        self.rests_until.is_some_and(|until| now < until)
+        self.paused_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the worker gets tasks only where no other has room.
+    /// Whether the worker gets tasks only where no other has free capacity.
     pub fn is_deprioritized(&self, now: Instant) -> bool {
-        self.rests_until.is_some_and(|until| now < until.after(MEMORY))
+        self.paused_until.is_some_and(|until| now < until.after(LOW_PREFERENCE))
     }
 
-    /// When its rest is over, and when that is forgotten.
+    /// Times at which the pause ends and at which the lower preference ends.
     pub fn deadlines(&self) -> impl Iterator<Item = Instant> {
-        self.rests_until.into_iter().flat_map(|until| [until, until.after(MEMORY)])
+        self.paused_until.into_iter().flat_map(|until| [until, until.after(LOW_PREFERENCE)])
     }
 
-    /// Times in a row.
+    /// Number of consecutive times.
     pub const fn consecutive(&self) -> u32 {
-        self.times
+        self.consecutive
     }
 }
--- a/src/cell/dependencies.rs
+++ b/src/cell/dependencies.rs
@@ -1,5 +1,5 @@
-//! Borders of a cell to the outside: workers, the policy service, the journal and the lists that
-//! the platform keeps.
+//! Interfaces of a cell to external systems: workers, the policy service, the journal, and the
+//! platform's list of workers and configuration.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,10 +16,10 @@
 use super::{Epoch, Id};
 use crate::resource::Amount;
 
-/// What the platform's list says of a worker.
+/// Entry of a worker in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerInfo {
-    /// Where it takes orders.
+    /// Address at which it accepts polls and commands.
     pub address: SocketAddr,
     /// Service whose tasks it runs.
     pub service: String,
@@ -27,123 +27,124 @@
     pub domain: String,
     /// Its rack.
     pub rack: Option<String>,
-    /// Its labels, the rack's included.
+    /// Its labels, including the rack's.
     pub labels: Vec<String>,
-    /// What it has.
+    /// Its total resources.
     pub capacity: Amount,
-    /// Whether it is about to leave.
+    /// Whether it is draining and will leave.
     pub draining: bool,
-    /// Time that is left at least, while it drains, in milliseconds.
+    /// Minimum time until a draining worker leaves, in milliseconds.
     pub remaining_ms: Option<u64>,
 }
 
-/// One look at a worker, which renews the lease of all that runs there.
+/// Request for a worker's report, which also renews the lease of all runs there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollRequest {
     /// Epoch of the owner.
     pub epoch: Epoch,
-    /// Latest end that the worker may forget.
+    /// Number of the latest ended run that is recorded, so that the worker may forget it.
     pub acked_end: u64,
-    /// New end of the lease on the worker's clock; `None` to leave it.
+    /// New expiry of the lease on the worker's clock; `None` to leave it unchanged.
     pub lease_until_ms: Option<u64>,
-    /// Longest time the worker holds its answer back while nothing ends.
+    /// Maximum time for which the worker delays its response while no run ends.
     pub max_wait: Duration,
 }
 
-/// What a worker tells when looked at.
+/// A worker's response to a poll.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PollReport {
-    /// Its steady clock.
+    /// The worker's monotonic clock, in milliseconds.
     pub clock_ms: u64,
-    /// What runs there.
+    /// Runs in progress.
     pub running: Vec<RunStatus>,
-    /// Ends that it has not been told to forget.
+    /// Ended runs that the owner has not acknowledged yet.
     pub ended: Vec<EndedRun>,
-    /// Whether ends or tries may be missing, so that a try that is not listed proves nothing.
+    /// Whether runs may be missing from the report, so that the absence of one proves nothing.
     pub partial: bool,
 }
 
-/// A try that runs on a worker.
+/// A run in progress on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunStatus {
-    /// The try.
+    /// The run.
     pub run: Run,
-    /// Latest saved progress; empty for none.
+    /// Latest checkpoint; empty for none.
     pub checkpoint: String,
-    /// Share of its work that is done, 0 to 100; for lasting tasks, whether they are at work.
+    /// Completed share of its work, 0 to 100. For long-running tasks it shows whether they are at
+    /// work.
     pub percent: u32,
-    /// Tail of the response times in milliseconds for a serving task, else processors in use.
+    /// For serving tasks the tail latency in milliseconds, for other tasks the processors in use.
     pub load: u64,
 }
 
-/// A try that ended on a worker.
+/// A run that ended on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRun {
-    /// Number of the end within this life of the worker.
+    /// Number of the ended run within this incarnation of the worker.
     pub number: u64,
-    /// The try.
+    /// The run.
     pub run: Run,
     /// How it ended.
     pub outcome: RunOutcome,
-    /// Saved progress; empty for none.
+    /// Latest checkpoint; empty for none.
     pub checkpoint: String,
 }
 
-/// An order to start a try.
+/// Command to start a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartCommand {
     /// Epoch of the owner.
     pub epoch: Epoch,
-    /// The try.
+    /// The run.
     pub run: Run,
-    /// Text of the job.
+    /// The job, whose payload is passed to the task.
     pub job: Rc<super::job::Job>,
-    /// End of the lease on the worker's clock.
+    /// Expiry of the lease on the worker's clock.
     pub lease_until_ms: u64,
-    /// Progress to go on from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     pub checkpoint: String,
-    /// Word of the policy service, where the queue needs it.
+    /// Ticket of the policy service, for queues that need one.
     pub ticket: Option<String>,
 }
 
-/// Why a call to a worker was not carried out, or may not have been.
+/// Why a call to a worker was not executed, or may not have been.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum WorkerError {
-    /// A later owner has called it.
+    /// The worker has been called by a later owner.
     #[display("fenced")]
     Fenced,
-    /// Another life of the worker answers at that address.
+    /// Another incarnation of the worker answers at that address.
     #[display("another life")]
     OtherIncarnation,
-    /// The try, or a later one, has ended there.
+    /// The run, or a later one of the task, has ended there.
     #[display("try is over")]
     RunEnded,
-    /// The lease named had run out before the order arrived.
+    /// The lease in the command had expired when the command arrived.
     #[display("too late")]
     LeaseExpired,
-    /// It has no room.
+    /// The worker has no free capacity.
     #[display("no room")]
     NoCapacity,
-    /// The policy service's word does not hold.
+    /// The ticket of the policy service is not valid.
     #[display("no valid ticket")]
     InvalidTicket,
-    /// It is unwell and did nothing.
+    /// The worker is unhealthy and did nothing.
     #[display("unhealthy")]
     Unhealthy,
-    /// It cannot read the call.
+    /// The worker rejected the call as malformed.
     #[display("refused: {_0}")]
     Refused(String),
-    /// No connection, so that the call surely did not arrive.
+    /// No connection, so that the call cannot have arrived.
     #[display("not sent: {_0}")]
     NotSent(String),
-    /// No answer; the call may be carried out, also later.
+    /// No response; the call may be executed, also later.
     #[display("no answer: {_0}")]
     Unknown(String),
 }
 
-/// Way to workers. Each call names the life of the worker that it is meant for.
+/// Client for workers. Each call names the incarnation of the worker that it is meant for.
 pub trait WorkerClient {
-    /// Looks at a worker.
+    /// Polls a worker.
     fn poll<'a>(
         &'a self,
         peer: SocketAddr,
@@ -152,7 +153,7 @@
         timeout: Duration,
     ) -> LocalBoxFuture<'a, Result<PollReport, WorkerError>>;
 
-    /// Starts a try and returns the worker's clock.
+    /// Starts a run and returns the worker's clock.
     fn start<'a>(
         &'a self,
         peer: SocketAddr,
@@ -161,7 +162,8 @@
         timeout: Duration,
     ) -> LocalBoxFuture<'a, Result<u64, WorkerError>>;
 
-    /// Stops a try and returns the worker's clock. A try that is not there is refused afterwards.
+    /// Stops a run and returns the worker's clock. A run that has not started is refused
+    /// afterwards.
     fn stop<'a>(
         &'a self,
         peer: SocketAddr,
@@ -172,18 +174,18 @@
     ) -> LocalBoxFuture<'a, Result<u64, WorkerError>>;
 }
 
-/// What the policy service allows.
+/// Answer of the policy service to a query about a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Eligibility {
     /// Workers that may run the step, each with its ticket.
     pub workers: Vec<(WorkerId, String)>,
-    /// How long the tickets hold, where the answer says so, in milliseconds.
+    /// Validity of the tickets in milliseconds, where the answer states it.
     pub valid_ms: Option<u64>,
 }
 
-/// Way to the policy service that knows which workers may run a step.
+/// Client for the policy service, which decides which workers may run a step.
 pub trait PolicyService {
-    /// Asks about `workers` for `step`.
+    /// Asks which of `workers` may run `step`.
     fn eligible_workers<'a>(
         &'a self,
         step: &'a StepKey,
@@ -192,72 +194,72 @@
     ) -> LocalBoxFuture<'a, Result<Eligibility, String>>;
 }
 
-/// Why an append was not done, or may not have been.
+/// Why an append was not written, or may not have been.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum AppendError {
-    /// A later owner writes the journal.
+    /// A later owner has claimed the journal.
     #[display("fenced")]
     Fenced,
-    /// Surely not done; may be repeated.
+    /// Not written; it may be repeated.
     #[display("not written: {_0}")]
     NotWritten(String),
-    /// May have been done.
+    /// It may have been written.
     #[display("unknown: {_0}")]
     Unknown(String),
 }
 
-/// Records of a journal from some offset on.
+/// Records of a journal, starting at some offset.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// Each record.
+    /// The records.
     pub records: Vec<Bytes>,
     /// Offset after the last record of the page.
     pub next_offset: u64,
-    /// Offset at which the next append goes.
+    /// Offset of the next append.
     pub end_offset: u64,
 }
 
-/// Why a journal was not read.
+/// Why a journal could not be read.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum ReadError {
-    /// The records asked for are no longer kept; reading begins again with the saved state.
+    /// The requested records have been removed; reading restarts at the snapshot.
     #[display("records have been dropped")]
     Truncated,
-    /// The store did not answer; what has been read so far holds.
+    /// The store did not answer; the records read so far are valid.
     #[display("{_0}")]
     Failed(String),
 }
 
-/// Where reading a journal begins.
+/// Starting point for reading a journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JournalSnapshot {
-    /// Whole state up to `offset`, encoded; `None` to begin with an empty one.
+    /// Encoded state up to `offset`; `None` for the empty state.
     pub state: Option<Bytes>,
-    /// First record that the state does not hold.
+    /// Offset of the first record that is not part of the state.
     pub offset: u64,
 }
 
-/// Who owns a cell, as the owner itself says beside the journal.
+/// Record that names the owner of a cell. The owner writes it beside the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerRecord {
     /// The owner's epoch.
     pub epoch: Epoch,
     /// Address at which other instances reach it.
     pub peer: SocketAddr,
-    /// Processor that it may use, in thousandths of a core; zero where it did not say.
+    /// CPU that it may use, in thousandths of a core; zero if unknown.
     #[serde(default)]
     #[serde(rename = "strength")]
     pub cpu_millis: u32,
 }
 
-/// Journals of cells in the platform's store.
+/// Journals of the cells in the platform's store.
 pub trait Journal {
-    /// Appends a batch as number `sequence` of its epoch; a repeat of the same number is done once.
-    /// Returns the offset after it.
+    /// Appends a batch as number `sequence` of its epoch; a repeated number is written only once.
+    /// Returns the offset after the batch.
     ///
-    /// The first batch of an epoch is a claim: it takes the journal over and makes it refuse smaller
-    /// epochs from then on. Its number differs between claimants: two that claim the same epoch with
-    /// the same number would look like one that repeats itself, and both be told that they won.
+    /// The first batch of an epoch is a claim: from then on the journal refuses smaller epochs. The
+    /// sequence number of a claim differs between claimants. If two claimants used the same number,
+    /// the second would look like a repetition of the first, and both would be told that they won.
     fn append<'a>(
         &'a self,
         cell: Id,
@@ -267,14 +269,14 @@
         timeout: Duration,
     ) -> LocalBoxFuture<'a, Result<u64, AppendError>>;
 
-    /// Reads records from `from` on.
+    /// Reads records starting at offset `from`.
     fn read(&self, cell: Id, from: u64) -> LocalBoxFuture<'_, Result<Page, ReadError>>;
 
-    /// Reads the last saved state.
+    /// Reads the latest snapshot.
     fn snapshot(&self, cell: Id) -> LocalBoxFuture<'_, Result<JournalSnapshot, String>>;
 
-    /// Saves the state up to an offset as number `sequence` of the owner's epoch, so that older
-    /// records may go.
+    /// Saves a snapshot as number `sequence` of the owner's epoch, so that the store may remove
+    /// older records.
     fn save_snapshot<'a>(
         &'a self,
         cell: Id,
@@ -283,7 +285,7 @@
         base: &'a JournalSnapshot,
     ) -> LocalBoxFuture<'a, Result<(), String>>;
 
-    /// Says who owns the cell, as number `sequence` of the owner's epoch.
+    /// Writes the owner record of the cell as number `sequence` of the owner's epoch.
     fn publish_owner(
         &self,
         cell: Id,
@@ -291,31 +293,33 @@
         sign: OwnerRecord,
     ) -> LocalBoxFuture<'_, Result<(), AppendError>>;
 
-    /// What an owner said last; `None` before the first one. A few bytes, however long the journal.
+    /// Reads the latest owner record; `None` before the first one. The record has a few bytes,
+    /// regardless of the length of the journal.
     fn owner_record(&self, cell: Id) -> LocalBoxFuture<'_, Result<Option<OwnerRecord>, String>>;
 }
 
-/// Workers that the platform lists, as one read of the list found them.
+/// Changes in the platform's list of workers, as found by one read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RosterUpdate {
-    /// Workers that appeared or changed.
+    /// Workers that were added or changed.
     pub changed: Vec<(WorkerId, Rc<WorkerInfo>)>,
-    /// Names, as in the list, of workers that are gone from it.
+    /// Listed names of the workers that were removed.
     pub removed: Vec<Rc<str>>,
-    /// Whether `present` is the whole list.
+    /// Whether `changed` is the complete list.
     pub is_complete: bool,
 }
 
-/// The platform's lists.
+/// The platform's list of workers and its configuration.
 pub trait Discovery {
-    /// Makes the next call to [`Discovery::roster`] return the whole list.
+    /// Makes the next call to [`Discovery::roster_update`] return the complete list.
     fn reset(&self);
 
-    /// What changed among the workers since the last call; the whole list at the first call and
-    /// whenever the platform has dropped what came between.
+    /// Returns the changes to the list of workers since the last call. The first call returns the
+    /// complete list, and so does a call after the platform has removed changes not yet read.
     fn roster_update(&self) -> LocalBoxFuture<'_, Result<RosterUpdate, String>>;
 
-    /// Waits up to `wait` for a configuration newer than `version`, and returns it with its text.
+    /// Waits up to `wait` for a configuration newer than `version` and returns it; `None` if there
+    /// is none.
     fn newer_config(
         &self,
         version: u64,
--- a/src/cell/dependency_status.rs
+++ b/src/cell/dependency_status.rs
@@ -1,6 +1,6 @@
-//! Whether something that is asked again and again answers.
+//! Logs when a dependency stops answering and when it answers again.
 
-/// Says in the log when a dependency is lost and when it is back, each time once.
+/// Availability of a dependency; each change is logged once.
 #[derive(Debug)]
 pub(super) struct DependencyStatus {
     name: &'static str,
@@ -8,12 +8,12 @@
 }
 
 impl DependencyStatus {
-    /// Speaks of the dependency as `name`, which answers until it does not.
+    /// Creates the status of the dependency `name`, which counts as available at first.
     pub(super) const fn new(name: &'static str) -> Self {
         Self { name, is_lost: false }
     }
 
-    /// Takes in an answer.
+    /// Records a successful call.
     pub(super) fn record_success(&mut self) {
         if self.is_lost {
             log::info!("event={}.regained", self.name);
@@ -21,7 +21,7 @@
         self.is_lost = false;
     }
 
-    /// Takes in that none came.
+    /// Records a failed call.
     pub(super) fn record_failure(&mut self, cause: &str) {
         if !self.is_lost {
             log::warn!("event={}.lost cause={cause:?}", self.name);
--- a/src/cell/forward.rs
+++ b/src/cell/forward.rs
@@ -1,4 +1,4 @@
-//! Callers' calls on their way to the owner of their cell.
+//! Forwarding of callers' calls to the owner of their cell.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,43 +10,43 @@
 use super::peer::{CALL, ForwardedCall, Reply};
 use super::retry::{AttemptOutcome, RetryDecision, RetryPolicy};
 
-/// Rest between two tries while no owner answers.
-const RETRY_REST: Duration = Duration::from_millis(30);
+/// Delay between two attempts while no owner answers.
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// What a caller gets.
+/// Result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The owner's answer.
+    /// The owner answered.
     Answer(Answer),
-    /// Surely not carried out.
+    /// The call was not executed.
     NotExecuted,
-    /// May have been carried out.
+    /// The call may have been executed.
     Unknown,
 }
 
-/// Passes calls to owners.
+/// Forwards calls to owners.
 #[derive(Clone)]
 pub struct CallForwarder {
     node: Rc<Node>,
 }
 
 impl CallForwarder {
-    /// Passes calls on in the name of `node`.
+    /// Creates a forwarder for calls that reach `node`.
     pub const fn new(node: Rc<Node>) -> Self {
         Self { node }
     }
 
-    /// The cell of a job.
+    /// Cell that a job belongs to, by a hash of the job's ID.
     pub fn cell_of(&self, job: &job::Id) -> Id {
         let hash = xxhash_rust::xxh3::xxh3_64(job.to_string().as_bytes());
         Id((hash % u64::from(self.node.cells)) as u32)
     }
 
     /// Counts the waiting jobs of a queue over all cells.
-    pub async fn count_waiting(&self, queue: &str, patience: Duration) -> CallOutcome {
+    pub async fn count_waiting(&self, queue: &str, timeout: Duration) -> CallOutcome {
         let mut total = 0;
         for cell in 0..self.node.cells {
-            match self.call(Id(cell), Call::Waiting(queue.to_owned()), patience).await {
+            match self.call(Id(cell), Call::Waiting(queue.to_owned()), timeout).await {
                 CallOutcome::Answer(Answer::Waiting(waiting)) => total += waiting,
                 other => return other,
             }
@@ -54,31 +54,31 @@
         CallOutcome::Answer(Answer::Waiting(total))
     }
 
-    /// Passes `call` to the owner of `cell`, for a caller who waits for `span`.
+    /// Forwards `call` to the owner of `cell`, for a caller that waits for `timeout`.
     ///
-    /// Every call is idempotent by the job's identity, so that it is repeated at the next owner
-    /// when the one before has gone silent. Whether one of the tries may have been carried out
-    /// decides between the two ways to say no.
-    pub async fn call(&self, cell: Id, call: Call, span: Duration) -> CallOutcome {
+    /// Every call is idempotent by the job's ID, so it is repeated at the next owner when the
+    /// former one does not answer. A call that fails is [`CallOutcome::Unknown`] if it changes a
+    /// job and one of its attempts may have been executed, else [`CallOutcome::NotExecuted`].
+    pub async fn call(&self, cell: Id, call: Call, timeout: Duration) -> CallOutcome {
         let clock = self.node.deps.clock.clone();
-        let changes = matches!(call, Call::Submit(_) | Call::Cancel(_));
-        let mut patience = RetryPolicy::new(clock.now(), span, self.node.owner_heard_at(cell));
-        let mut next = patience.next(clock.now());
+        let is_write = matches!(call, Call::Submit(_) | Call::Cancel(_));
+        let mut policy = RetryPolicy::new(clock.now(), timeout, self.node.owner_heard_at(cell));
+        let mut next = policy.next(clock.now());
         loop {
-            let limit = match next {
-                RetryDecision::Attempt(limit) => limit,
-                RetryDecision::Unknown if changes => return CallOutcome::Unknown,
+            let timeout = match next {
+                RetryDecision::Attempt(timeout) => timeout,
+                RetryDecision::Unknown if is_write => return CallOutcome::Unknown,
                 RetryDecision::Unknown | RetryDecision::NotExecuted => {
                     return CallOutcome::NotExecuted;
                 }
             };
-            let trial = match self.attempt(cell, &call, limit).await {
+            let outcome = match self.attempt(cell, &call, timeout).await {
                 Ok(answer) => return CallOutcome::Answer(answer),
-                Err(trial) => trial,
+                Err(outcome) => outcome,
             };
-            next = patience.after_attempt(trial, clock.now());
+            next = policy.after_attempt(outcome, clock.now());
             if matches!(next, RetryDecision::Attempt(_)) {
-                clock.sleep(RETRY_REST).await;
+                clock.sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -87,14 +87,14 @@
         &self,
         cell: Id,
         call: &Call,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Answer, AttemptOutcome> {
         let answer = match self.node.owner_handle(cell) {
-            Some(owning) => match monoio::time::timeout(limit, owning.call(call.clone())).await {
+            Some(owner) => match monoio::time::timeout(timeout, owner.call(call.clone())).await {
                 Ok(Some(answer)) => answer,
                 Ok(None) | Err(_) => return Err(AttemptOutcome::Unknown),
             },
-            None => self.call_owner(cell, call, limit).await?,
+            None => self.call_owner(cell, call, timeout).await?,
         };
         if answer == Answer::Unavailable { Err(AttemptOutcome::Refused) } else { Ok(answer) }
     }
@@ -103,13 +103,13 @@
         &self,
         cell: Id,
         call: &Call,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Answer, AttemptOutcome> {
         let owner = self.node.owner(cell).filter(|owner| *owner != self.node.me);
         let owner = owner.ok_or(AttemptOutcome::NotDelivered)?;
         let envelope = ForwardedCall { cell, call: call.clone() };
         let reply: Result<Reply, _> =
-            self.node.deps.peers.call(owner, CALL, &envelope, limit).await;
+            self.node.deps.peers.call(owner, CALL, &envelope, timeout).await;
         match reply {
             Ok(Reply::Answer(answer)) => Ok(answer),
             Ok(Reply::NotOwner(_)) => Err(AttemptOutcome::NotDelivered),
--- a/src/cell/incarnation.rs
+++ b/src/cell/incarnation.rs
@@ -1,46 +1,52 @@
-//! Names of the lives of workers.
+//! IDs of worker incarnations.
 //!
-//! A worker may start again under the name under which it stands in the platform's list; it then knows
-//! nothing of before and counts anew. What is placed on a worker, and what is known of it, is bound to one
-//! life, whose name therefore holds its start.
+//! A worker process may restart under the same name in the platform's list. It then has lost its
+//! state and numbers its ended runs anew. Placements and records about a worker are therefore bound
+//! to one incarnation, whose ID contains its start time.
 
 use super::record::WorkerId;
 
-/// Stands between the two parts of a life's name.
+/// Separates the two parts of an ID.
 const SEPARATOR: char = '@';
 
-/// One life of a worker.
+/// One incarnation of a worker, from the start of its process to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerIncarnation<'a> {
-    /// Name under which the worker stands in the list.
+    /// Name of the worker in the list.
     pub listed_name: &'a str,
-    /// When this life began, on the worker's wall clock in milliseconds; `None` where workers have
-    /// another name in each life.
+    /// Start of this incarnation on the worker's wall clock, in milliseconds; `None` where workers
+    /// get a new name at each start.
     pub started_at_ms: Option<u64>,
 }
 
 impl<'a> WorkerIncarnation<'a> {
-    /// The life of that name.
+    /// Parses an ID.
     ///
     /// ```
     /// use oriolefork::cell::incarnation::WorkerIncarnation;
-    /// let life = WorkerIncarnation { entry: "i-7f3a", born: Some(1_700_000_000_000) };
-    /// assert_eq!(WorkerIncarnation::of(&life.name()), life);
-    /// assert_eq!(WorkerIncarnation::of("i-7f3a"), WorkerIncarnation { entry: "i-7f3a", born: None });
+    /// let incarnation =
+    ///     WorkerIncarnation { listed_name: "i-7f3a", started_at_ms: Some(1_700_000_000_000) };
+    /// assert_eq!(WorkerIncarnation::parse(&incarnation.worker_id()), incarnation);
+    /// let unnumbered = WorkerIncarnation { listed_name: "i-7f3a", started_at_ms: None };
+    /// assert_eq!(WorkerIncarnation::parse("i-7f3a"), unnumbered);
     /// ```
     pub fn parse(name: &'a str) -> Self {
         let parts = name.rsplit_once(SEPARATOR);
-        let told = parts.and_then(|(entry, born)| Some((entry, born.parse().ok()?)));
-        match told {
-            Some((entry, born)) => Self { listed_name: entry, started_at_ms: Some(born) },
+        let parsed = parts.and_then(|(listed_name, started_at_ms)| {
+            Some((listed_name, started_at_ms.parse().ok()?))
+        });
+        match parsed {
+            Some((listed_name, started_at_ms)) => {
+                Self { listed_name, started_at_ms: Some(started_at_ms) }
+            }
             None => Self { listed_name: name, started_at_ms: None },
         }
     }
 
-    /// Its name.
+    /// The ID.
     pub fn worker_id(&self) -> WorkerId {
         match self.started_at_ms {
-            Some(born) => format!("{}{SEPARATOR}{born}", self.listed_name).into(),
+            Some(started_at_ms) => format!("{}{SEPARATOR}{started_at_ms}", self.listed_name).into(),
             None => self.listed_name.into(),
         }
     }
--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -1,4 +1,4 @@
-//! Jobs of several steps, their tasks and the tries to run them.
+//! Jobs of several steps, their tasks, and the attempts to run a task.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,20 +9,21 @@
 use crate::clock::Unix;
 use crate::resource::Amount;
 
-/// Most steps of one job. Far above any real job; bounds what one call can make an owner keep.
+/// Maximum number of steps of a job. It is far above any real job and bounds the memory that one
+/// call can make an owner use.
 pub const MAX_STEPS: usize = 256;
 
-/// Most tasks of one job over all its steps.
+/// Maximum number of tasks of a job over all its steps.
 pub const MAX_TASKS: u64 = 20_000;
 
-/// Characters of a job's identity.
+/// Length of a job ID in characters.
 const ID_CHARACTERS: usize = 16;
 
-/// Identity of a job: sixteen hexadecimal digits that the caller chose, kept as written.
+/// ID of a job: sixteen hexadecimal digits chosen by the caller. The case of letters is kept.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id([u8; ID_CHARACTERS]);
 
-/// Text that is no identity of a job.
+/// Error for a text that is not a job ID.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("a job's identity has sixteen hexadecimal digits")]
 pub struct InvalidId;
@@ -53,114 +54,115 @@
     }
 }
 
-/// What a caller submits.
+/// A job as submitted by a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// Identity chosen by the caller.
+    /// ID chosen by the caller.
     pub id: Id,
-    /// Name of the queue it was handed to.
+    /// Name of the queue that it was submitted to.
     pub queue: String,
-    /// Text for the workers, passed on as it came.
+    /// Text for the workers, passed on unchanged.
     pub payload: String,
     /// Its steps.
     pub steps: Vec<Step>,
-    /// When it runs again, if it does.
+    /// Schedule of a repeated job.
     pub schedule: Option<Schedule>,
 }
 
-/// The times at which a job's steps run.
+/// Times at which the steps of a repeated job run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
     /// When the first occurrence is due.
     pub first: Unix,
-    /// Rest between the due times of two occurrences, in milliseconds.
+    /// Interval between the due times of two occurrences, in milliseconds.
     pub interval_ms: u64,
-    /// Occurrences in all.
+    /// Total number of occurrences.
     pub count: u32,
 }
 
-/// Equal tasks of a job.
+/// A step: equal tasks of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// Tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// What each task needs.
+    /// Resources that each task needs.
     pub demand: Amount,
-    /// Rough run time of one task, in milliseconds, as the caller guessed it.
+    /// The caller's estimate of the run time of one task, in milliseconds.
     pub estimate_ms: u64,
-    /// Earlier steps that must all have ended well before this one starts.
+    /// Indexes of earlier steps that must have succeeded before this one starts.
     #[serde(rename = "after")]
     pub depends_on: Vec<usize>,
-    /// Whether its tasks save their progress.
+    /// Whether its tasks write checkpoints.
     pub checkpoints: bool,
-    /// Whether the tasks only work together.
+    /// Whether the step is a gang: its tasks work only when all of them run at once.
     pub gang: bool,
     /// Whether the tasks are much slower on more than one rack.
     pub same_rack: bool,
-    /// Label that the worker must carry.
+    /// Label that a worker must have.
     #[serde(rename = "label")]
     pub required_label: Option<String>,
-    /// Rack where the data lies; elsewhere the tasks are much slower.
+    /// Rack that holds the data. The tasks are much slower elsewhere.
     pub data_rack: Option<String>,
-    /// Most tasks of the step on one worker; zero for no bound.
+    /// Maximum number of tasks of the step on one worker; zero for no limit.
     #[serde(rename = "spread")]
     pub max_per_worker: u32,
-    /// Whether several copies of a task may run at once.
+    /// Whether several attempts of a task may run at once.
     #[serde(rename = "copies")]
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
     #[serde(rename = "lasting")]
     pub long_running: bool,
-    /// What the tasks run, as the caller names it.
+    /// Image that the tasks run, as named by the caller.
     pub image: Option<String>,
-    /// Bound on the tail of the response times of lasting tasks, in milliseconds.
+    /// Target for the tail latency of long-running tasks, in milliseconds.
     #[serde(rename = "target_ms")]
     pub latency_target_ms: Option<u64>,
-    /// Whether the tasks take what others leave unused instead of room of their own.
+    /// Whether the tasks use idle CPU of other tasks instead of having CPU allocated to them.
     #[serde(rename = "fills")]
     pub opportunistic: bool,
-    /// Tasks that the scheduler's own actions may keep away at one time, for lasting steps.
+    /// For long-running steps: maximum number of tasks that actions of the scheduler may make
+    /// unavailable at one time.
     #[serde(rename = "may_miss")]
     pub max_unavailable: Option<u32>,
 }
 
-/// Why a job is refused for good.
+/// Why a job is invalid.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum InvalidJob {
-    /// It has no steps or too many.
+    /// It has no steps, or too many.
     #[display("a job has 1 to {MAX_STEPS} steps")]
     Steps,
-    /// A step has no tasks, or all have too many.
+    /// A step has no tasks, or the job has too many.
     #[display("each step has a task, and a job at most {MAX_TASKS}")]
     Tasks,
-    /// A step waits for itself, for a later one, or for one that is not there.
+    /// A step depends on itself, on a later step, or on one that does not exist.
     #[display("step {step} must come after earlier steps only")]
     Order {
-        /// The step.
+        /// Index of the step.
         step: usize,
     },
-    /// The times of its occurrences do not add up.
+    /// The job repeats with an interval of zero.
     #[display("the interval of a repeated job must be greater than zero")]
     Schedule,
 }
 
 impl Step {
-    /// Whether its tasks serve users of their own and must answer them in time.
+    /// Whether its tasks serve requests of users and have a latency target.
     pub const fn has_latency_target(&self) -> bool {
         self.latency_target_ms.is_some()
     }
 
-    /// Room that one task takes on its worker.
+    /// Resources allocated to one task on its worker.
     pub const fn allocation(&self) -> Amount {
         if self.opportunistic { Amount { cpu_millis: 0, ..self.demand } } else { self.demand }
     }
 }
 
 impl Job {
-    /// Checks what the wire form cannot rule out.
+    /// Checks the constraints that the wire format does not enforce.
     ///
     /// # Errors
-    /// Tells the first thing that is wrong.
+    /// Returns the first violated constraint.
     pub fn validate(&self) -> Result<(), InvalidJob> {
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
             return Err(InvalidJob::Steps);
@@ -182,12 +184,12 @@
         }
     }
 
-    /// How often its steps run.
+    /// Number of times that its steps run.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.count.max(1))
     }
 
-    /// When occurrence `number` is due; `None` for a job that runs at once.
+    /// Due time of occurrence `number`; `None` for a job that runs at once.
     pub fn due_at(&self, number: u32) -> Option<Unix> {
         let schedule = self.schedule?;
         let offset = schedule.interval_ms.saturating_mul(u64::from(number));
@@ -195,7 +197,7 @@
     }
 }
 
-/// Names one step of one occurrence of a job.
+/// Identifies one step of one occurrence of a job.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -203,20 +205,20 @@
 pub struct StepKey {
     /// The job.
     pub job: Id,
-    /// Which of its occurrences.
+    /// Index of the occurrence.
     pub occurrence: u32,
-    /// Which of its steps.
+    /// Index of the step.
     pub step: u32,
 }
 
 impl StepKey {
-    /// Name that stands before those of all steps of `job`.
+    /// Smallest key of the steps of `job`.
     pub(super) const fn first(job: Id) -> Self {
         Self { job, occurrence: 0, step: 0 }
     }
 }
 
-/// Names one task.
+/// Identifies one task.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -224,11 +226,11 @@
 pub struct TaskKey {
     /// Its step.
     pub step: StepKey,
-    /// Its number within the step.
+    /// Index of the task within the step.
     pub index: u32,
 }
 
-/// A task's name in four parts, as workers write it, that cannot be read.
+/// Error for a text that is not a task key. A task key has four parts, separated by dots.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("not the name of a task")]
 pub struct InvalidTaskKey;
@@ -255,7 +257,7 @@
     }
 }
 
-/// One try to run a task.
+/// One attempt to run a task.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -263,25 +265,26 @@
 pub struct Run {
     /// The task.
     pub task: TaskKey,
-    /// Rises with each try; the members of one try of a gang share it.
+    /// Number of the attempt, which rises with each one. The members of one attempt of a gang share
+    /// it.
     pub number: u32,
 }
 
 impl Run {
-    /// Name that stands before those of all tries of `step` and of the steps after it.
+    /// Smallest run of `step`. Runs of later steps are greater.
     pub(super) const fn first(step: StepKey) -> Self {
         Self { task: TaskKey { step, index: 0 }, number: 0 }
     }
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[display("{}", self.name())]
 pub enum RunOutcome {
-    /// The task has done its work.
+    /// The task succeeded.
     #[serde(rename = "Done")]
     Succeeded,
-    /// It failed by its own fault or its worker's.
+    /// The attempt failed, because of the task or of its worker.
     Failed,
     /// It was stopped on request.
     Stopped,
@@ -291,24 +294,24 @@
     /// Another member of its gang ended.
     #[serde(rename = "Broken")]
     GangBroken,
-    /// It waited too long for the other members of its gang.
+    /// The other members of its gang did not start in time.
     #[serde(rename = "Alone")]
     GangTimeout,
-    /// It never began and surely never will.
+    /// It did not start and cannot start any more.
     #[serde(rename = "Void")]
     NeverStarted,
-    /// Its worker is gone, and the try with it.
+    /// Its worker is gone.
     #[serde(rename = "Lost")]
     WorkerLost,
-    /// Its worker crashed while it was there.
+    /// Its worker crashed during the attempt.
     #[serde(rename = "Crashed")]
     WorkerCrashed,
-    /// Its worker crashed as it began, so that it may be the cause.
+    /// Its worker crashed when the attempt started, so the task may be the cause.
     #[serde(rename = "CrashedAtStart")]
     WorkerCrashedAtStart,
 }
 
-/// What callers are told of a job.
+/// Phase of a job as shown to callers.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[display("{}", self.name())]
 pub enum Phase {
@@ -316,16 +319,16 @@
     Pending,
     /// Some task has started.
     Running,
-    /// All tasks have done their work.
+    /// All tasks succeeded.
     Completed,
-    /// A task has failed too often.
+    /// A task failed too often.
     Failed,
     /// The caller cancelled it.
     Cancelled,
 }
 
 impl RunOutcome {
-    /// Whether its worker told of it, so that the try surely began.
+    /// Whether the worker reported this outcome, which proves that the attempt started.
     pub const fn is_reported_by_worker(self) -> bool {
         !matches!(
             self,
@@ -336,7 +339,7 @@
         )
     }
 
-    /// Its name in metrics.
+    /// Value of the metrics label.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Succeeded => "done",
@@ -354,7 +357,7 @@
 }
 
 impl Phase {
-    /// Its name in answers, log lines and metrics.
+    /// Name in responses, log lines and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Pending => "pending",
--- a/src/cell/machine/message.rs
+++ b/src/cell/machine/message.rs
@@ -195,7 +195,7 @@
     pub const fn duty(&self) -> OwnerActivity {
         match self {
             Self::Append { .. } | Self::Save(_) | Self::StepDown { .. } => OwnerActivity::Append,
-            Self::Look { .. } => OwnerActivity::Look,
+            Self::Look { .. } => OwnerActivity::Poll,
             Self::Start { .. } | Self::Stop { .. } => OwnerActivity::Command,
             Self::Advise(_) => OwnerActivity::Policy,
             Self::Reply { .. } => OwnerActivity::Call,
--- a/src/cell/machine/mod.rs
+++ b/src/cell/machine/mod.rs
@@ -228,7 +228,7 @@
         self.send_orders();
         done(OwnerActivity::Command);
         self.look_around();
-        done(OwnerActivity::Look);
+        done(OwnerActivity::Poll);
         if self.now >= self.next_lapse {
             self.next_lapse = now.after(LAPSE_REST);
             self.give_up_lapsed();
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -1,22 +1,27 @@
-//! A cell: a set of workers with one owner among all instances, which runs jobs of several steps.
+//! Cells: a cell is a set of workers with one owner among all instances. It runs jobs of several
+//! steps.
 //!
-//! Any instance takes callers' calls and passes them to the owner. The owner decides, writes what
-//! it decided to the cell's journal in the platform's store, and only then acts: no task starts
-//! whose placement is not stored. An instance that takes a cell over reads the journal, makes every
-//! worker refuse the owner before it, and goes on from there.
+//! Any instance accepts callers' calls and forwards them to the owner. The owner makes a decision,
+//! writes it to the cell's journal in the platform's store, and only then acts on it: no task
+//! starts before its placement is stored. An instance that takes a cell over replays the journal,
+//! fences the former owner at every worker, and continues from the replayed state.
 //!
-//! | File | Duty |
+//! | File | Contents |
 //! |---|---|
-//! | `job.rs`, `queue.rs` | what callers submit and the rules of the queue it goes to |
-//! | `record.rs`, `state.rs` | the journal's records and what they add up to |
-//! | `worker.rs`, `lease.rs` | a worker's room, its clock and how long it may hold what runs |
-//! | `ticket.rs` | which workers may run a step, by the policy service's word |
-//! | `machine/` | the owner's decisions; pure |
-//! | `dependencies.rs` | borders to workers, policy service, journal and lists |
-//! | `preempt.rs` | which running tasks make room for more urgent ones |
-//! | `retry.rs` | how long a call waits for an owner |
-//! | `activity.rs` | what an owner spends its time on |
-//! | `owner.rs`, `election/`, `forward.rs`, `node/`, `replay.rs`, `dependency_status.rs` | the tasks of an instance |
+//! | `job.rs`, `queue.rs` | jobs as submitted, and the configuration of their queues |
+//! | `record.rs`, `state.rs` | journal records and the state that they yield |
+//! | `worker.rs`, `lease.rs`, `incarnation.rs` | a worker's capacity, clock, lease and identity |
+//! | `command_backoff.rs` | backoff for workers that leave commands unanswered |
+//! | `crash_score.rs` | evidence that a task crashes its workers |
+//! | `ticket.rs` | which workers may run a step, as the policy service answered |
+//! | `machine/` | the owner's decisions, as a state machine without I/O |
+//! | `dependencies.rs` | interfaces to workers, the policy service, the journal and the platform |
+//! | `preempt.rs` | choice of running tasks to stop for more urgent ones |
+//! | `forward.rs`, `retry.rs` | forwarding of calls to the owner, and their retries |
+//! | `activity.rs` | time that an owner spends on each kind of work |
+//! | `peer.rs` | messages between instances |
+//! | `timings.rs` | timeouts, intervals and limits |
+//! | `owner.rs`, `election/`, `node/`, `replay.rs`, `dependency_status.rs` | tasks of an instance |
 
 pub mod activity;
 pub mod command_backoff;
@@ -45,7 +50,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Number of a cell; cells of one site are numbered from zero.
+/// Number of a cell. The cells of a site are numbered from zero.
 #[derive(
     Clone,
     Copy,
@@ -62,7 +67,8 @@
 )]
 pub struct Id(pub u32);
 
-/// Rank of an owner in the order of claims; workers refuse orders of a smaller one.
+/// Term of an owner. Each claim of the cell raises it, and workers refuse commands of a smaller
+/// one.
 #[derive(
     Clone,
     Copy,
--- a/src/cell/owner.rs
+++ b/src/cell/owner.rs
@@ -1,4 +1,4 @@
-//! The task that owns a cell's machine and carries its effects out.
+//! The task that runs a cell's state machine and executes its effects.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -28,11 +28,12 @@
 use crate::clock::{Clock, Instant, Unix};
 use crate::peer;
 
-/// Most messages taken in between two looks at what is due: as many as come in a tenth of a second where
-/// a site is at its busiest, so that a round of placement never comes after each few of them.
+/// Maximum number of messages processed between two steps of the machine. It is the number that
+/// arrives in a tenth of a second at the busiest sites, so that a placement round does not follow
+/// every few messages.
 const MAX_MESSAGES_PER_STEP: usize = 1_024;
 
-/// Ways to the outside that every instance has.
+/// Interfaces to external systems, shared by the tasks of an instance.
 pub struct Dependencies {
     /// Journals of the cells.
     pub journal: Rc<dyn Journal>,
@@ -44,13 +45,13 @@
     pub discovery: Rc<dyn Discovery>,
     /// Other instances.
     pub peers: Rc<peer::Client>,
-    /// Time, which also passes while the instance is suspended.
+    /// Clock that also advances while the instance is suspended.
     pub clock: Rc<dyn Clock>,
-    /// What the instance spends its time on while it owns a cell.
+    /// Time that the instance spends on each activity while it owns a cell.
     pub profiler: Rc<ThreadProfiler>,
 }
 
-/// A look at the machine, run by the task that owns it.
+/// Read access to the machine, executed by the task that owns it.
 type Inspection = Box<dyn FnOnce(&Machine, Instant)>;
 
 enum Input {
@@ -61,7 +62,7 @@
 }
 
 impl Input {
-    /// What taking it in counts for.
+    /// Activity to which processing the input is attributed.
     const fn duty(&self) -> OwnerActivity {
         match self {
             Self::Message(message) => message.duty(),
@@ -71,27 +72,27 @@
     }
 }
 
-/// Way to talk to the task.
+/// Handle to the task.
 #[derive(Clone)]
 pub struct OwnerHandle {
     inputs: Tx<Input>,
 }
 
 impl OwnerHandle {
-    /// Tells the machine something.
+    /// Sends a message to the machine.
     pub fn send(&self, message: Message) {
-        // The task has ended when nobody takes it; its successor learns anew.
+        // The send fails when the task has ended; the next owner obtains the information itself.
         let _ = self.inputs.send(Input::Message(message));
     }
 
-    /// Asks for an answer; `None` when the owner ended before it answered.
+    /// Executes a call; `None` when the task ended before it answered.
     pub async fn call(&self, call: Call) -> Option<Answer> {
         let (reply, answer) = oneshot::channel();
         self.inputs.send(Input::Call { call, reply }).ok()?;
         answer.await.ok()
     }
 
-    /// Looks at the machine; `None` when the owner has ended.
+    /// Reads from the machine; `None` when the task has ended.
     pub async fn inspect<T: 'static>(
         &self,
         look: impl FnOnce(&Machine, Instant) -> T + 'static,
@@ -104,13 +105,13 @@
         receiver.await.ok()
     }
 
-    /// Ends the task.
+    /// Stops the task.
     pub fn stop(&self) {
         let _ = self.inputs.send(Input::End);
     }
 }
 
-/// The owner's task.
+/// Task of a cell's owner.
 pub struct OwnerTask {
     cell: Id,
     cells: u32,
@@ -124,7 +125,7 @@
     saves: u64,
     ended: Rc<Cell<bool>>,
     profiler: Rc<ThreadProfiler>,
-    /// Told at each step how the store takes what is decided.
+    /// Called at each step with the health of the store.
     report_health: Box<dyn Fn(Health)>,
 }
 
@@ -135,7 +136,7 @@
         cells: u32,
         me: SocketAddr,
         machine: Machine,
-        borders: Rc<Dependencies>,
+        deps: Rc<Dependencies>,
         health: Box<dyn Fn(Health)>,
     ) -> (Self, OwnerHandle) {
         let (sender, inputs) = channel();
@@ -151,74 +152,74 @@
             last_call: 0,
             saves: 0,
             ended: Rc::new(Cell::new(false)),
-            profiler: borders.profiler.clone(),
-            deps: borders,
+            profiler: deps.profiler.clone(),
+            deps,
             report_health: health,
         };
         (owner, handle)
     }
 
-    /// Runs until another instance takes over or the handle says so; returns why.
+    /// Runs until another instance takes over or the handle stops it; returns the reason.
     pub async fn run(mut self) -> String {
         self.follow_roster();
         self.schedule_snapshots();
         self.report_activities();
-        let why = self.run_loop().await;
+        let reason = self.run_loop().await;
         self.ended.set(true);
-        why
+        reason
     }
 
     async fn run_loop(&mut self) -> String {
-        let mut lap = self.profiler.stopwatch();
+        let mut stopwatch = self.profiler.stopwatch();
         loop {
             let first = monoio::time::timeout(TICK, self.inputs.recv()).await.ok().flatten();
-            lap.restart();
-            if self.drain_inputs(first, &mut lap) {
-                return "told to end".to_owned();
+            stopwatch.restart();
+            if self.drain_inputs(first, &mut stopwatch) {
+                return "stopped on request".to_owned();
             }
             let (now, unix) = (self.deps.clock.now(), self.deps.clock.unix());
             (self.report_health)(self.machine.store_health(now));
             let mut round = Duration::ZERO;
-            let effects = self.machine.step_by_duty(now, unix, &mut |duty| {
-                let took = lap.record(duty);
-                if duty == OwnerActivity::Placement {
-                    round = took;
+            let effects = self.machine.step_by_duty(now, unix, &mut |activity| {
+                let elapsed = stopwatch.record(activity);
+                if activity == OwnerActivity::Placement {
+                    round = elapsed;
                 }
             });
             self.machine.rest_from_placement(round);
             for effect in effects {
-                let duty = effect.duty();
-                if let Some(why) = self.execute(effect) {
-                    return why;
+                let activity = effect.duty();
+                if let Some(reason) = self.execute(effect) {
+                    return reason;
                 }
-                lap.record(duty);
+                stopwatch.record(activity);
             }
         }
     }
 
-    /// Takes in what has come, `first` first; `true` when the task is to end.
-    fn drain_inputs(&mut self, first: Option<Input>, lap: &mut Stopwatch) -> bool {
-        // All of it had come by now, since nothing else runs meanwhile.
+    /// Processes the queued inputs, `first` before the others; `true` when the task is to stop.
+    fn drain_inputs(&mut self, first: Option<Input>, stopwatch: &mut Stopwatch) -> bool {
+        // All of them had arrived by now, since nothing else runs on the thread meanwhile.
         let (now, unix) = (self.deps.clock.now(), self.deps.clock.unix());
         let mut next = first;
-        let mut duty = None;
+        let mut activity = None;
         for _ in 0..MAX_MESSAGES_PER_STEP {
             let Some(input) = next.take().or_else(|| self.inputs.try_recv().ok()) else { break };
-            let before = duty.replace(input.duty());
+            let before = activity.replace(input.duty());
             if let Some(before) = before.filter(|before| *before != input.duty()) {
-                lap.record(before);
+                stopwatch.record(before);
             }
             if self.process(input, now, unix) {
                 return true;
             }
         }
-        if let Some(duty) = duty {
-            lap.record(duty);
+        if let Some(activity) = activity {
+            stopwatch.record(activity);
         }
         false
     }
 
-    /// Takes in one message; `true` when the task is to end.
+    /// Processes one input; `true` when the task is to stop.
     fn process(&mut self, input: Input, now: Instant, unix: Unix) -> bool {
         match input {
             Input::Message(message) => self.machine.handle(message, now, unix),
@@ -243,64 +244,64 @@
             Effect::Advise(question) => self.advise(question),
             Effect::Reply { id, answer } => {
                 if let Some(reply) = self.pending_replies.remove(&id) {
-                    // The caller has gone away when nobody takes the answer.
+                    // The send fails when the caller no longer waits.
                     let _ = reply.send(answer);
                 }
             }
-            Effect::Save(base) => self.save_snapshot(base),
-            Effect::StepDown { why } => return Some(why),
+            Effect::Save(snapshot) => self.save_snapshot(snapshot),
+            Effect::StepDown { why: reason } => return Some(reason),
         }
         None
     }
 
     fn append(&self, sequence: u64, batch: Bytes) {
-        let (borders, handle) = (self.deps.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         let (cell, epoch) = (self.cell, self.machine.epoch);
         monoio::spawn(async move {
-            let sent = borders.clock.now();
-            let append = borders.journal.append(cell, epoch, sequence, batch, APPEND_TIMEOUT);
-            let outcome = borders.profiler.measure(OwnerActivity::Append, append).await;
+            let sent = deps.clock.now();
+            let append = deps.journal.append(cell, epoch, sequence, batch, APPEND_TIMEOUT);
+            let outcome = deps.profiler.measure(OwnerActivity::Append, append).await;
             handle.send(Message::Appended { sequence, sent, outcome });
         });
     }
 
     fn poll(&self, worker: WorkerId, peer: SocketAddr, look: PollRequest) {
-        let (borders, handle) = (self.deps.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
-            let sent = borders.clock.now();
+            let sent = deps.clock.now();
             let timeout = look.max_wait + POLL_TIMEOUT;
-            let look = borders.workers.poll(peer, &worker, &look, timeout);
-            let outcome = borders.profiler.measure(OwnerActivity::Look, look).await;
+            let poll = deps.workers.poll(peer, &worker, &look, timeout);
+            let outcome = deps.profiler.measure(OwnerActivity::Poll, poll).await;
             handle.send(Message::Looked { worker, sent, outcome });
         });
     }
 
     fn start(&self, worker: WorkerId, peer: SocketAddr, start: StartCommand) {
-        let (borders, handle) = (self.deps.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
-            let order = borders.workers.start(peer, &worker, &start, COMMAND_TIMEOUT);
-            let outcome = borders.profiler.measure(OwnerActivity::Command, order).await;
+            let command = deps.workers.start(peer, &worker, &start, COMMAND_TIMEOUT);
+            let outcome = deps.profiler.measure(OwnerActivity::Command, command).await;
             handle.send(Message::Started { worker, run: start.run, outcome });
         });
     }
 
     fn stop(&self, worker: WorkerId, peer: SocketAddr, run: Run) {
-        let (borders, handle) = (self.deps.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         let epoch: Epoch = self.machine.epoch;
         monoio::spawn(async move {
-            let order = borders.workers.stop(peer, &worker, run, epoch, COMMAND_TIMEOUT);
+            let command = deps.workers.stop(peer, &worker, run, epoch, COMMAND_TIMEOUT);
             let outcome: Result<u64, WorkerError> =
-                borders.profiler.measure(OwnerActivity::Command, order).await;
+                deps.profiler.measure(OwnerActivity::Command, command).await;
             handle.send(Message::Stopped { worker, run, outcome });
         });
     }
 
     fn advise(&self, question: Question) {
-        let (borders, handle, me) = (self.deps.clone(), self.handle.clone(), self.me);
+        let (deps, handle, me) = (self.deps.clone(), self.handle.clone(), self.me);
         monoio::spawn(async move {
             let number = question.number;
-            let asked = ask_policy_service(&borders, me, question).boxed_local();
-            let allowed = borders.profiler.measure(OwnerActivity::Policy, asked).await;
+            let asked = ask_policy_service(&deps, me, question).boxed_local();
+            let allowed = deps.profiler.measure(OwnerActivity::Policy, asked).await;
             if let Err(cause) = &allowed {
                 log::info!("event=advice.no_answer question={number} cause={cause:?}");
             }
@@ -308,8 +309,8 @@
         });
     }
 
-    /// Asks for the whole state to be saved at times, so that a successor reads little and the store
-    /// may drop old records.
+    /// Requests snapshots at intervals, so that the next owner has few records to replay and the
+    /// store may remove old ones.
     fn schedule_snapshots(&self) {
         let (clock, handle, ended) =
             (self.deps.clock.clone(), self.handle.clone(), self.ended.clone());
@@ -326,14 +327,14 @@
         monoio::spawn(self.profiler.clone().report_periodically(self.cell, move || !ended.get()));
     }
 
-    fn save_snapshot(&mut self, base: JournalSnapshot) {
+    fn save_snapshot(&mut self, snapshot: JournalSnapshot) {
         self.saves += 1;
-        let (borders, cell, epoch) = (self.deps.clone(), self.cell, self.machine.epoch);
+        let (deps, cell, epoch) = (self.deps.clone(), self.cell, self.machine.epoch);
         let sequence = self.machine.claim_number() + self.saves;
         monoio::spawn(async move {
-            let bytes = base.state.as_ref().map_or(0, Bytes::len);
-            let offset = base.offset;
-            match borders.journal.save_snapshot(cell, epoch, sequence, &base).await {
+            let bytes = snapshot.state.as_ref().map_or(0, Bytes::len);
+            let offset = snapshot.offset;
+            match deps.journal.save_snapshot(cell, epoch, sequence, &snapshot).await {
                 Ok(()) => {
                     log::info!("event=journal.saved cell={cell} offset={offset} bytes={bytes}")
                 }
@@ -342,17 +343,17 @@
         });
     }
 
-    /// Reads the list of workers as long as the task runs.
+    /// Reads the list of workers while the task runs.
     fn follow_roster(&self) {
-        let (borders, handle) = (self.deps.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         let (cell, cells, ended) = (self.cell, self.cells, self.ended.clone());
-        borders.discovery.reset();
+        deps.discovery.reset();
         monoio::spawn(async move {
             let mut list = DependencyStatus::new("roster");
             while !ended.get() {
-                match borders
+                match deps
                     .profiler
-                    .measure(OwnerActivity::List, borders.discovery.roster_update())
+                    .measure(OwnerActivity::List, deps.discovery.roster_update())
                     .await
                 {
                     Ok(roster) => {
@@ -361,36 +362,36 @@
                     }
                     Err(cause) => list.record_failure(&cause),
                 }
-                borders.clock.sleep(ROSTER_INTERVAL).await;
+                deps.clock.sleep(ROSTER_INTERVAL).await;
             }
         });
     }
 }
 
 async fn ask_policy_service(
-    borders: &Dependencies,
+    deps: &Dependencies,
     me: SocketAddr,
     question: Question,
 ) -> Result<super::dependencies::Eligibility, String> {
     let timeout = question.timeout;
     if question.asker == me {
-        return borders
+        return deps
             .policy_service
             .eligible_workers(&question.step, &question.workers, timeout)
             .await;
     }
-    let ask = wire::PolicyRequest {
+    let request = wire::PolicyRequest {
         step: question.step,
         workers: question.workers,
         timeout_ms: crate::clock::millis(timeout),
     };
     let answer: Result<Result<super::dependencies::Eligibility, String>, peer::Error> =
-        borders.peers.call(question.asker, wire::POLICY, &ask, timeout + timeout / 4).await;
+        deps.peers.call(question.asker, wire::POLICY, &request, timeout + timeout / 4).await;
     answer.map_err(|error| error.to_string())?
 }
 
-/// The cell that a worker belongs to: whole racks go to one cell, so that a gang that wants one
-/// rack finds it there.
+/// Cell that a worker belongs to. All workers of a rack belong to the same cell, so that a gang
+/// that needs a single rack finds it there.
 pub fn cell_of(listed: &WorkerInfo, cells: u32) -> Id {
     let rack = listed.rack.as_deref().unwrap_or(&listed.domain);
     Id((xxhash_rust::xxh3::xxh3_64(rack.as_bytes()) % u64::from(cells.max(1))) as u32)
--- a/src/cell/peer.rs
+++ b/src/cell/peer.rs
@@ -1,4 +1,4 @@
-//! What instances say to one another about cells.
+//! Messages between instances about cells.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,71 +11,71 @@
 use super::record::WorkerId;
 use super::{Epoch, Id};
 
-/// Peer method that carries a caller's call to the owner.
+/// Peer method that forwards a caller's call to the owner.
 pub const CALL: &str = "cell/call";
 /// Peer method by which an instance follows the owner.
 pub const WATCH: &str = "cell/watch";
-/// Peer method by which the owner has an instance ask the policy service.
+/// Peer method by which the owner queries the policy service through another instance.
 pub const POLICY: &str = "cell/advise";
-/// Peer method by which a new owner makes itself known.
+/// Peer method by which a new owner announces itself.
 pub const ANNOUNCE: &str = "cell/announce";
-/// Peer method that passes on a newer configuration.
+/// Peer method that sends a newer configuration.
 pub const TABLE: &str = "cell/table";
 
-/// A caller's call on its way to the owner.
+/// A caller's call, forwarded to the owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ForwardedCall {
     /// The cell.
     pub cell: Id,
-    /// What is asked.
+    /// The call.
     pub call: Call,
 }
 
-/// Answer to an [`ForwardedCall`].
+/// Response to a [`ForwardedCall`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
     /// The owner's answer.
     Answer(Answer),
-    /// The instance does not own the cell; the one that does, where it knows.
+    /// The instance does not own the cell; contains the owner if it is known.
     #[serde(rename = "Elsewhere")]
     NotOwner(Option<SocketAddr>),
-    /// The owner ended before it answered; the call may have been carried out.
+    /// The owner task ended before it answered; the call may have been executed.
     #[serde(rename = "Cut")]
     Interrupted,
 }
 
-/// An instance follows the owner of a cell.
+/// Request by which an instance follows the owner of a cell.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WatchRequest {
     /// The cell.
     pub cell: Id,
-    /// Address at which the follower is reached.
+    /// Address of the follower.
     #[serde(rename = "from")]
     pub follower: SocketAddr,
     /// Failure domain of the follower.
     pub domain: Rc<str>,
-    /// Version of the configuration that it has.
+    /// Version of the follower's configuration.
     #[serde(rename = "version")]
     pub config_version: u64,
-    /// Processor that the follower may use, in thousandths of a core.
+    /// CPU that the follower may use, in thousandths of a core.
     #[serde(rename = "strength")]
     pub cpu_millis: u32,
-    /// Whether the owner may hold its answer back while all is well.
+    /// Whether the owner may delay its response while nothing changes.
     #[serde(rename = "patient")]
     pub long_poll: bool,
-    /// Digest of the order of succession that the follower was told last; zero for none.
+    /// Digest of the order of succession that the follower received last; zero for none.
     #[serde(rename = "succession")]
     pub succession_digest: u64,
 }
 
-/// Whether an owner wants to be relieved.
+/// Whether an owner offers its cell to other instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HandoverOffer {
-    /// It serves its cell.
+    /// The owner keeps its cell.
     #[default]
     #[serde(rename = "Kept")]
     NotOffered,
-    /// The store keeps it waiting; whoever reaches the store faster should take over.
+    /// The store answers the owner slowly; an instance that reaches it faster should take over.
     #[serde(rename = "IfQuicker")]
     IfFaster,
     /// Any instance that reaches the store should take over.
@@ -83,35 +83,35 @@
     Anyone,
 }
 
-/// A new owner makes itself known, so that nobody has to find it in the journal.
+/// Announcement of a new owner, so that instances need not search the journal for it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Announcement {
     /// The cell.
     pub cell: Id,
     /// Epoch of the owner.
     pub epoch: Epoch,
-    /// Where it is reached.
+    /// Address of the owner.
     pub owner: SocketAddr,
 }
 
-/// Answer to a [`WatchRequest`].
+/// Response to a [`WatchRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WatchResponse {
     /// Whether the instance owns the cell.
     #[serde(rename = "owns")]
     pub is_owner: bool,
-    /// The instance that does, where it knows; itself while it prepares to.
+    /// Owner of the cell if known; the instance itself while it prepares to own the cell.
     pub owner: Option<SocketAddr>,
-    /// Processor that the instance may use, in thousandths of a core.
+    /// CPU that the instance may use, in thousandths of a core.
     #[serde(rename = "strength")]
     pub cpu_millis: u32,
-    /// End of the journal, as the owner knows it.
+    /// End offset of the journal, as known to the owner.
     #[serde(rename = "end")]
     pub journal_end: u64,
-    /// Whether the owner wants another instance to take over.
+    /// Whether the owner offers its cell.
     pub offer: HandoverOffer,
-    /// Instances that follow the owner, in the order in which they would take over, where the
-    /// follower was told of another order last.
+    /// Instances that follow the owner, in the order in which they would take over; `None` if the
+    /// follower has this order already.
     #[serde(rename = "present")]
     pub succession_order: Option<Vec<SocketAddr>>,
     /// Digest of that order; zero while there is none.
@@ -122,13 +122,13 @@
     pub config: Option<QueueConfig>,
 }
 
-/// A question to the policy service.
+/// Request to query the policy service on behalf of the owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PolicyRequest {
     /// The step.
     pub step: StepKey,
-    /// Workers asked about.
+    /// Workers that the query names.
     pub workers: Vec<WorkerId>,
-    /// Time for the answer, in milliseconds.
+    /// Timeout of the query, in milliseconds.
     pub timeout_ms: u64,
 }
--- a/src/cell/preempt.rs
+++ b/src/cell/preempt.rs
@@ -1,23 +1,24 @@
-//! Which running tasks make room for more urgent ones.
+//! Choice of the running tasks to stop for more urgent ones.
 //!
-//! The pattern that this answers: a burst of wide gangs, or a failure domain cut off, on a site that is
-//! four fifths full. A gang of a dozen tasks finds no worker with room enough while small tasks that
-//! save their progress, and have time left, run everywhere; it used to wait for half a minute and came
-//! too late. Stopping a task that saves its progress loses only the time to stop and begin it again.
+//! The problem arises with a burst of wide gangs, or with a failure domain cut off, on a site at
+//! 80% load. A gang of a dozen tasks finds no worker with enough free capacity while small tasks that
+//! write checkpoints and can afford a delay run everywhere. Without preemption it waited for half a
+//! minute and missed its deadline. Stopping a task that writes checkpoints loses only the time for
+//! its stop and restart.
 
 use super::job::Run;
 use crate::resource::Amount;
 
-/// Time that a stopped task loses, in milliseconds: 200 to 400 ms until the stop is done, 250 ms to
-/// take up its progress.
+/// Time that a stopped task loses, in milliseconds: 200 to 400 ms until it has stopped, and 250 ms
+/// to restore its checkpoint.
 pub const PREEMPTION_COST_MS: u64 = 500;
 
 /// A task that may be stopped.
 #[derive(Clone, Debug)]
 pub struct Victim {
-    /// The try.
+    /// The run.
     pub run: Run,
-    /// Room that it gives back.
+    /// Resources that it releases.
     pub demand: Amount,
 }
 
@@ -28,85 +29,85 @@
     }
 }
 
-/// A worker that tasks may go to.
+/// A worker on which tasks may be placed.
 #[derive(Clone, Debug)]
 pub struct CandidateWorker {
-    /// Room that is free.
+    /// Free capacity.
     pub free: Amount,
-    /// Tasks of the step that may still go there.
+    /// Maximum number of further tasks of the step on this worker.
     pub max_tasks: usize,
     /// Tasks that may be stopped there.
     pub victims: Vec<Victim>,
 }
 
-/// What makes room.
+/// Tasks to stop, and the result.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Preemption {
-    /// Tasks that then fit.
+    /// Number of tasks that can be placed.
     pub placeable: usize,
-    /// Tries to stop.
+    /// Runs to stop.
     pub victims: Vec<Run>,
     /// Work lost, in thousandths of a core times milliseconds.
     pub lost_work: u64,
 }
 
-/// Chooses what to stop so that `count` tasks of `demand` fit, or as many as can, where least work
-/// is lost first.
+/// Chooses the runs to stop so that `count` tasks of `demand` can be placed, or as many as
+/// possible. Workers where least work is lost come first.
 ///
 /// ```
-/// use oriolefork::cell::preempt::{CandidateWorker, choose};
+/// use oriolefork::cell::preempt::{CandidateWorker, choose_victims};
 /// use oriolefork::resource::Amount;
 /// let cores = |cores: u64| Amount { cpu_millis: cores * 1_000, memory_mib: 0, accelerators: 0 };
-/// let place = CandidateWorker { room: cores(4), bound: 9, victims: Vec::new() };
-/// let choice = choose(&cores(3), 2, vec![place]);
-/// assert_eq!((choice.fitting, choice.lost), (1, 0));
+/// let worker = CandidateWorker { free: cores(4), max_tasks: 9, victims: Vec::new() };
+/// let choice = choose_victims(&cores(3), 2, vec![worker]);
+/// assert_eq!((choice.placeable, choice.lost_work), (1, 0));
 /// ```
 pub fn choose_victims(
     demand: &Amount,
     count: usize,
-    mut places: Vec<CandidateWorker>,
+    mut workers: Vec<CandidateWorker>,
 ) -> Preemption {
     let mut choice = Preemption::default();
     for _ in 0..count {
-        let options = places.iter().enumerate();
-        let options = options.filter_map(|(at, place)| Some((at, place.victims_for(demand)?)));
-        let cost = |(at, taken): &(usize, Vec<usize>)| (places[*at].lost(taken), *at);
+        let options = workers.iter().enumerate();
+        let options = options.filter_map(|(at, worker)| Some((at, worker.victims_for(demand)?)));
+        let cost = |(at, taken): &(usize, Vec<usize>)| (workers[*at].lost(taken), *at);
         let Some((at, taken)) = options.min_by_key(cost) else { break };
-        choice.lost_work += places[at].lost(&taken);
-        choice.victims.extend(places[at].place_task(demand, &taken));
+        choice.lost_work += workers[at].lost(&taken);
+        choice.victims.extend(workers[at].place_task(demand, &taken));
         choice.placeable += 1;
     }
     choice
 }
 
 impl CandidateWorker {
-    /// Victims whose end makes room for one task, by their numbers in rising order; none where it
-    /// fits already, `None` where it cannot fit.
+    /// Indexes of the victims to stop for one task, in ascending order; empty if it fits already,
+    /// `None` if it cannot fit.
     fn victims_for(&self, demand: &Amount) -> Option<Vec<usize>> {
         if self.max_tasks == 0 {
             return None;
         }
-        let mut room = self.free;
+        let mut free = self.free;
         let mut taken = Vec::new();
         let mut order: Vec<usize> = (0..self.victims.len()).collect();
         order.sort_by_key(|&number| self.victims[number].lost());
         let mut order = order.into_iter();
-        while !demand.fits(&room) {
+        while !demand.fits(&free) {
             let number = order.next()?;
-            room = room.saturating_add(&self.victims[number].demand);
+            free = free.saturating_add(&self.victims[number].demand);
             taken.push(number);
         }
-        self.release_unneeded(demand, room, &mut taken);
+        self.release_unneeded(demand, free, &mut taken);
         taken.sort_unstable();
         Some(taken)
     }
 
-    /// Lets go the costliest victims that turn out not to be needed.
-    fn release_unneeded(&self, demand: &Amount, mut room: Amount, taken: &mut Vec<usize>) {
+    /// Removes victims that turn out to be unnecessary, the costliest first.
+    fn release_unneeded(&self, demand: &Amount, mut free: Amount, taken: &mut Vec<usize>) {
         for at in (0..taken.len()).rev() {
-            let without = room.saturating_sub(&self.victims[taken[at]].demand);
+            let without = free.saturating_sub(&self.victims[taken[at]].demand);
             if demand.fits(&without) {
-                room = without;
+                free = without;
                 taken.remove(at);
             }
         }
--- a/src/cell/queue.rs
+++ b/src/cell/queue.rs
@@ -1,17 +1,17 @@
-//! Queues that callers hand jobs to, as the operators' configuration defines them.
+//! Queues to which callers submit jobs, as defined by the operators' configuration.
 
 use std::rc::Rc;
 
 use serde::{Deserialize, Serialize};
 
-/// The operators' configuration, as far as jobs are concerned.
+/// The part of the operators' configuration that concerns jobs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QueueConfig {
     /// Rises with each change.
     pub version: u64,
-    /// Every queue.
+    /// All queues.
     pub queues: Vec<Rc<Queue>>,
-    /// Every service.
+    /// All services.
     pub services: Vec<Service>,
 }
 
@@ -20,46 +20,46 @@
 pub struct Queue {
     /// Its name.
     pub name: String,
-    /// Host that callers address.
+    /// Host name to which callers send requests.
     pub host: String,
-    /// Start of the paths that belong to it.
+    /// Prefix of the paths that belong to it.
     #[serde(rename = "prefix")]
     pub path_prefix: String,
     /// Service whose workers run its tasks.
     pub service: String,
-    /// Zero goes first.
+    /// Priority; zero is the highest.
     pub priority: u32,
-    /// Failed tries of a task after which its job has failed.
+    /// Number of failed attempts of one task after which its job fails.
     #[serde(rename = "attempts")]
     pub max_failures: u32,
-    /// Multiple of the longest chain of work within which a job should end.
+    /// Target for the time of a job, as a multiple of its critical path.
     pub stretch: f64,
-    /// Time that a job may take beyond that, in milliseconds.
+    /// Time that a job may take in addition to that, in milliseconds.
     pub target_ms: u64,
-    /// The policy service's terms, where it decides which workers may run a step.
+    /// Response times of the policy service, for queues whose workers it decides on.
     #[serde(rename = "advice")]
     pub policy: Option<PolicyTiming>,
 }
 
-/// How the policy service answers for a queue.
+/// Response times and ticket validity of the policy service for a queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicyTiming {
-    /// Time of one answer, in milliseconds.
+    /// Base time of one answer, in milliseconds.
     pub decide_ms: f64,
-    /// Time more for each worker named, in milliseconds.
+    /// Additional time for each worker named in the query, in milliseconds.
     #[serde(rename = "each_ms")]
     pub per_worker_ms: f64,
-    /// How long a ticket holds, in milliseconds.
+    /// Validity of a ticket, in milliseconds.
     pub valid_ms: u64,
 }
 
 impl PolicyTiming {
-    /// Time of one answer about `workers` workers, in milliseconds.
+    /// Time of one answer to a query about `workers` workers, in milliseconds.
     ///
     /// ```
     /// use oriolefork::cell::queue::PolicyTiming;
-    /// let advice = PolicyTiming { decide_ms: 100.0, each_ms: 2.0, valid_ms: 1_500 };
-    /// assert_eq!(advice.time_ms(30), 160.0);
+    /// let timing = PolicyTiming { decide_ms: 100.0, per_worker_ms: 2.0, valid_ms: 1_500 };
+    /// assert_eq!(timing.time_ms(30), 160.0);
     /// ```
     pub fn time_ms(&self, workers: usize) -> f64 {
         self.decide_ms + self.per_worker_ms * workers as f64
@@ -71,17 +71,17 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Whether its workers refuse what does not fit.
+    /// Whether its workers refuse tasks that exceed their free capacity.
     #[serde(rename = "guards")]
     pub enforces_capacity: bool,
 }
 
 impl QueueConfig {
-    /// The queue with the longest prefix that `path` begins with, on `host`.
+    /// The queue on `host` with the longest prefix of `path`.
     ///
     /// ```
     /// use oriolefork::cell::queue::{Queue, QueueConfig};
-    /// let queue = Queue { host: "a.example".into(), prefix: "/jobs/".into(), ..Default::default() };
+    /// let queue = Queue { host: "a.example".into(), path_prefix: "/jobs/".into(), ..Default::default() };
     /// let table = QueueConfig { version: 1, queues: vec![queue.into()], services: vec![] };
     /// assert!(table.find("a.example", "/jobs/5c0e7a21d94b36f8").is_some());
     /// assert!(table.find("b.example", "/jobs/5c0e7a21d94b36f8").is_none());
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -1,4 +1,4 @@
-//! The records of a cell's journal.
+//! Records of a cell's journal.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,35 +9,35 @@
 use super::job::{Id, Job, Run, RunOutcome};
 use crate::clock::Unix;
 
-/// Name of one life of a worker, see [`super::incarnation`].
+/// ID of one incarnation of a worker, see [`super::incarnation`].
 pub type WorkerId = Rc<str>;
 
-/// What one append carries.
+/// Records written with one append.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// Epoch of its writer.
     pub epoch: Epoch,
-    /// Its writer's wall clock.
+    /// Time of writing, on the writer's wall clock.
     pub at: Unix,
-    /// What changed, in order.
+    /// The records, in order.
     pub records: Vec<Record>,
 }
 
 /// One change of a cell's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// An instance takes the cell over.
+    /// An instance claimed the cell.
     Claimed {
         /// Address at which other instances reach it.
         peer: SocketAddr,
-        /// Drawn at the start of its process.
+        /// Random number of the process, drawn at its start.
         incarnation: u64,
     },
-    /// A job is accepted.
+    /// A job was accepted.
     Accepted {
-        /// When.
+        /// Time of acceptance.
         at: Unix,
-        /// What was submitted.
+        /// The job.
         job: Job,
     },
     /// A caller cancelled a job.
@@ -45,27 +45,27 @@
         /// The job.
         job: Id,
     },
-    /// Tries that may be started from here on.
+    /// Runs were placed, and may be started once this record is stored.
     Placed {
-        /// Worker of all of them.
+        /// Worker of these runs.
         worker: WorkerId,
-        /// The tries.
+        /// The runs.
         runs: Vec<Run>,
     },
-    /// A try is over.
+    /// A run ended.
     Ended {
-        /// The try.
+        /// The run.
         run: Run,
         /// Its worker.
         worker: WorkerId,
         /// How it ended.
         #[serde(rename = "end")]
         outcome: RunOutcome,
-        /// Progress that another try can go on from; empty for none.
+        /// Checkpoint from which another attempt can resume; empty for none.
         #[serde(rename = "saved")]
         checkpoint: String,
     },
-    /// A job has failed for good.
+    /// A job failed.
     Failed {
         /// The job.
         job: Id,
--- a/src/cell/replay.rs
+++ b/src/cell/replay.rs
@@ -1,34 +1,34 @@
-//! What an instance that may take a cell over has read of the cell's journal.
+//! State of a cell that a follower replays from the journal.
 
 use super::dependencies::JournalSnapshot;
 use super::record::Batch;
 use super::state::State;
 use crate::codec;
 
-/// What an instance has read of a cell's journal.
+/// Replayed state of a cell and the offset that it corresponds to.
 #[derive(Default)]
 pub(super) struct JournalReplay {
     pub(super) state: State,
     /// Offset of the next record to read.
     pub(super) next_offset: u64,
-    /// Whether the saved state has been read.
+    /// Whether the snapshot has been loaded.
     pub(super) has_snapshot: bool,
 }
 
 impl JournalReplay {
-    /// Begins with the saved state.
-    pub(super) fn load_snapshot(&mut self, base: &JournalSnapshot) {
+    /// Starts with a snapshot.
+    pub(super) fn load_snapshot(&mut self, snapshot: &JournalSnapshot) {
         self.has_snapshot = true;
-        self.next_offset = base.offset;
+        self.next_offset = snapshot.offset;
         self.state = State::default();
-        let Some(bytes) = &base.state else { return };
+        let Some(bytes) = &snapshot.state else { return };
         match codec::decode(bytes) {
             Ok(state) => self.state = state,
             Err(error) => log::error!("event=journal.base_unreadable cause={error:?}"),
         }
     }
 
-    /// Takes in one record.
+    /// Applies one record.
     pub(super) fn apply_record(&mut self, record: &[u8]) {
         match codec::decode::<Batch>(record) {
             Ok(batch) => {
--- a/src/cell/retry.rs
+++ b/src/cell/retry.rs
@@ -1,17 +1,17 @@
-//! How long an instance holds a caller's call while no owner takes it.
+//! Retries of a caller's call while no owner accepts it.
 //!
-//! The pattern that this answers: the store is away for seconds, or a failure domain is cut off from
-//! the owner, while each caller has some three seconds and a few tries. A call that is held keeps its
-//! caller from coming back, and when it is refused at last the time left is too short for another
-//! try. So a call waits only for a change of owner, which is over in well under half a second, and is
-//! otherwise refused at once, with the time after which to come back.
+//! The problem arises when the store is unreachable for seconds, or when a failure domain is cut
+//! off from the owner, while each caller has about three seconds and a few attempts. A caller whose
+//! call is held cannot retry, and when the call is refused at last, too little time remains for
+//! another attempt. A call therefore waits only for a change of owner, which takes well under half
+//! a second. Otherwise it is refused at once, with the time after which to retry.
 
 use std::time::Duration;
 
 use super::timings::{ANSWER_MARGIN, ATTEMPT_TIMEOUT, NO_OWNER_WAIT};
 use crate::clock::Instant;
 
-/// What a call knows of its chances.
+/// Decides whether a call is attempted again.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
     deadline: Instant,
@@ -19,63 +19,65 @@
     may_have_run: bool,
 }
 
-/// What became of one try to reach the owner.
+/// Outcome of one attempt to reach the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It surely did not reach an owner.
+    /// It did not reach an owner.
     NotDelivered,
-    /// The owner cannot take it at present, and did not.
+    /// The owner refused it without executing it.
     Refused,
-    /// It may have been carried out.
+    /// It may have been executed.
     Unknown,
 }
 
-/// What to do with the call now.
+/// What to do with the call next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again, for this long at most.
+    /// Make an attempt with this timeout.
     Attempt(Duration),
-    /// Say that it was not done.
+    /// Return that the call was not executed.
     NotExecuted,
-    /// Say that nobody knows.
+    /// Return that the call may have been executed.
     Unknown,
 }
 
 impl RetryPolicy {
-    /// For a call that came at `now` from a caller who waits for `span`, at an instance that last
-    /// heard of a working owner at `contact`.
+    /// Creates the policy for a call that arrived at `now` from a caller that waits for `timeout`, at
+    /// an instance that last heard from a working owner at `owner_heard_at`.
     ///
     /// ```
     /// use oriolefork::cell::retry::{RetryDecision, RetryPolicy};
     /// use oriolefork::clock::Instant;
     /// use std::time::Duration;
     /// let now = Instant::from_millis(9_000);
-    /// let patience = RetryPolicy::new(now, Duration::from_secs(3), Some(now));
-    /// assert!(matches!(patience.next(now), RetryDecision::Attempt(_)));
+    /// let policy = RetryPolicy::new(now, Duration::from_secs(3), Some(now));
+    /// assert!(matches!(policy.next(now), RetryDecision::Attempt(_)));
     /// ```
-    pub fn new(now: Instant, span: Duration, contact: Option<Instant>) -> Self {
-        let deadline = now.after(span).before(ANSWER_MARGIN);
-        let hold = contact.unwrap_or(now).after(NO_OWNER_WAIT).min(deadline);
-        Self { deadline, retry_until: hold, may_have_run: false }
+    pub fn new(now: Instant, timeout: Duration, owner_heard_at: Option<Instant>) -> Self {
+        let deadline = now.after(timeout).before(ANSWER_MARGIN);
+        let retry_until = owner_heard_at.unwrap_or(now).after(NO_OWNER_WAIT).min(deadline);
+        Self { deadline, retry_until, may_have_run: false }
     }
 
-    /// What to do at `now`.
+    /// Returns what to do at `now`.
     pub fn next(&self, now: Instant) -> RetryDecision {
         if now >= self.retry_until {
             return self.give_up();
         }
-        // A try may outlast the hold: an owner that took the call waits for the store.
+        // An attempt may continue after `retry_until`: an owner that accepted the call waits for
+        // the store.
         RetryDecision::Attempt(self.deadline.since(now).min(ATTEMPT_TIMEOUT))
     }
 
-    /// Takes in how a try ended; what to do at `now`.
+    /// Records the outcome of an attempt and returns what to do at `now`.
     ///
-    /// Guards against a call that is held until its caller has given up: one that an owner refused
-    /// would be refused again, since a store that is away comes back after seconds; one that went out
-    /// on a connection that broke is settled soonest by the caller's own repeat at another instance.
-    pub fn after_attempt(&mut self, trial: AttemptOutcome, now: Instant) -> RetryDecision {
-        self.may_have_run |= trial == AttemptOutcome::Unknown;
-        if trial == AttemptOutcome::Refused { self.give_up() } else { self.next(now) }
+    /// Guards against holding a call until its caller gives up. A call that an owner refused would
+    /// be refused again, since an unreachable store returns only after seconds. A call that was
+    /// sent on a broken connection is settled fastest when the caller repeats it at another
+    /// instance.
+    pub fn after_attempt(&mut self, outcome: AttemptOutcome, now: Instant) -> RetryDecision {
+        self.may_have_run |= outcome == AttemptOutcome::Unknown;
+        if outcome == AttemptOutcome::Refused { self.give_up() } else { self.next(now) }
     }
 
     const fn give_up(&self) -> RetryDecision {
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -1,7 +1,8 @@
-//! What the records of a cell's journal add up to.
+//! State of a cell, computed from the records of its journal.
 //!
-//! The owner applies a record when it decides it; an instance that takes the cell over applies the
-//! records it reads. Both arrive at the same state, since applying reads nothing else.
+//! The owner applies each record when it makes the decision, and an instance that takes the cell
+//! over applies the records that it reads. Both reach the same state, because the result depends on
+//! nothing but the records.
 
 use std::collections::{BTreeMap, BTreeSet, btree_map};
 use std::net::SocketAddr;
@@ -16,12 +17,12 @@
 use super::record::{Batch, Record, WorkerId};
 use crate::clock::Unix;
 
-/// The instance that owns the cell, as its claim says.
+/// Owner of a cell, as named in its claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
     /// Address at which other instances reach it.
     pub peer: SocketAddr,
-    /// Drawn at the start of its process.
+    /// Random number of the process, drawn at its start.
     pub incarnation: u64,
 }
 
@@ -30,69 +31,69 @@
 pub struct State {
     /// Epoch of the last claim.
     pub epoch: Epoch,
-    /// Who made it.
+    /// Instance that made the claim.
     pub owner: Option<Owner>,
-    /// Jobs that are known.
+    /// All retained jobs.
     pub jobs: BTreeMap<Id, JobState>,
     /// Jobs that have not reached their final phase.
     pub open: BTreeSet<Id>,
-    /// Tries that are placed and not ended, with their workers.
+    /// Runs that are placed and have not ended, with their workers.
     pub live: BTreeMap<Run, WorkerId>,
 }
 
-/// A job and how far it is.
+/// A job and its progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobState {
-    /// What was submitted.
+    /// The job as submitted.
     pub job: Rc<Job>,
-    /// When it was accepted.
+    /// Time of acceptance.
     pub accepted: Unix,
-    /// Whether any of its tasks is known to have begun on a worker. A placement is not enough: its
-    /// order may never reach the worker.
+    /// Whether any of its tasks is known to have started on a worker. A placement is not
+    /// sufficient, because the start command may never reach the worker.
     pub started: bool,
     /// Whether it was cancelled before it ended.
     pub cancelled: bool,
     /// Whether a task failed too often.
     pub failed: bool,
-    /// When it reached its final phase.
+    /// Time at which it reached its final phase.
     pub ended: Option<Unix>,
-    /// Occurrences whose tasks have all done their work.
+    /// Occurrences whose tasks have all succeeded.
     pub done: BTreeSet<u32>,
-    /// Occurrences under way.
+    /// Occurrences in progress.
     pub open: BTreeMap<u32, Vec<StepState>>,
 }
 
-/// How far a step of an occurrence is.
+/// Progress of a step of an occurrence.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepState {
     /// Its tasks.
     pub tasks: Vec<TaskState>,
-    /// Tasks that have done their work.
+    /// Number of tasks that have succeeded.
     pub done: u32,
-    /// Latest progress of a gang, valid for all its members.
+    /// Latest checkpoint of a gang, shared by all its members.
     #[serde(rename = "saved")]
     pub checkpoint: String,
-    /// Tries of a gang in which a member failed.
+    /// Numbers of the attempts of a gang in which a member failed.
     #[serde(rename = "failed_tries")]
     pub failed_runs: BTreeSet<u32>,
 }
 
-/// How far a task is.
+/// Progress of a task.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskState {
-    /// Whether it has done its work.
+    /// Whether it has succeeded.
     pub done: bool,
-    /// Number of its last try; zero before the first.
+    /// Number of its last attempt; zero before the first.
     #[serde(rename = "last")]
     pub last_run: u32,
-    /// Tries that are placed and not ended.
+    /// Number of attempts that are placed and have not ended.
     pub live: u32,
-    /// Tries that ended as failed.
+    /// Number of failed attempts.
     pub failures: u32,
-    /// What speaks for it being what crashes its workers.
+    /// Evidence that it crashes its workers.
     #[serde(rename = "suspicion")]
     pub crash_score: CrashScore,
-    /// Latest progress that another try can go on from; empty for none.
+    /// Latest checkpoint from which another attempt can resume; empty for none.
     #[serde(rename = "saved")]
     pub checkpoint: String,
 }
@@ -102,12 +103,12 @@
         Self { tasks: vec![TaskState::default(); count as usize], ..Self::default() }
     }
 
-    /// Whether all its tasks have done their work.
+    /// Whether all its tasks have succeeded.
     pub fn is_done(&self) -> bool {
         self.done as usize == self.tasks.len()
     }
 
-    /// Whether any task has a try that is not over.
+    /// Whether any task has an attempt that has not ended.
     pub fn is_live(&self) -> bool {
         self.tasks.iter().any(|task| task.live > 0)
     }
@@ -127,7 +128,7 @@
         }
     }
 
-    /// What callers are told of the job.
+    /// Phase of the job, as shown to callers.
     pub fn phase(&self) -> Phase {
         if self.cancelled {
             Phase::Cancelled
@@ -142,7 +143,7 @@
         }
     }
 
-    /// The steps of an occurrence, begun now if it has not been.
+    /// The steps of an occurrence, created at the first access.
     pub fn occurrence(&mut self, number: u32) -> &mut Vec<StepState> {
         let steps = &self.job.steps;
         self.open
@@ -157,7 +158,7 @@
         self.occurrence(key.occurrence).get_mut(key.step as usize)
     }
 
-    /// Closes an occurrence whose steps are all done, and the job with its last one.
+    /// Closes an occurrence whose steps are all done, and the job with its last occurrence.
     fn close_if_done(&mut self, occurrence: u32, at: Unix) {
         let Some(steps) = self.open.get(&occurrence) else { return };
         if !steps.iter().all(StepState::is_done) || steps.iter().any(StepState::is_live) {
@@ -170,10 +171,11 @@
         }
     }
 
-    /// Drops what an ended job is no longer asked for, once nothing of it runs.
+    /// Drops the details of an ended job once none of its runs is left.
     ///
-    /// Ended jobs are kept for two minutes and are most of the state; without their texts 5,000 of
-    /// them take some 0.3 MB instead of 7, so that the whole state fits into one append.
+    /// Ended jobs are kept for two minutes and make up most of the state. Without payloads and
+    /// steps, 5,000 of them take about 0.3 MB instead of 7 MB, so that the whole state fits into
+    /// one append.
     fn drop_details(&mut self) {
         if self.open.values().flatten().any(StepState::is_live) {
             return;
@@ -185,7 +187,8 @@
         self.job = Rc::new(Job { id, queue, payload: String::new(), steps: Vec::new(), schedule });
     }
 
-    /// Marks the job as completed once its last task is done, though tries may still be stopping.
+    /// Marks the job as completed once its last task has succeeded, even if runs are still
+    /// stopping.
     fn complete_if_done(&mut self, at: Unix) {
         let open_done = self.open.values().all(|steps| steps.iter().all(StepState::is_done));
         let occurrences = self.done.len() + self.open.len();
@@ -196,7 +199,7 @@
 }
 
 impl State {
-    /// Applies a whole batch; `false` when it comes from an owner that has been replaced.
+    /// Applies a batch; returns `false` and does nothing if a former owner wrote it.
     pub fn apply_batch(&mut self, batch: Batch) -> bool {
         let claims = matches!(batch.records.first(), Some(Record::Claimed { .. }));
         if claims {
@@ -210,7 +213,7 @@
         true
     }
 
-    /// Applies one record that took place `at`.
+    /// Applies one record that was written at `at`.
     pub fn apply(&mut self, record: Record, at: Unix) {
         match record {
             Record::Claimed { peer, incarnation } => {
@@ -227,55 +230,55 @@
             Record::Failed { job } => self.close(job, at, |entry| entry.failed = true),
             Record::Placed { worker, runs } => {
                 for run in runs {
-                    self.place(run, &worker);
+                    self.place_run(run, &worker);
                 }
             }
-            Record::Ended { run, outcome: end, checkpoint: saved, .. } => {
-                self.end(run, end, saved, at)
+            Record::Ended { run, outcome, checkpoint, .. } => {
+                self.end_run(run, outcome, checkpoint, at)
             }
         }
     }
 
-    /// The step of that name, if its job is known and its occurrence not over.
+    /// The step with that key, if its job is known and its occurrence in progress.
     pub fn step(&self, key: &StepKey) -> Option<&StepState> {
         self.jobs.get(&key.job)?.open.get(&key.occurrence)?.get(key.step as usize)
     }
 
-    /// The task of that name, likewise.
+    /// The task with that key, if its step is found.
     pub fn task(&self, key: &TaskKey) -> Option<&TaskState> {
         self.step(&key.step)?.tasks.get(key.index as usize)
     }
 
-    /// Notes that a task of the job has begun on a worker.
+    /// Records that a task of the job has started on a worker.
     pub fn mark_started(&mut self, job: Id) {
         if let Some(entry) = self.jobs.get_mut(&job) {
             entry.started = true;
         }
     }
 
-    /// Notes progress that was saved while a try runs.
-    pub fn set_checkpoint(&mut self, key: &TaskKey, saved: &str) {
-        if saved.is_empty() {
+    /// Records a checkpoint that was written during a run.
+    pub fn set_checkpoint(&mut self, key: &TaskKey, checkpoint: &str) {
+        if checkpoint.is_empty() {
             return;
         }
         let Some(entry) = self.jobs.get_mut(&key.step.job) else { return };
         let is_gang = entry.job.steps.get(key.step.step as usize).is_some_and(|step| step.gang);
         let Some(step) = entry.step(&key.step) else { return };
         if is_gang {
-            saved.clone_into(&mut step.checkpoint);
+            checkpoint.clone_into(&mut step.checkpoint);
         } else if let Some(task) = step.tasks.get_mut(key.index as usize) {
-            saved.clone_into(&mut task.checkpoint);
+            checkpoint.clone_into(&mut task.checkpoint);
         }
     }
 
-    /// Forgets jobs that ended longer ago than callers may ask for and that nothing runs for.
+    /// Removes and returns the jobs that ended longer than `retention` ago and have no runs left.
     pub fn remove_expired(&mut self, now: Unix, retention: Duration) -> Vec<Id> {
-        let gone = |entry: &JobState| {
-            let old = entry.ended.is_some_and(|ended| now.since(ended) > retention);
-            old && !entry.open.values().flatten().any(StepState::is_live)
+        let is_expired = |entry: &JobState| {
+            let is_old = entry.ended.is_some_and(|ended| now.since(ended) > retention);
+            is_old && !entry.open.values().flatten().any(StepState::is_live)
         };
         let ids: Vec<Id> =
-            self.jobs.iter().filter(|(_, entry)| gone(entry)).map(|(id, _)| *id).collect();
+            self.jobs.iter().filter(|(_, entry)| is_expired(entry)).map(|(id, _)| *id).collect();
         for id in &ids {
             self.jobs.remove(id);
         }
@@ -293,9 +296,9 @@
         self.open.remove(&job);
     }
 
-    /// Applying a placement twice changes nothing: a saved state may hold records that are read
-    /// again after it.
-    fn place(&mut self, run: Run, worker: &WorkerId) {
+    /// Applies a placement. Applying it twice changes nothing, since records that are part of a
+    /// snapshot may be read again after it.
+    fn place_run(&mut self, run: Run, worker: &WorkerId) {
         let Some(entry) = self.jobs.get_mut(&run.task.step.job) else { return };
         let Some(step) = entry.step(&run.task.step) else { return };
         let Some(task) = step.tasks.get_mut(run.task.index as usize) else { return };
@@ -307,28 +310,28 @@
         self.live.insert(run, worker.clone());
     }
 
-    fn end(&mut self, run: Run, end: RunOutcome, saved: String, at: Unix) {
+    fn end_run(&mut self, run: Run, outcome: RunOutcome, checkpoint: String, at: Unix) {
         if self.live.remove(&run).is_none() {
             return;
         }
         let key = run.task.step;
         let Some(entry) = self.jobs.get_mut(&key.job) else { return };
-        let Some(model) = entry.job.steps.get(key.step as usize) else { return };
-        let (is_gang, lasting) = (model.gang, model.long_running);
-        entry.started |= end.is_reported_by_worker();
+        let Some(spec) = entry.job.steps.get(key.step as usize) else { return };
+        let (is_gang, long_running) = (spec.gang, spec.long_running);
+        entry.started |= outcome.is_reported_by_worker();
         let Some(step) = entry.step(&key) else { return };
         let Some(task) = step.tasks.get_mut(run.task.index as usize) else { return };
         task.live = task.live.saturating_sub(1);
-        task.crash_score.record(end, lasting);
-        if !saved.is_empty() && !is_gang {
-            task.checkpoint = saved;
-        } else if !saved.is_empty() {
-            step.checkpoint = saved;
+        task.crash_score.record(outcome, long_running);
+        if !checkpoint.is_empty() && !is_gang {
+            task.checkpoint = checkpoint;
+        } else if !checkpoint.is_empty() {
+            step.checkpoint = checkpoint;
         }
-        match end {
-            RunOutcome::Succeeded if lasting => {}
+        match outcome {
+            RunOutcome::Succeeded if long_running => {}
             RunOutcome::Succeeded if is_gang => step.finish_gang(),
-            RunOutcome::Succeeded => step.finish(run.task.index),
+            RunOutcome::Succeeded => step.finish_task(run.task.index),
             RunOutcome::Failed if is_gang => {
                 step.failed_runs.insert(run.number);
             }
@@ -345,7 +348,7 @@
 }
 
 impl StepState {
-    fn finish(&mut self, index: u32) {
+    fn finish_task(&mut self, index: u32) {
         let task = &mut self.tasks[index as usize];
         if !task.done {
             task.done = true;
@@ -353,7 +356,7 @@
         }
     }
 
-    /// The members of a gang end their work together, so that one end speaks for all.
+    /// The members of a gang finish together, so one success counts for all of them.
     fn finish_gang(&mut self) {
         for task in &mut self.tasks {
             task.done = true;
--- a/src/cell/ticket.rs
+++ b/src/cell/ticket.rs
@@ -1,6 +1,6 @@
-//! Which workers may run a step, by the word of the policy service.
+//! Tickets of the policy service: which workers may run a step.
 //!
-//! Whether a worker may run a step never changes; only the ticket that proves it expires.
+//! Whether a worker may run a step never changes; only its ticket, which proves it, expires.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,33 +10,33 @@
 use super::timings::TICKET_MARGIN;
 use crate::clock::Instant;
 
-/// Proof that a worker may run a step.
+/// Proof that a worker may run a step, until it expires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Ticket {
     token: String,
     expires_at: Instant,
 }
 
-/// What is known of one step.
+/// Answers of the policy service about one step.
 #[derive(Clone, Debug, Default)]
 pub struct Tickets {
     eligible: BTreeMap<WorkerId, Ticket>,
     refused: BTreeSet<WorkerId>,
-    /// Workers that a question under way names.
+    /// Workers named in a pending query.
     asked: BTreeSet<WorkerId>,
-    /// End of the ticket that holds longest, so that a step without any is passed over at once.
+    /// Latest expiry of all tickets. It allows a step without valid tickets to be skipped quickly.
     last_expiry: Instant,
-    /// When a question is to be thought about again.
+    /// Earliest time at which another query is considered.
     next_question_at: Instant,
 }
 
 impl Tickets {
-    /// Notes that a question about `workers` is under way.
+    /// Records that a query about `workers` is pending.
     pub fn mark_asked(&mut self, workers: &[WorkerId]) {
         self.asked.extend(workers.iter().cloned());
     }
 
-    /// Takes in the answer to a question about `workers`; `None` when none came.
+    /// Records the answer to a query about `workers`; `None` when there was none.
     pub fn record_answer(
         &mut self,
         workers: &[WorkerId],
@@ -61,33 +61,33 @@
         }
     }
 
-    /// Whether the service said that the worker may run the step.
+    /// Whether the service answered that the worker may run the step.
     pub fn is_eligible(&self, worker: &str) -> bool {
         self.eligible.contains_key(worker)
     }
 
-    /// Whether nothing is known of the worker, and no question about it is under way.
+    /// Whether there is neither an answer nor a pending query about the worker.
     pub fn is_unasked(&self, worker: &str) -> bool {
         !self.is_eligible(worker) && !self.refused.contains(worker) && !self.asked.contains(worker)
     }
 
-    /// Whether a question is under way.
+    /// Whether a query is pending.
     pub fn has_pending_question(&self) -> bool {
         !self.asked.is_empty()
     }
 
-    /// Workers that a question under way is the first to name.
+    /// Workers named in a pending query that are not known to be eligible.
     pub fn awaiting_answer(&self) -> impl Iterator<Item = &WorkerId> {
         self.asked.iter().filter(|worker| !self.is_eligible(worker))
     }
 
-    /// The ticket for a worker, while it holds.
+    /// The ticket of a worker, if it is valid.
     pub fn valid_ticket(&self, worker: &str, now: Instant) -> Option<&str> {
         let ticket = self.eligible.get(worker)?;
         (now < ticket.expires_at).then_some(ticket.token.as_str())
     }
 
-    /// Workers whose tickets hold.
+    /// Workers with valid tickets.
     pub fn with_valid_ticket(&self, now: Instant) -> impl Iterator<Item = &WorkerId> {
         let any = now < self.last_expiry;
         let holding =
@@ -95,40 +95,40 @@
         holding.map(|(worker, _)| worker)
     }
 
-    /// Workers that may run the step, with the end of their tickets.
+    /// Workers that may run the step, with the expiry of their tickets.
     pub fn eligible(&self) -> impl Iterator<Item = (&WorkerId, Instant)> {
         self.eligible.iter().map(|(worker, ticket)| (worker, ticket.expires_at))
     }
 
-    /// Whether tickets were given out and the last expired no longer than `span` ago.
+    /// Whether there are tickets, and the last one expired at most `span` ago.
     pub fn expired_within(&self, span: Duration, now: Instant) -> bool {
         !self.eligible.is_empty() && now >= self.last_expiry && now < self.last_expiry.after(span)
     }
 
-    /// Whether it is time to think about a question again.
+    /// Whether another query may be considered.
     pub fn may_ask(&self, now: Instant) -> bool {
         now >= self.next_question_at
     }
 
-    /// Thinks about no question before `until`.
+    /// Considers no query before `until`.
     pub fn postpone(&mut self, until: Instant) {
         self.next_question_at = until;
     }
 
-    /// Forgets a life of a worker that is over.
+    /// Removes a worker incarnation that has ended.
     pub fn forget(&mut self, worker: &str) {
         self.eligible.remove(worker);
         self.refused.remove(worker);
     }
 
-    /// Forgets a ticket that the worker did not take.
+    /// Invalidates a ticket that the worker refused.
     pub fn expire(&mut self, worker: &str) {
         if let Some(ticket) = self.eligible.get_mut(worker) {
             ticket.expires_at = Instant::default();
         }
     }
 
-    /// Workers asked about and those among them that may run the step.
+    /// Number of workers that the service answered about, and how many of them may run the step.
     pub fn counts(&self) -> (usize, usize) {
         (self.eligible.len() + self.refused.len(), self.eligible.len())
     }
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -1,5 +1,4 @@
-//! A worker as the owner of its cell knows it: what it has, what is reserved on it, and whether it
-//! can be trusted with more.
+//! A worker as seen by the owner of its cell: its capacity, its allocations and its health.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,75 +14,76 @@
 use crate::clock::Instant;
 use crate::resource::Amount;
 
-/// Failures in a row, of different jobs and without a success between, after which a worker gets no
-/// new work for a while. Jobs that can never be done fail two to four times on sound workers.
+/// Number of consecutive failures, of different jobs, after which a worker gets no new tasks for a
+/// while. Jobs that cannot succeed fail two to four times on healthy workers.
 const FAILURES_TO_QUARANTINE: usize = 3;
 
-/// Time without new work; the sites' failing workers are sound again after 5 to 8 s.
+/// Duration of the quarantine. The sites' failing workers are healthy again after 5 to 8 s.
 const QUARANTINE: Duration = Duration::from_secs(4);
 
-/// Time without new work after a worker refused an order: about one look.
+/// Pause in new tasks after a worker refused a command: about one poll.
 const REFUSAL_PAUSE: Duration = Duration::from_secs(1);
 
-/// Looks in a row without an answer after which nothing new is placed on a worker.
+/// Number of consecutive unanswered polls after which no new tasks are placed on a worker.
 const MISSED_POLLS_LIMIT: u32 = 1;
 
-/// A task that may be stopped for steps of queues that go before its own.
+/// A run that may be stopped for steps of queues with a higher priority.
 #[derive(Clone, Debug)]
 pub struct PreemptibleRun {
     /// Priority of its queue.
     pub priority: u32,
-    /// The try and its room.
+    /// The run and its resources.
     pub victim: Victim,
 }
 
 /// A worker of the cell.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Name of this life of it.
+    /// ID of this incarnation.
     pub id: WorkerId,
-    /// What the list says of it.
+    /// Its entry in the list.
     pub info: Rc<WorkerInfo>,
-    /// When the list last told of it.
+    /// Time of the list's latest information about it.
     pub info_at: Instant,
-    /// Since when the list has not named it.
+    /// Time since which the list has not contained it.
     pub unlisted_since: Option<Instant>,
     /// Its clock and lease.
     pub lease: Lease,
-    /// Whether it has answered under this owner's epoch, so that it refuses earlier owners.
+    /// Whether it has answered a call of this owner's epoch, so that it refuses earlier owners.
     pub fenced: bool,
-    /// Latest end that is in the journal; the worker may forget it.
+    /// Number of its latest ended run that is in the journal; the worker may forget it.
     pub last_recorded_end: u64,
-    /// Latest end that it has told of.
+    /// Number of the latest ended run that it reported.
     pub last_reported_end: u64,
-    /// Room taken by the tries on it.
+    /// Resources allocated to the runs on it.
     pub allocated: Amount,
-    /// Tries placed on it and not known to be over.
+    /// Runs placed on it that are not known to have ended.
     pub runs: BTreeSet<Run>,
-    /// Whether a look is out, since when.
+    /// Time of the outstanding poll; `None` without one.
     pub poll_sent_at: Option<Instant>,
-    /// When the next look is due.
+    /// Time at which the next poll is due.
     pub next_poll: Instant,
-    /// Looks in a row without an answer.
+    /// Number of consecutive unanswered polls.
     pub missed_polls: u32,
-    /// When it stopped answering looks, as early as the first unanswered look shows.
+    /// Time at which it stopped answering polls: when the first unanswered poll was sent.
     pub unresponsive_since: Option<Instant>,
-    /// Jobs whose tasks failed here since the last one that went well.
+    /// Jobs with tasks that failed here since the last success.
     pub failures: BTreeSet<super::job::Id>,
-    /// Tasks on it that may be stopped for more urgent ones, as of the last look for such.
+    /// Runs on it that may be preempted, as of the last update.
     pub preemptible: Rc<[PreemptibleRun]>,
-    /// Orders that it left without an answer.
+    /// Backoff for unanswered commands.
     pub command_backoff: CommandBackoff,
-    /// Until when it gets no new work because of failures.
+    /// Time until which it gets no new tasks because of failures.
     pub quarantined_until: Option<Instant>,
 }
 
 impl Worker {
-    /// A worker that the list names and that has not been called yet; `lease` is granted with each look.
-    pub fn new(id: WorkerId, listed: Rc<WorkerInfo>, lease: Duration, now: Instant) -> Self {
+    /// Creates a worker that is in the list and has not been called yet. `lease` is granted with
+    /// each poll.
+    pub fn new(id: WorkerId, info: Rc<WorkerInfo>, lease: Duration, now: Instant) -> Self {
         Self {
             id,
-            info: listed,
+            info,
             info_at: now,
             unlisted_since: None,
             lease: Lease::new(lease),
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Address at which it takes orders.
+    /// Address at which it accepts polls and commands.
     pub fn address(&self) -> SocketAddr {
         self.info.address
     }
 
-    /// Whether new work may go there.
+    /// Whether new tasks may be placed on it.
     pub fn accepts_tasks(&self, now: Instant) -> bool {
         let quarantined = self.quarantined_until.is_some_and(|until| now < until);
         self.fenced
@@ -120,65 +120,65 @@
             && !self.command_backoff.is_active(now)
     }
 
-    /// The next moment after `now` at which a rest of it, or what is remembered of one, is over.
+    /// The next time after `now` at which a pause in new tasks or a lower preference ends.
     pub fn next_backoff_change(&self, now: Instant) -> Option<Instant> {
         let ends = self.quarantined_until.into_iter().chain(self.command_backoff.deadlines());
         ends.filter(|end| *end > now).min()
     }
 
-    /// Room that nothing is reserved for.
+    /// Free capacity.
     pub fn free_capacity(&self) -> Amount {
         self.info.capacity.saturating_sub(&self.allocated)
     }
 
-    /// Whether what the list said of its room is no older than `known_for`.
+    /// Whether the list's information about its capacity is no older than `known_for`.
     ///
-    /// Guards against room that shrinks while the list cannot be read: what waited until then would go out
-    /// by the room before, all at once.
+    /// Guards against a capacity that shrinks while the list cannot be read: all tasks that had
+    /// waited until then would be placed at once, by the former capacity.
     pub fn is_capacity_current(&self, known_for: Option<Duration>, now: Instant) -> bool {
         self.capacity_valid_until(known_for).is_none_or(|until| now <= until)
     }
 
-    /// Last moment at which its room counts as known; `None` for no end.
+    /// Time until which its capacity counts as current; `None` for no limit.
     pub fn capacity_valid_until(&self, known_for: Option<Duration>) -> Option<Instant> {
         known_for.map(|known_for| self.info_at.after(known_for))
     }
 
-    /// Whether more is reserved than it has, since its room has shrunk.
+    /// Whether more is allocated than its capacity, which may shrink.
     pub fn is_overcommitted(&self) -> bool {
         !self.allocated.fits(&self.info.capacity)
     }
 
-    /// Reserves room for a try.
+    /// Allocates resources to a run.
     pub fn allocate(&mut self, run: Run, demand: &Amount) {
         if self.runs.insert(run) {
             self.allocated = self.allocated.saturating_add(demand);
         }
     }
 
-    /// Gives the room of a try back.
+    /// Releases the resources of a run.
     pub fn release(&mut self, run: &Run, demand: &Amount) {
         if self.runs.remove(run) {
             self.allocated = self.allocated.saturating_sub(demand);
         }
     }
 
-    /// Places nothing there for a moment, after it refused an order.
+    /// Pauses new tasks for a moment after the worker refused a command.
     pub fn pause_after_refusal(&mut self, now: Instant) {
         self.pause_until(now.after(REFUSAL_PAUSE));
     }
 
-    /// Places nothing there until `end`, nor before the end of an earlier rest.
+    /// Pauses new tasks until `end`, or until the end of an earlier pause if that is later.
     fn pause_until(&mut self, end: Instant) {
         self.quarantined_until = self.quarantined_until.max(Some(end));
     }
 
-    /// Notes a task that went well.
+    /// Records a successful run.
     pub fn record_success(&mut self) {
         self.failures.clear();
     }
 
-    /// Notes a failed task; `true` when the worker is quarantined for it.
+    /// Records a failed run; `true` when the worker is quarantined for it.
     pub fn record_failure(&mut self, job: super::job::Id, now: Instant) -> bool {
         self.failures.insert(job);
         if self.failures.len() < FAILURES_TO_QUARANTINE {
--- a/tests/logic/cell/duty.rs
+++ b/tests/logic/cell/duty.rs
@@ -12,10 +12,10 @@
 fn measure_counts_for_its_duty() {
     let ledger = ThreadProfiler::new();
     for _ in 0..64 {
-        let answer = ledger.measure(OwnerActivity::Look, ready(7).boxed_local()).now_or_never();
+        let answer = ledger.measure(OwnerActivity::Poll, ready(7).boxed_local()).now_or_never();
         assert_eq!(answer, Some(7));
     }
-    assert_eq!((ledger.count(OwnerActivity::Look), ledger.count(OwnerActivity::Command)), (64, 0));
+    assert_eq!((ledger.count(OwnerActivity::Poll), ledger.count(OwnerActivity::Command)), (64, 0));
 }
 
 #[test]
@@ -39,7 +39,7 @@
     story.machine.step_by_duty(now, unix, &mut |duty| duties.push(duty));
     assert_eq!(duties.last(), Some(&OwnerActivity::Append));
     assert!(
-        duties.contains(&OwnerActivity::Look) && duties.contains(&OwnerActivity::Upkeep),
+        duties.contains(&OwnerActivity::Poll) && duties.contains(&OwnerActivity::Upkeep),
         "{duties:?}"
     );
 }
