--- a/src/cell/election/claim.rs
+++ b/src/cell/election/claim.rs
@@ -1,10 +1,10 @@
-//! A claim on the cell, and what an owner does first.
+//! Claiming a cell, and starting its owner.
 
 use std::time::Duration;
 
 use super::reason::TakeoverReason;
 use super::search::ReplayResult;
-use super::{Election, READ_RETRY};
+use super::{Election, READ_RETRY_DELAY};
 use crate::cell::Epoch;
 use crate::cell::dependencies::AppendError;
 use crate::cell::machine::{Machine, Message};
@@ -16,26 +16,26 @@
 use crate::telemetry::names;
 use crate::{codec, logging};
 
-/// Looks for the instance whose claim came first, and the rest before each.
-const WINNER_LOOKS: u32 = 5;
-const WINNER_REST: Duration = Duration::from_millis(100);
+/// Number of checks for the instance whose claim came first, and the delay before each.
+const WINNER_CHECKS: u32 = 5;
+const WINNER_CHECK_DELAY: Duration = Duration::from_millis(100);
 
-/// Time for telling another instance of a new owner.
+/// Timeout for announcing a new owner to one instance.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Election {
-    /// Claims the cell, whose last epoch is `known`, and owns it if no other instance is faster.
+    /// Claims the cell, whose last epoch is `known`, and owns it if no other instance claims first.
     ///
-    /// The claim goes wherever the journal ends: a busy owner that hands its cell over goes on
-    /// writing, so that a claim at the end that was read would come too late again and again.
+    /// The claim is appended wherever the journal ends. A busy owner that hands its cell over
+    /// continues to write, so a claim at a fixed offset would repeatedly come too late.
     ///
-    /// And it goes out before the journal is read. Guards against a herd: on a site of a hundred
-    /// instances all that wanted the cell read megabytes at once, and the one that claimed it could read
-    /// neither the list of workers nor write for a second and a half.
-    pub(super) async fn claim(&mut self, motive: TakeoverReason, known: Epoch) {
+    /// The claim precedes the replay of the journal. Guards against simultaneous replays: on a site
+    /// of a hundred instances, all that wanted the cell read megabytes at once, and the one that
+    /// claimed it could neither read the list of workers nor write for a second and a half.
+    pub(super) async fn claim(&mut self, reason: TakeoverReason, known: Epoch) {
         let epoch = known.next();
         let Ok(bytes) = codec::encode(&self.claim_batch(epoch)) else { return };
-        log::info!("event=owner.claim cell={} epoch={epoch} motive={motive:?}", self.cell);
+        log::info!("event=owner.claim cell={} epoch={epoch} motive={reason:?}", self.cell);
         let first = self.node.claim_sequence();
         let journal = self.node.deps.journal.clone();
         match journal.append(self.cell, epoch, first, bytes, APPEND_TIMEOUT).await {
@@ -48,11 +48,11 @@
                 log::info!("event=owner.claim_lost cell={} epoch={epoch}", self.cell);
                 self.find_winner(known).await;
             }
-            // It may be in the journal all the same; only reading it tells.
+            // The claim may have been written; only reading the journal shows it.
             Err(rejected) => {
                 names::CELL_CLAIMS.increment(&[("outcome", "unknown")]);
                 log::warn!("event=owner.claim_unknown cell={} epoch={epoch} {rejected}", self.cell);
-                self.node.deps.clock.sleep(READ_RETRY).await;
+                self.node.deps.clock.sleep(READ_RETRY_DELAY).await;
                 if self.read().await {
                     if self.is_last_claimant(epoch) {
                         self.advertise(epoch);
@@ -63,30 +63,30 @@
         }
     }
 
-    /// Reads the journal up to the claim of `epoch`, while others wait for this instance, and owns the
-    /// cell unless a later claim has come.
+    /// Replays the journal up to the claim of `epoch`, while other instances wait for this one, and
+    /// owns the cell unless a later claim was made.
     async fn replay_and_own(&mut self, epoch: Epoch) {
         let node = self.node.clone();
         node.begin_takeover(self.cell);
         self.advertise(epoch);
-        let begun = node.deps.clock.now();
+        let started = node.deps.clock.now();
         let from = self.replay.next_offset;
         let found = self.read_unless_owned(epoch).await;
-        let took_ms = node.deps.clock.now().since(begun).as_millis();
+        let took_ms = node.deps.clock.now().since(started).as_millis();
         let (cell, records) = (self.cell, self.replay.next_offset.saturating_sub(from));
         log::info!(
             "event=journal.read cell={cell} epoch={epoch} records={records} took_ms={took_ms}"
         );
         match found {
-            ReplayResult::Journal => self.own_or_follow(epoch).await,
-            ReplayResult::Owner => {}
-            ReplayResult::Nothing => node.deps.clock.sleep(READ_RETRY).await,
+            ReplayResult::Complete => self.own_or_follow(epoch).await,
+            ReplayResult::OwnerFound => {}
+            ReplayResult::StoreUnavailable => node.deps.clock.sleep(READ_RETRY_DELAY).await,
         }
         node.end_takeover(self.cell);
     }
 
-    /// Owns the cell if the journal's last claim is this instance's of `epoch`; else follows the one
-    /// that made it.
+    /// Owns the cell if the journal's last claim is this instance's of `epoch`; otherwise follows
+    /// the claimant.
     async fn own_or_follow(&mut self, epoch: Epoch) {
         if self.is_last_claimant(epoch) {
             self.run_as_owner().await;
@@ -109,49 +109,49 @@
         self.node.set_owner(self.cell, owner.filter(|owner| *owner != self.node.me));
     }
 
-    /// Lets other instances find this one, which has claimed the cell.
+    /// Makes this instance known as the claimant of the cell.
     fn advertise(&self, epoch: Epoch) {
         self.node.note_epoch(self.cell, epoch);
         self.announce(epoch);
         self.publish_owner(epoch);
     }
 
-    /// Follows the instance whose claim came first, once it shows.
+    /// Follows the instance whose claim came first, once it is known.
     ///
-    /// If it does not, it has gone right after its claim; then the journal tells its epoch.
+    /// If it does not appear, it is gone since its claim; then the epoch is read from the journal.
     async fn find_winner(&mut self, before: Epoch) {
-        for _ in 0..WINNER_LOOKS {
-            self.node.deps.clock.sleep(WINNER_REST).await;
+        for _ in 0..WINNER_CHECKS {
+            self.node.deps.clock.sleep(WINNER_CHECK_DELAY).await;
             if self.node.epoch(self.cell) > before {
                 return;
             }
-            if let Ok(Some(sign)) = self.owner_record().await
-                && sign.epoch > before
-                && sign.peer != self.node.me
+            if let Ok(Some(record)) = self.owner_record().await
+                && record.epoch > before
+                && record.peer != self.node.me
             {
-                return self.follow_record(sign);
+                return self.follow_record(record);
             }
         }
-        if let ReplayResult::Journal = self.read_unless_owned(before).await {
+        if let ReplayResult::Complete = self.read_unless_owned(before).await {
             self.follow_last_claim();
         }
     }
 
-    /// Latest epoch that this instance has heard of.
+    /// Latest epoch known to this instance.
     pub(super) fn known_epoch(&self) -> Epoch {
-        let followed = self.last_owner_record.map_or(Epoch(0), |sign| sign.epoch);
+        let followed = self.last_owner_record.map_or(Epoch(0), |record| record.epoch);
         self.replay.state.epoch.max(self.node.epoch(self.cell)).max(followed)
     }
 
-    /// Tells the instances that followed the owner before.
+    /// Announces the claim to the instances that followed the former owner.
     fn announce(&self, epoch: Epoch) {
         let announcement = Announcement { cell: self.cell, epoch, owner: self.node.me };
         for peer in self.peers.iter().copied().filter(|peer| *peer != self.node.me) {
-            let borders = self.node.deps.clone();
+            let deps = self.node.deps.clone();
             monoio::spawn(async move {
-                let told: Result<(), _> =
-                    borders.peers.call(peer, ANNOUNCE, &announcement, ANNOUNCE_TIMEOUT).await;
-                if let Err(error) = told {
+                let result: Result<(), _> =
+                    deps.peers.call(peer, ANNOUNCE, &announcement, ANNOUNCE_TIMEOUT).await;
+                if let Err(error) = result {
                     log::info!("event=owner.not_announced peer={peer} cause={error:?}");
                 }
             });
@@ -163,7 +163,7 @@
         Batch { epoch, at: self.node.deps.clock.unix(), records: vec![claim] }
     }
 
-    /// Owns the cell until another instance takes it over.
+    /// Runs the owner of the cell until another instance takes over.
     async fn run_as_owner(&mut self) {
         let node = self.node.clone();
         let JournalReplay { state, next_offset: next, .. } = std::mem::take(&mut self.replay);
@@ -180,15 +180,15 @@
         );
         let (peer, strength, domain) = (node.me, node.cpu_millis, node.domain.clone());
         machine.handle(Message::Present { peer, strength, domain }, now, unix);
-        let (noted, cell) = (node.clone(), self.cell);
-        let health = Box::new(move |health| noted.apply_store_health(cell, health));
+        let (health_node, cell) = (node.clone(), self.cell);
+        let health = Box::new(move |health| health_node.apply_store_health(cell, health));
         let (owner, handle) =
             OwnerTask::new(self.cell, node.cells, node.me, machine, node.deps.clone(), health);
         log::info!("event=owner.begin cell={} epoch={epoch} jobs={jobs} tasks={tasks}", self.cell);
         logging::flush();
         node.set_owner_handle(self.cell, Some(handle));
-        let why = owner.run().await;
-        log::warn!("event=owner.end cell={} epoch={epoch} {why}", self.cell);
+        let end_reason = owner.run().await;
+        log::warn!("event=owner.end cell={} epoch={epoch} {end_reason}", self.cell);
         logging::flush();
         node.set_owner_handle(self.cell, None);
     }
--- a/src/cell/election/follow.rs
+++ b/src/cell/election/follow.rs
@@ -1,27 +1,28 @@
-//! An instance that follows the owner, and learns from it how it is.
+//! Following the owner of a cell.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::Election;
-use super::priority::LOWEST_RANK;
+use super::priority::MAX_RANK;
 use super::reason::TakeoverReason;
 use crate::cell::peer::{HandoverOffer, WATCH, WatchRequest, WatchResponse};
 use crate::cell::timings::{PROBE_TIMEOUT, WATCH_TIMEOUT};
 use crate::peer;
 
-/// Rest between two looks of an instance that is about to end.
-const FOLLOW_REST: Duration = Duration::from_millis(50);
+/// Delay between two watch requests of an instance that shuts down.
+const FOLLOW_DELAY: Duration = Duration::from_millis(50);
 
-/// Refusals in a row from which an owner counts as gone that takes no calls: a second.
+/// Number of consecutive refusals, within about a second, after which an owner that accepts no
+/// calls counts as gone.
 const MAX_REFUSALS: u32 = 20;
 
-/// Time that an instance may take from its claim to the begin of its work: a journal of some megabytes
-/// over a link of 10 Mbit/s.
-const PREPARE_LIMIT: Duration = Duration::from_secs(4);
+/// Maximum time from an instance's claim to the start of its ownership: enough for a journal of
+/// some megabytes over a link of 10 Mbit/s.
+const REPLAY_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Election {
-    /// Follows the known owner while it answers; returns why the instance should act.
+    /// Follows the known owner while it answers; returns the reason for a possible takeover.
     pub(super) async fn follow(&mut self) -> TakeoverReason {
         let mut refusals = 0;
         loop {
@@ -29,29 +30,29 @@
             if owner == self.node.me {
                 return TakeoverReason::Unknown;
             }
-            let watched = self.watch(owner, !self.owner_unresponsive).await;
-            self.owner_unresponsive = watched.as_ref().is_err_and(|error| !error.is_busy());
-            match watched {
-                Ok(watched) => {
+            let response = self.watch(owner, !self.owner_unresponsive).await;
+            self.owner_unresponsive = response.as_ref().is_err_and(|error| !error.is_busy());
+            match response {
+                Ok(response) => {
                     refusals = 0;
-                    let owns = watched.is_owner;
-                    if let Some(motive) = self.apply_response(owner, watched) {
-                        return motive;
+                    let is_owner = response.is_owner;
+                    if let Some(reason) = self.apply_response(owner, response) {
+                        return reason;
                     }
-                    if owns {
+                    if is_owner {
                         self.catch_up().await;
                     }
                 }
-                // Guards against an owner that is taken for gone because it has too much to do.
+                // Guards against treating an owner as gone that is overloaded.
                 Err(error) if error.is_busy() && refusals < MAX_REFUSALS => {
                     refusals += 1;
-                    self.node.deps.clock.sleep(FOLLOW_REST).await;
+                    self.node.deps.clock.sleep(FOLLOW_DELAY).await;
                     continue;
                 }
                 Err(error) => {
                     log::info!("event=owner.unanswered cell={} owner={owner} {error}", self.cell);
-                    let silent = error.step == peer::Step::Timeout;
-                    return if silent {
+                    let timed_out = error.step == peer::Step::Timeout;
+                    return if timed_out {
                         TakeoverReason::Silent(owner)
                     } else {
                         TakeoverReason::Gone(owner)
@@ -64,113 +65,116 @@
         }
     }
 
-    /// Asks the owner how it is; a `patient` question may be held back by it.
+    /// Sends a watch request to the owner, which may delay its response if `long_poll` is true.
     pub(super) async fn watch(
         &self,
         owner: SocketAddr,
-        patient: bool,
+        long_poll: bool,
     ) -> Result<WatchResponse, peer::Error> {
-        let (version, strength) = (self.node.config().version, self.node.cpu_millis);
-        let (cell, from, domain) = (self.cell, self.node.me, self.node.domain.clone());
-        let told_by_it = self.last_owner == Some(owner);
-        let succession = if told_by_it { self.succession_digest } else { 0 };
+        let (config_version, cpu_millis) = (self.node.config().version, self.node.cpu_millis);
+        let (cell, follower, domain) = (self.cell, self.node.me, self.node.domain.clone());
+        let is_same_owner = self.last_owner == Some(owner);
+        let succession_digest = if is_same_owner { self.succession_digest } else { 0 };
         let watch = WatchRequest {
             cell,
-            follower: from,
+            follower,
             domain,
-            config_version: version,
-            cpu_millis: strength,
-            long_poll: patient,
-            succession_digest: succession,
+            config_version,
+            cpu_millis,
+            long_poll,
+            succession_digest,
         };
-        let timeout = if patient { WATCH_TIMEOUT } else { PROBE_TIMEOUT };
+        let timeout = if long_poll { WATCH_TIMEOUT } else { PROBE_TIMEOUT };
         self.node.deps.peers.call(owner, WATCH, &watch, timeout).await
     }
 
     fn apply_response(
         &mut self,
         owner: SocketAddr,
-        watched: WatchResponse,
+        response: WatchResponse,
     ) -> Option<TakeoverReason> {
-        if let Some(table) = watched.config {
-            self.node.apply_config(table);
+        if let Some(config) = response.config {
+            self.node.apply_config(config);
         }
-        if !watched.is_owner {
-            let elsewhere = watched.owner.filter(|other| *other != owner && *other != self.node.me);
+        if !response.is_owner {
+            let elsewhere =
+                response.owner.filter(|other| *other != owner && *other != self.node.me);
             if elsewhere.is_some() {
                 self.node.set_owner(self.cell, elsewhere);
                 return None;
             }
-            return self.check_takeover_progress(owner, watched.owner);
+            return self.check_takeover_progress(owner, response.owner);
         }
-        self.preparing_since = None;
-        self.known_journal_end = watched.journal_end;
-        self.owner_cpu_millis = watched.cpu_millis;
+        self.claimant_since = None;
+        self.known_journal_end = response.journal_end;
+        self.owner_cpu_millis = response.cpu_millis;
         if self.last_owner.replace(owner) != Some(owner) {
             self.postpone_catch_up();
         }
-        if let Some(present) = watched.succession_order {
-            self.apply_succession(owner, present);
-            self.succession_digest = watched.succession_digest;
+        if let Some(order) = response.succession_order {
+            self.apply_succession(owner, order);
+            self.succession_digest = response.succession_digest;
         }
-        // An owner that answers is in contact, also while the store keeps it from serving: callers
-        // are passed on to it and keep their connections, since they fare no better elsewhere.
+        // An owner that answers is in contact even while the store prevents it from serving:
+        // callers' connections are kept and their calls forwarded to it, since no other instance
+        // serves them better.
         self.node.note_owner_heard(self.cell);
-        if watched.offer != HandoverOffer::Anyone {
+        if response.offer != HandoverOffer::Anyone {
             self.node.note_serving_owner(self.cell);
         }
-        match watched.offer {
+        match response.offer {
             HandoverOffer::Anyone => Some(TakeoverReason::Offered(owner)),
             HandoverOffer::IfFaster => Some(TakeoverReason::Struggling(owner)),
             HandoverOffer::NotOffered => None,
         }
     }
 
-    /// Takes in the order in which instances would take over from `owner`.
+    /// Records the order in which instances would take over from `owner`.
     fn apply_succession(&mut self, owner: SocketAddr, order: Vec<SocketAddr>) {
         let mut followers = order.iter().filter(|peer| **peer != owner);
-        let place = followers.position(|peer| *peer == self.node.me);
-        self.rank = place.map(|place| (place as u32).min(LOWEST_RANK));
+        let position = followers.position(|peer| *peer == self.node.me);
+        self.rank = position.map(|position| (position as u32).min(MAX_RANK));
         if !order.is_empty() {
             self.peers = order;
         }
     }
 
-    /// Waits for an instance that has claimed the cell and reads its journal, within bounds.
+    /// Waits, for a limited time, for an instance that has claimed the cell and replays its
+    /// journal.
     fn check_takeover_progress(
         &mut self,
         peer: SocketAddr,
         owner: Option<SocketAddr>,
     ) -> Option<TakeoverReason> {
         if owner != Some(peer) {
-            self.preparing_since = None;
+            self.claimant_since = None;
             return Some(TakeoverReason::Unknown);
         }
         let now = self.node.deps.clock.now();
-        let since = *self.preparing_since.get_or_insert(now);
-        if now.since(since) > PREPARE_LIMIT {
-            self.preparing_since = None;
+        let since = *self.claimant_since.get_or_insert(now);
+        if now.since(since) > REPLAY_TIMEOUT {
+            self.claimant_since = None;
             return Some(TakeoverReason::Stalled(peer));
         }
         self.node.note_owner_heard(self.cell);
         None
     }
 
-    /// Passes on what is known of the owner, without taking over.
+    /// Keeps the known owner up to date, without taking over.
     pub(super) async fn follow_without_claiming(&mut self) {
         match self.node.owner(self.cell) {
             Some(owner) if owner != self.node.me => {
-                if let Ok(watched) = self.watch(owner, true).await {
-                    let _ = self.apply_response(owner, watched);
+                if let Ok(response) = self.watch(owner, true).await {
+                    let _ = self.apply_response(owner, response);
                 }
             }
             _ => {
-                let sign = self.owner_record().await.unwrap_or_default();
-                if let Some(sign) = sign.filter(|sign| sign.peer != self.node.me) {
-                    self.follow_record(sign);
+                let record = self.owner_record().await.unwrap_or_default();
+                if let Some(record) = record.filter(|record| record.peer != self.node.me) {
+                    self.follow_record(record);
                 }
             }
         }
-        self.node.deps.clock.sleep(FOLLOW_REST).await;
+        self.node.deps.clock.sleep(FOLLOW_DELAY).await;
     }
 }
--- a/src/cell/election/journal.rs
+++ b/src/cell/election/journal.rs
@@ -1,15 +1,15 @@
-//! Reading the journal, up to its end.
+//! Replay of the journal.
 
 use super::Election;
 use crate::cell::dependencies::ReadError;
 
 impl Election {
-    /// Reads the journal to its end; `false` when the store does not answer.
+    /// Replays the journal to its end; `false` when the store does not answer.
     pub(super) async fn read(&mut self) -> bool {
         let journal = self.node.deps.journal.clone();
         if !self.replay.has_snapshot {
             match journal.snapshot(self.cell).await {
-                Ok(base) => self.replay.load_snapshot(&base),
+                Ok(snapshot) => self.replay.load_snapshot(&snapshot),
                 Err(cause) => return self.unread(&cause),
             }
         }
--- a/src/cell/election/mod.rs
+++ b/src/cell/election/mod.rs
@@ -1,17 +1,18 @@
-//! Who owns a cell: each instance follows the owner, and takes over when the owner is gone.
+//! Election of a cell's owner: each instance follows the owner, and takes over when it is gone.
 //!
-//! Safety lies in the journal alone: from a claim on it refuses the owner before, so that what
-//! stands before the claim is all that ever will. The claimant reads up to its own claim and has the
-//! whole state. Everything here only decides *when* to claim.
+//! Safety depends on the journal alone. From a claim on, the journal refuses the former owner, so
+//! that no record can be inserted before the claim. The claimant replays the journal up to its own
+//! claim and then has the whole state. The other code here only decides *when* to claim.
 //!
-//! | File | Duty |
+//! | File | Contents |
 //! |---|---|
 //! | `follow.rs` | following the owner while it answers |
-//! | `reason.rs`, `takeover.rs` | why it may have to be replaced, and whether it has to |
-//! | `priority.rs` | who tries first |
-//! | `owner_record.rs`, `journal.rs` | what the store says of the owner |
-//! | `claim.rs` | the claim, and the begin of an owner |
-//! | `standby.rs` | who keeps up with the journal while another instance owns the cell |
+//! | `reason.rs`, `takeover.rs` | possible reasons for a takeover, and the checks before it |
+//! | `priority.rs` | the order in which instances claim |
+//! | `owner_record.rs` | reading and writing the owner record |
+//! | `journal.rs`, `search.rs` | replay of the journal, unless a new owner appears meanwhile |
+//! | `claim.rs` | the claim, and the start of an owner |
+//! | `standby.rs` | replay of the journal ahead of a takeover |
 
 mod claim;
 mod follow;
@@ -35,32 +36,32 @@
 use super::replay::JournalReplay;
 use crate::clock::Instant;
 
-/// Rest after the store could not be read.
-const READ_RETRY: Duration = Duration::from_millis(200);
+/// Delay after the store could not be read.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 struct Election {
     node: Rc<Node>,
     cell: Id,
     replay: JournalReplay,
-    /// Place in the order of succession, as the owner told it last.
+    /// Position in the order of succession, as last received from the owner.
     rank: Option<u32>,
     /// Instances that followed the owner when it last answered.
     peers: Vec<SocketAddr>,
-    /// Digest of the order of succession that the present owner told last; zero for none.
+    /// Digest of the order of succession received last from the present owner; zero for none.
     succession_digest: u64,
-    /// The sign that this instance went by last.
+    /// The owner record that this instance followed last.
     last_owner_record: Option<OwnerRecord>,
-    /// Whether the owner did not answer when it was last asked.
+    /// Whether the owner did not answer the last watch request.
     owner_unresponsive: bool,
-    /// When an heir reads on in the journal.
+    /// Time of the next replay as a standby.
     next_catch_up: Instant,
-    /// Since when the instance that claimed the cell has been reading its journal.
-    preparing_since: Option<Instant>,
+    /// Time since which the instance that claimed the cell has been replaying its journal.
+    claimant_since: Option<Instant>,
     /// The owner that answered last.
     last_owner: Option<SocketAddr>,
-    /// Processor that it may use, in thousandths of a core.
+    /// CPU that this owner may use, in thousandths of a core.
     owner_cpu_millis: u32,
-    /// End of the journal, as the owner told it last.
+    /// End offset of the journal, as last received from the owner.
     known_journal_end: u64,
 }
 
@@ -77,19 +78,19 @@
         last_owner_record: None,
         owner_unresponsive: false,
         next_catch_up: next_keep_up,
-        preparing_since: None,
+        claimant_since: None,
         last_owner: None,
         owner_cpu_millis: 0,
         known_journal_end: 0,
     };
-    let mut motive = TakeoverReason::Unknown;
+    let mut reason = TakeoverReason::Unknown;
     while !election.node.has_left() {
         if election.node.stop.is_triggered() {
-            // A process about to end takes nothing over; it passes calls on until it is gone.
+            // A process that shuts down claims nothing; it forwards calls until its end.
             election.follow_without_claiming().await;
             continue;
         }
-        election.take_over_if_needed(motive).await;
-        motive = election.follow().await;
+        election.take_over_if_needed(reason).await;
+        reason = election.follow().await;
     }
 }
--- a/src/cell/election/owner_record.rs
+++ b/src/cell/election/owner_record.rs
@@ -1,21 +1,21 @@
-//! The sign that an owner leaves beside the journal, by which instances find it.
+//! The owner record beside the journal, by which instances find the owner.
 
 use super::reason::TakeoverReason;
-use super::{Election, READ_RETRY};
+use super::{Election, READ_RETRY_DELAY};
 use crate::cell::Epoch;
 use crate::cell::dependencies::{AppendError, OwnerRecord};
 use crate::cell::timings::OWNER_RECORD_TIMEOUT;
 
-/// Tries to leave a sign of a new owner; with the rests between them they outlast a store that is
-/// down for six seconds. Without a sign, instances read the journal.
-const PUBLISH_TRIES: u32 = 40;
+/// Number of attempts to write the record of a new owner. With the delays between them they outlast
+/// a store outage of six seconds. Without a record, instances read the journal.
+const PUBLISH_ATTEMPTS: u32 = 40;
 
 impl Election {
-    /// What the last owner says of itself; `None` without one.
+    /// Reads the record of the last owner; `None` without one.
     pub(super) async fn owner_record(&self) -> Result<Option<OwnerRecord>, ()> {
         let read = self.node.deps.journal.owner_record(self.cell);
         let cause = match monoio::time::timeout(OWNER_RECORD_TIMEOUT, read).await {
-            Ok(Ok(sign)) => return Ok(sign),
+            Ok(Ok(record)) => return Ok(record),
             Ok(Err(cause)) => cause,
             Err(_) => format!("no answer within {} ms", OWNER_RECORD_TIMEOUT.as_millis()),
         };
@@ -23,47 +23,48 @@
         Err(())
     }
 
-    /// Whether an owner other than the one to be replaced has left a sign, which this instance has
-    /// not yet followed in vain.
+    /// Whether the record names an owner other than the one to be replaced that this instance has
+    /// not followed already; follows it if so.
     ///
-    /// Guards against small instances that never learn who owns the cell: once all have come back
-    /// after a loss of power, reading a journal of megabytes over a link of 10 Mbit/s took longer
-    /// than its timeout again and again, and 24 of 30 instances turned their callers away.
-    pub(super) fn follows_record(
+    /// Guards against small instances that never find the owner. After a power loss, reading a
+    /// journal of megabytes over a link of 10 Mbit/s repeatedly exceeded its timeout, and 24 of 30
+    /// instances refused their callers.
+    pub(super) fn try_follow_record(
         &mut self,
-        sign: Option<OwnerRecord>,
-        motive: TakeoverReason,
+        record: Option<OwnerRecord>,
+        reason: TakeoverReason,
     ) -> bool {
-        let Some(sign) = sign else { return false };
-        let known = self.last_owner_record == Some(sign) || motive.replaced() == Some(sign.peer);
-        if known || sign.peer == self.node.me {
+        let Some(record) = record else { return false };
+        let known =
+            self.last_owner_record == Some(record) || reason.replaced() == Some(record.peer);
+        if known || record.peer == self.node.me {
             return false;
         }
-        self.follow_record(sign);
+        self.follow_record(record);
         true
     }
 
-    /// Follows the owner that left the sign.
-    pub(super) fn follow_record(&mut self, sign: OwnerRecord) {
-        self.last_owner_record = Some(sign);
-        self.node.note_epoch(self.cell, sign.epoch);
-        self.node.set_owner(self.cell, Some(sign.peer));
+    /// Follows the owner named in the record.
+    pub(super) fn follow_record(&mut self, record: OwnerRecord) {
+        self.last_owner_record = Some(record);
+        self.node.note_epoch(self.cell, record.epoch);
+        self.node.set_owner(self.cell, Some(record.peer));
     }
 
-    /// Leaves a sign for instances that do not know the owner.
+    /// Writes the owner record for instances that do not know the owner.
     pub(super) fn publish_owner(&self, epoch: Epoch) {
         let (node, cell) = (self.node.clone(), self.cell);
-        let sign = OwnerRecord { epoch, peer: node.me, cpu_millis: node.cpu_millis };
+        let record = OwnerRecord { epoch, peer: node.me, cpu_millis: node.cpu_millis };
         monoio::spawn(async move {
             let journal = node.deps.journal.clone();
-            for _ in 0..PUBLISH_TRIES {
-                match journal.publish_owner(cell, node.claim_sequence(), sign).await {
+            for _ in 0..PUBLISH_ATTEMPTS {
+                match journal.publish_owner(cell, node.claim_sequence(), record).await {
                     Ok(()) | Err(AppendError::Fenced) => return,
                     Err(rejected) => {
                         log::warn!("event=owner.sign_unwritten cell={cell} {rejected}");
                     }
                 }
-                node.deps.clock.sleep(READ_RETRY).await;
+                node.deps.clock.sleep(READ_RETRY_DELAY).await;
             }
         });
     }
--- a/src/cell/election/reason.rs
+++ b/src/cell/election/reason.rs
@@ -1,21 +1,21 @@
-//! Why an instance wants to take a cell over.
+//! Reasons for taking a cell over.
 
 use std::net::SocketAddr;
 
-/// Why an instance wants to take a cell over.
+/// Why an instance considers taking a cell over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TakeoverReason {
-    /// Nobody owns it, or it is not known who does.
+    /// It has no owner, or the owner is unknown.
     Unknown,
     /// The owner offers it.
     Offered(SocketAddr),
-    /// The store keeps the owner waiting.
+    /// The store answers the owner slowly.
     Struggling(SocketAddr),
     /// The owner's process is gone: its connection was refused or reset.
     Gone(SocketAddr),
     /// The owner does not answer.
     Silent(SocketAddr),
-    /// It claimed the cell a while ago and has not come to own it.
+    /// The instance claimed the cell some time ago and has not started to own it.
     Stalled(SocketAddr),
 }
 
--- a/src/cell/election/search.rs
+++ b/src/cell/election/search.rs
@@ -1,4 +1,4 @@
-//! What an instance that wants a cell comes upon first: the end of the journal or a new owner.
+//! Replay of the journal that stops when a new owner appears.
 
 use std::future::Future;
 use std::pin::pin;
@@ -12,63 +12,68 @@
 use crate::cell::node::Node;
 use crate::cell::{Epoch, Id};
 
-/// Rest between two looks for the sign of a new owner while the journal is read. A journal of
-/// usual length is read in 20 ms; after a loss of all instances the first owns the cell after 1.5 s.
-const SIGN_REST: Duration = Duration::from_millis(250);
+/// Interval between reads of the owner record while the journal is replayed. A journal of usual
+/// length is read in 20 ms; after a loss of all instances the first one owns the cell after 1.5 s.
+const OWNER_RECORD_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What was found.
+/// How the replay ended.
 pub(super) enum ReplayResult {
-    /// The whole journal.
-    Journal,
-    /// Another instance that owns the cell by now.
-    Owner,
-    /// A store that does not answer.
-    Nothing,
+    /// The whole journal was replayed.
+    Complete,
+    /// Another instance owns the cell.
+    OwnerFound,
+    /// The store does not answer.
+    StoreUnavailable,
 }
 
 impl Election {
-    /// Reads the journal to its end, unless an owner of an epoch after `before` leaves its sign
-    /// meanwhile.
+    /// Replays the journal to its end, unless another instance writes an owner record of an epoch
+    /// after `before` meanwhile.
     ///
-    /// Guards against instances that all want the cell after a loss of power: they read megabytes
-    /// through the same store, 24 of 30 were at it for 13 s, and neither took calls nor asked the
-    /// policy service while the first of them had owned the cell since the second second.
+    /// Guards against unnecessary replays after a power loss. All instances wanted the cell and
+    /// read megabytes through the same store: 24 of 30 were busy with it for 13 s and neither
+    /// accepted calls nor queried the policy service, although the first of them owned the cell
+    /// after two seconds.
     pub(super) async fn read_unless_owned(&mut self, before: Epoch) -> ReplayResult {
-        let shown = newer_owner_record(self.node.clone(), self.cell, before);
-        match race(self.read(), shown).await {
-            Ok(true) => ReplayResult::Journal,
-            Ok(false) => ReplayResult::Nothing,
-            Err(sign) => {
-                self.follow_record(sign);
-                ReplayResult::Owner
+        let new_owner = newer_owner_record(self.node.clone(), self.cell, before);
+        match race(self.read(), new_owner).await {
+            Ok(true) => ReplayResult::Complete,
+            Ok(false) => ReplayResult::StoreUnavailable,
+            Err(record) => {
+                self.follow_record(record);
+                ReplayResult::OwnerFound
             }
         }
     }
 }
 
-/// What ends first: the reading of the journal, or the wait for a new owner's sign.
+/// Returns the result of the replay, or the record of a new owner, whichever comes first.
 async fn race<T>(
     reading: impl Future<Output = T>,
-    shown: impl Future<Output = OwnerRecord>,
+    new_owner: impl Future<Output = OwnerRecord>,
 ) -> Result<T, OwnerRecord> {
-    match future::select(pin!(reading), pin!(shown)).await {
+    match future::select(pin!(reading), pin!(new_owner)).await {
         Either::Left((read, _)) => Ok(read),
-        Either::Right((sign, _)) => Err(sign),
+        Either::Right((record, _)) => Err(record),
     }
 }
 
-/// Waits for the sign of another instance that owns the cell in an epoch after `before`.
+/// Waits for the record of another instance that owns the cell in an epoch after `before`.
 async fn newer_owner_record(node: Rc<Node>, cell: Id, before: Epoch) -> OwnerRecord {
     loop {
-        node.deps.clock.sleep(SIGN_REST).await;
-        // The store's own timeout applies: behind the journals that others read, an answer may take
-        // longer than an instance usually waits for a sign.
-        if let Ok(Some(sign)) = node.deps.journal.owner_record(cell).await
-            && sign.epoch > before
-            && sign.peer != node.me
+        node.deps.clock.sleep(OWNER_RECORD_INTERVAL).await;
+        // Only the store's own timeout applies: behind the journals that other instances read, a
+        // response may take longer than the usual timeout for an owner record.
+        if let Ok(Some(record)) = node.deps.journal.owner_record(cell).await
+            && record.epoch > before
+            && record.peer != node.me
         {
-            log::info!("event=owner.shown cell={cell} owner={} epoch={}", sign.peer, sign.epoch);
-            return sign;
+            log::info!(
+                "event=owner.shown cell={cell} owner={} epoch={}",
+                record.peer,
+                record.epoch
+            );
+            return record;
         }
     }
 }
--- a/src/cell/election/takeover.rs
+++ b/src/cell/election/takeover.rs
@@ -1,87 +1,87 @@
-//! Whether the owner is to be replaced, once it seems so.
+//! Checks before a takeover.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::reason::TakeoverReason;
 use super::search::ReplayResult;
-use super::{Election, READ_RETRY};
+use super::{Election, READ_RETRY_DELAY};
 use crate::cell::Epoch;
 use crate::cell::peer::HandoverOffer;
 use crate::cell::timings::APPEND_RETRY;
 use crate::peer;
 
-/// Time in which an owner that nobody reaches must write something to count as alive.
-const SILENT_OWNER: Duration = Duration::from_millis(250);
+/// Time within which an owner that does not answer must append to the journal to count as alive.
+const APPEND_WINDOW: Duration = Duration::from_millis(250);
 
-/// Time for which an instance may be silent after it has claimed the cell.
-const SILENT_PREPARING: Duration = Duration::from_millis(1_500);
+/// Time for which an instance may not answer after it has claimed the cell.
+const REPLAY_GRACE: Duration = Duration::from_millis(1_500);
 
-/// What an owner does whose connection broke.
+/// State of an owner whose connection broke.
 enum Probe {
-    /// It answers, or is about to begin.
+    /// It answers as the owner, or prepares to own the cell.
     Answers,
-    /// Its machine takes connections, and it does not answer.
-    Silent,
-    /// Nobody is there.
+    /// Its host accepts connections, but it does not answer.
+    Unresponsive,
+    /// The process is gone.
     Gone,
 }
 
 impl Election {
-    /// Takes the cell over, where that is called for.
-    pub(super) async fn take_over_if_needed(&mut self, motive: TakeoverReason) {
-        if self.known_epoch() == Epoch(0) && !self.find_epoch(motive).await {
+    /// Takes the cell over if the checks for `reason` show that it is necessary.
+    pub(super) async fn take_over_if_needed(&mut self, reason: TakeoverReason) {
+        if self.known_epoch() == Epoch(0) && !self.find_epoch(reason).await {
             return;
         }
         let known = self.known_epoch();
-        if !self.wait_for_turn(motive).await {
+        if !self.wait_for_turn(reason).await {
             return;
         }
-        let goes_on = match motive {
+        let is_alive = match reason {
             TakeoverReason::Offered(owner) | TakeoverReason::Struggling(owner) => {
                 self.is_recovered(owner).await
             }
             TakeoverReason::Silent(_) => self.is_owner_working().await,
             TakeoverReason::Gone(owner) => match self.probe(owner).await {
                 Probe::Answers => true,
-                Probe::Silent => self.is_owner_working().await,
+                Probe::Unresponsive => self.is_owner_working().await,
                 Probe::Gone => false,
             },
             TakeoverReason::Unknown | TakeoverReason::Stalled(_) => false,
         };
-        if goes_on {
+        if is_alive {
             self.owner_unresponsive = false;
         }
-        // Whoever made an epoch known meanwhile is to be followed, not replaced.
-        if !goes_on && self.known_epoch() == known && !self.node.stop.is_triggered() {
-            self.claim(motive, known).await;
+        // An instance that has announced a newer epoch meanwhile is followed, not replaced.
+        if !is_alive && self.known_epoch() == known && !self.node.stop.is_triggered() {
+            self.claim(reason, known).await;
         }
     }
 
-    /// Learns the last epoch from the owner's sign or, without one, from the journal; `false` if there
-    /// is an owner to follow or the store does not answer.
-    async fn find_epoch(&mut self, motive: TakeoverReason) -> bool {
-        if let Ok(sign @ Some(_)) = self.owner_record().await
-            && self.follows_record(sign, motive)
+    /// Reads the last epoch from the owner record or, without one, from the journal; `false` if
+    /// there is an owner to follow or the store does not answer.
+    async fn find_epoch(&mut self, reason: TakeoverReason) -> bool {
+        if let Ok(record @ Some(_)) = self.owner_record().await
+            && self.try_follow_record(record, reason)
         {
             return false;
         }
         match self.read_unless_owned(Epoch(0)).await {
-            ReplayResult::Journal => !self.follows_other(motive, Epoch(0)),
-            ReplayResult::Owner => false,
-            ReplayResult::Nothing => {
-                // Without the store nobody can take over; the owner may come back.
-                self.node.deps.clock.sleep(READ_RETRY).await;
+            ReplayResult::Complete => !self.try_follow_other(reason, Epoch(0)),
+            ReplayResult::OwnerFound => false,
+            ReplayResult::StoreUnavailable => {
+                // Without the store no instance can take over; the owner may return.
+                self.node.deps.clock.sleep(READ_RETRY_DELAY).await;
                 false
             }
         }
     }
 
-    /// Whether the journal names an owner other than the one to be replaced.
-    fn follows_other(&self, motive: TakeoverReason, before: Epoch) -> bool {
+    /// Whether the journal names an owner other than the one to be replaced; follows it if so.
+    fn try_follow_other(&self, reason: TakeoverReason, before: Epoch) -> bool {
         let state = &self.replay.state;
         let Some(owner) = state.owner else { return false };
-        let replaced = motive.replaced();
+        let replaced = reason.replaced();
         if owner.peer == self.node.me {
             // Claimed by an earlier process at this address, or by this one before it stepped down.
             return false;
@@ -97,55 +97,57 @@
         true
     }
 
-    /// Whether an owner that wanted to be relieved serves its cell again.
+    /// Whether an owner that offered its cell no longer does.
     ///
-    /// Guards against a change of owner right when the store is back for all: the owner that
-    /// offered the cell tries its append again every `APPEND_RETRY`, and needs no successor.
+    /// Guards against a change of owner right after an outage of the store. The owner that offered
+    /// the cell retries its append every `APPEND_RETRY`, and then needs no successor.
     async fn is_recovered(&self, owner: SocketAddr) -> bool {
         self.node.deps.clock.sleep(APPEND_RETRY).await;
-        let watched = self.watch(owner, false).await;
-        watched.is_ok_and(|watched| watched.is_owner && watched.offer == HandoverOffer::NotOffered)
+        let response = self.watch(owner, false).await;
+        response
+            .is_ok_and(|response| response.is_owner && response.offer == HandoverOffer::NotOffered)
     }
 
-    /// Asks an owner whose connection broke once more.
+    /// Sends another watch request to an owner whose connection broke.
     ///
-    /// Guards against instances that were cut off, whose connections were reset: they were the first
-    /// to claim when the cut was over, from an owner that served all others.
+    /// Guards against instances that were cut off and whose connections were reset: after the cut
+    /// they were the first to claim, from an owner that served all other instances.
     async fn probe(&self, owner: SocketAddr) -> Probe {
         match self.watch(owner, false).await {
-            Ok(watched) if watched.is_owner || watched.owner == Some(owner) => Probe::Answers,
-            Err(error) if error.sent && error.step == peer::Step::Timeout => Probe::Silent,
+            Ok(response) if response.is_owner || response.owner == Some(owner) => Probe::Answers,
+            Err(error) if error.sent && error.step == peer::Step::Timeout => Probe::Unresponsive,
             _ => Probe::Gone,
         }
     }
 
-    /// Whether an owner that does not answer is at work all the same.
+    /// Whether an owner that does not answer is working nevertheless.
     ///
-    /// Guards against a busy owner that is replaced by one that begins with the same work and more: each
-    /// in turn answered nobody in its first second and was replaced in the next, for as long as the
-    /// site had work, and what had been accepted was never run.
+    /// Guards against repeated replacement of busy owners. Each new owner began with the same work
+    /// and more, answered no requests in its first second, and was replaced in the next. This
+    /// lasted as long as the site had work, and accepted jobs never ran.
     async fn is_owner_working(&self) -> bool {
-        self.is_preparing() || self.is_owner_writing().await
+        self.is_replaying() || self.is_owner_writing().await
     }
 
-    /// Whether the silent instance has claimed the cell a moment ago: it reads the journal, and neither
-    /// writes nor always answers in time while it does.
-    fn is_preparing(&self) -> bool {
+    /// Whether the instance that does not answer claimed the cell a moment ago. While it replays
+    /// the journal, it does not append and may answer late.
+    fn is_replaying(&self) -> bool {
         let now = self.node.deps.clock.now();
         let claimed = self.node.epoch_since(self.cell);
-        claimed.is_some_and(|claimed| now.since(claimed) < SILENT_PREPARING)
+        claimed.is_some_and(|claimed| now.since(claimed) < REPLAY_GRACE)
     }
 
-    /// Whether an owner that does not answer still writes to the journal, or nobody can tell.
+    /// Whether an owner that does not answer still appends to the journal, or the journal cannot be
+    /// read.
     ///
     /// Guards against taking a cell from an owner that only this instance cannot reach.
     async fn is_owner_writing(&self) -> bool {
         let Some(seen) = self.journal_end(self.known_journal_end).await else { return true };
-        self.node.deps.clock.sleep(SILENT_OWNER).await;
+        self.node.deps.clock.sleep(APPEND_WINDOW).await;
         self.journal_end(seen).await.is_none_or(|end| end > seen)
     }
 
-    /// Offset at which the next append goes, asked for with few of the records: those from `near` on.
+    /// Offset of the next append. The read starts at `near`, so that few records are transferred.
     async fn journal_end(&self, near: u64) -> Option<u64> {
         match self.node.deps.journal.read(self.cell, near).await {
             Ok(page) => Some(page.end_offset),
