--- a/src/cell/node/answer.rs
+++ b/src/cell/node/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to other instances.
+//! Responses to other instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 use crate::codec;
 use crate::peer::{Code, Handler, Refusal, decode};
 
-/// Time for which a call waits at an instance that is about to own its cell.
+/// Time for which a call waits at an instance that prepares to own its cell.
 const CALL_HOLD: Duration = Duration::from_millis(600);
 
 impl Node {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Follows an owner that makes itself known, unless a later one is known already.
+    /// Follows an owner that announces itself, unless a later one is known.
     fn apply_announcement(&self, announcement: Announcement) {
         let Announcement { cell, epoch, owner } = announcement;
         let known = self.epoch(cell);
@@ -54,57 +54,58 @@
 
     async fn answer_call(&self, envelope: ForwardedCall) -> Reply {
         self.wait_for_takeover(envelope.cell, CALL_HOLD).await;
-        let Some(owning) = self.owner_handle(envelope.cell) else {
+        let Some(handle) = self.owner_handle(envelope.cell) else {
             return Reply::NotOwner(self.owner(envelope.cell));
         };
-        owning.call(envelope.call).await.map_or(Reply::Interrupted, Reply::Answer)
+        handle.call(envelope.call).await.map_or(Reply::Interrupted, Reply::Answer)
     }
 
-    async fn advise(&self, ask: PolicyRequest) -> Result<Eligibility, String> {
-        let timeout = Duration::from_millis(ask.timeout_ms);
-        self.deps.policy_service.eligible_workers(&ask.step, &ask.workers, timeout).await
+    async fn advise(&self, request: PolicyRequest) -> Result<Eligibility, String> {
+        let timeout = Duration::from_millis(request.timeout_ms);
+        self.deps.policy_service.eligible_workers(&request.step, &request.workers, timeout).await
     }
 
-    /// Answers a follower after a while, so that its next word is due again soon and neither side
-    /// takes the other's silence for long.
-    async fn watched(&self, watch: &WatchRequest) -> WatchResponse {
-        if let Some(owning) = self.owner_handle(watch.cell) {
-            let (peer, strength, domain) = (watch.follower, watch.cpu_millis, watch.domain.clone());
-            owning.send(Message::Present { peer, strength, domain });
-            if watch.long_poll {
+    /// Answers a follower. The response may be delayed, so that the follower's next request comes
+    /// soon after it, and neither side has to wait long to notice that the other is gone.
+    async fn watched(&self, request: &WatchRequest) -> WatchResponse {
+        if let Some(handle) = self.owner_handle(request.cell) {
+            let (peer, cpu_millis, domain) =
+                (request.follower, request.cpu_millis, request.domain.clone());
+            handle.send(Message::Present { peer, strength: cpu_millis, domain });
+            if request.long_poll {
                 let _ =
-                    monoio::time::timeout(WATCH_HOLD, self.until_handover_due(watch.cell)).await;
+                    monoio::time::timeout(WATCH_HOLD, self.until_handover_due(request.cell)).await;
             }
-        } else if watch.long_poll {
-            self.wait_for_takeover(watch.cell, WATCH_HOLD).await;
+        } else if request.long_poll {
+            self.wait_for_takeover(request.cell, WATCH_HOLD).await;
         }
-        let table = self.config();
-        let newer = (table.version > watch.config_version).then(|| (*table).clone());
-        let strength = self.cpu_millis;
-        let look = move |machine: &Machine, now| {
+        let config = self.config();
+        let newer_config = (config.version > request.config_version).then(|| (*config).clone());
+        let cpu_millis = self.cpu_millis;
+        let read = move |machine: &Machine, now| {
             let succession = machine.succession();
             let (order, digest) = (succession.order.clone(), succession.digest);
-            (machine.offer(strength, now), order, digest, machine.journal_end())
+            (machine.offer(cpu_millis, now), order, digest, machine.journal_end())
         };
-        let seen = match self.owner_handle(watch.cell) {
-            Some(owning) => owning.inspect(look).await,
+        let snapshot = match self.owner_handle(request.cell) {
+            Some(handle) => handle.inspect(read).await,
             None => None,
         };
-        let owns = seen.is_some();
-        let (offer, order, succession, end) = seen.unwrap_or_default();
-        let is_told = succession != 0 && succession == watch.succession_digest;
-        let present = (!is_told).then(|| order.to_vec());
+        let is_owner = snapshot.is_some();
+        let (offer, order, succession_digest, journal_end) = snapshot.unwrap_or_default();
+        let has_order = succession_digest != 0 && succession_digest == request.succession_digest;
+        let succession_order = (!has_order).then(|| order.to_vec());
         let offer = if self.stop.is_triggered() { HandoverOffer::Anyone } else { offer };
-        let owner = self.owner(watch.cell);
+        let owner = self.owner(request.cell);
         WatchResponse {
-            is_owner: owns,
+            is_owner,
             owner,
-            cpu_millis: strength,
-            journal_end: end,
+            cpu_millis,
+            journal_end,
             offer,
-            succession_order: present,
-            succession_digest: succession,
-            config: newer,
+            succession_order,
+            succession_digest,
+            config: newer_config,
         }
     }
 }
@@ -117,9 +118,9 @@
         body: Bytes,
     ) -> LocalBoxFuture<'_, Result<Bytes, Refusal>> {
         let method = method.to_owned();
-        let duty = if method == CALL { OwnerActivity::Call } else { OwnerActivity::Watch };
+        let activity = if method == CALL { OwnerActivity::Call } else { OwnerActivity::Watch };
         let answer = async move { self.answer(&method, &body).await }.boxed_local();
-        self.deps.profiler.measure(duty, answer).boxed_local()
+        self.deps.profiler.measure(activity, answer).boxed_local()
     }
 }
 
--- a/src/cell/node/config.rs
+++ b/src/cell/node/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: taken from the store or another instance, and passed on to owners.
+//! The configuration: read from the store or received from another instance, and sent to owners.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,70 +10,74 @@
 use crate::cell::peer::TABLE;
 use crate::cell::queue::QueueConfig;
 
-/// Time that one read for a newer configuration waits at the platform.
-const TABLE_WAIT: Duration = Duration::from_millis(1_000);
+/// Time for which the platform delays its response to a read while there is no newer configuration.
+const CONFIG_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Rest after such a read failed.
-const TABLE_RETRY: Duration = Duration::from_millis(250);
+/// Delay after a failed read.
+const CONFIG_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Time for passing the configuration to an owner.
-const TABLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout for sending the configuration to an owner.
+const CONFIG_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Node {
-    /// The configuration in force here.
+    /// The current configuration of this instance.
     pub fn config(&self) -> Rc<QueueConfig> {
         self.config.borrow().clone()
     }
 
-    /// Takes a configuration that is newer than the present one.
+    /// Applies a configuration if it is newer than the current one.
     ///
-    /// Guards against going back: an older version that arrives late, from the store or from an
-    /// instance that has been cut off, is passed over.
-    pub fn apply_config(&self, table: QueueConfig) {
-        if table.version <= self.config().version {
+    /// Guards against a return to an older version that arrives late, from the store or from an
+    /// instance that was cut off.
+    pub fn apply_config(&self, config: QueueConfig) {
+        if config.version <= self.config().version {
             return;
         }
-        log::info!("event=config.received version={} queues={}", table.version, table.queues.len());
-        let table = Rc::new(table);
-        *self.config.borrow_mut() = table.clone();
+        log::info!(
+            "event=config.received version={} queues={}",
+            config.version,
+            config.queues.len()
+        );
+        let config = Rc::new(config);
+        *self.config.borrow_mut() = config.clone();
         for view in self.views.borrow().values() {
-            if let Some(owning) = &view.owner_handle {
-                owning.send(Message::Table(table.clone()));
+            if let Some(handle) = &view.owner_handle {
+                handle.send(Message::Table(config.clone()));
             }
         }
     }
 
-    /// Reads the configuration as it changes, and passes it to owners that may not have it.
+    /// Reads each new configuration and sends it to owners that may not have it.
     pub(in crate::cell) async fn follow_config(self: Rc<Self>) {
         let mut store = DependencyStatus::new("store");
         while !self.left.get() {
             let version = self.config().version;
-            match self.deps.discovery.newer_config(version, TABLE_WAIT).await {
-                Ok(table) => {
+            match self.deps.discovery.newer_config(version, CONFIG_WAIT).await {
+                Ok(config) => {
                     store.record_success();
-                    if let Some(table) = table {
-                        self.apply_config(table);
+                    if let Some(config) = config {
+                        self.apply_config(config);
                         self.push_config();
                     }
                 }
                 Err(cause) => {
                     store.record_failure(&cause);
-                    self.deps.clock.sleep(TABLE_RETRY).await;
+                    self.deps.clock.sleep(CONFIG_RETRY_DELAY).await;
                 }
             }
         }
     }
 
     fn push_config(&self) {
-        let table = self.config();
+        let config = self.config();
         let owners: Vec<SocketAddr> =
             self.views.borrow().values().filter_map(|view| view.owner).collect();
         for owner in owners.into_iter().filter(|owner| *owner != self.me) {
-            let (borders, table) = (self.deps.clone(), table.clone());
+            let (deps, config) = (self.deps.clone(), config.clone());
             monoio::spawn(async move {
-                let told: Result<(), _> =
-                    borders.peers.call(owner, TABLE, &*table, TABLE_TIMEOUT).await;
-                if let Err(error) = told {
+                let result: Result<(), _> =
+                    deps.peers.call(owner, TABLE, &*config, CONFIG_TIMEOUT).await;
+                if let Err(error) = result {
                     log::info!("event=config.not_passed owner={owner} cause={error:?}");
                 }
             });
--- a/src/cell/node/mod.rs
+++ b/src/cell/node/mod.rs
@@ -1,11 +1,11 @@
-//! An instance: what it knows of every cell, and its answers to other instances.
+//! An instance: its view of every cell, and its responses to other instances.
 //!
-//! | File | Duty |
+//! | File | Contents |
 //! |---|---|
-//! | `view.rs` | what is known of each cell |
-//! | `config.rs` | the configuration, and who else has it |
-//! | `readiness.rs` | whether callers should come here, and their resting connections stay |
-//! | `answer.rs` | what other instances are told |
+//! | `view.rs` | what the instance knows about each cell |
+//! | `config.rs` | the configuration and its distribution |
+//! | `readiness.rs` | readiness for callers, and closing of their idle connections |
+//! | `answer.rs` | responses to other instances |
 
 mod answer;
 mod config;
@@ -25,14 +25,14 @@
 use super::{Id, election};
 use crate::shutdown::Shutdown;
 
-/// What tells one process from others.
+/// Identity and resources of a process.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Address at which other instances reach it.
     pub me: SocketAddr,
-    /// Drawn at the start of the process.
+    /// Random number drawn at the start of the process.
     pub incarnation: u64,
-    /// Processor that the process may use, in thousandths of a core.
+    /// CPU that the process may use, in thousandths of a core.
     pub cpu_millis: u32,
     /// Its failure domain.
     pub domain: Rc<str>,
@@ -42,46 +42,46 @@
 pub struct Node {
     /// Address at which other instances reach it.
     pub me: SocketAddr,
-    /// Drawn at the start of the process.
+    /// Random number drawn at the start of the process.
     pub incarnation: u64,
-    /// Processor that the process may use, in thousandths of a core.
+    /// CPU that the process may use, in thousandths of a core.
     pub cpu_millis: u32,
     /// Its failure domain.
     pub domain: Rc<str>,
-    /// Cells of the site.
+    /// Number of cells of the site.
     pub cells: u32,
-    /// Spans that the site sets.
+    /// Durations that the site sets.
     pub timings: Timings,
-    /// Ways to the outside.
+    /// Interfaces to external systems.
     pub deps: Rc<Dependencies>,
-    /// Raised when the process is told to stop.
+    /// Triggered when the process is asked to stop.
     pub stop: Shutdown,
     config: RefCell<Rc<QueueConfig>>,
     views: RefCell<BTreeMap<Id, CellView>>,
     left: Cell<bool>,
-    /// Raised while callers are served better elsewhere.
+    /// Triggered while callers are served better by other instances.
     close_idle_signal: RefCell<Shutdown>,
 }
 
 impl Node {
-    /// Builds an instance that knows nothing yet.
+    /// Creates an instance that does not know any owner or configuration yet.
     pub fn new(
         identity: Identity,
         cells: u32,
         timings: Timings,
-        borders: Rc<Dependencies>,
+        deps: Rc<Dependencies>,
         stop: Shutdown,
     ) -> Rc<Self> {
         let views = (0..cells.max(1)).map(|cell| (Id(cell), CellView::default())).collect();
-        let Identity { me, incarnation, cpu_millis: strength, domain } = identity;
+        let Identity { me, incarnation, cpu_millis, domain } = identity;
         Rc::new(Self {
             me,
             incarnation,
-            cpu_millis: strength,
+            cpu_millis,
             domain,
             cells: cells.max(1),
             timings,
-            deps: borders,
+            deps,
             stop,
             config: RefCell::default(),
             views: RefCell::new(views),
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Starts following the configuration and every cell; the tasks end with the process.
+    /// Starts following the configuration and every cell. The tasks end with the process.
     pub fn start(self: &Rc<Self>) {
         let node = self.clone();
         monoio::spawn(async move { node.follow_config().await });
@@ -102,29 +102,30 @@
         }
     }
 
-    /// Rank of the process by its processor alone: zero from half a core on, `lowest` for none.
+    /// Rank of the process by its CPU alone: zero from half a core on, `lowest` for none.
     pub(super) fn cpu_rank(&self, lowest: u32) -> u32 {
-        /// Processor of the strongest instances, in thousandths of a core.
+        /// CPU of the largest instances, in thousandths of a core.
         const STRONG: u32 = 500;
         lowest - lowest * self.cpu_millis.min(STRONG) / STRONG
     }
 
-    /// Number of this process's claims within their epochs; small enough to count on from.
+    /// Sequence number of this process's claims within their epochs, small enough to be counted up
+    /// from.
     pub const fn claim_sequence(&self) -> u64 {
         self.incarnation >> 16
     }
 
-    /// Ends ownership of every cell; for the end of a process that was told to stop.
+    /// Ends the ownership of every cell, when the process shuts down.
     pub fn leave(&self) {
         self.left.set(true);
         for view in self.views.borrow().values() {
-            if let Some(owning) = &view.owner_handle {
-                owning.stop();
+            if let Some(handle) = &view.owner_handle {
+                handle.stop();
             }
         }
     }
 
-    /// Whether the instance takes part no more.
+    /// Whether the instance has left.
     pub fn has_left(&self) -> bool {
         self.left.get()
     }
--- a/src/cell/node/view.rs
+++ b/src/cell/node/view.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of each cell.
+//! View of an instance of each cell.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,32 +9,33 @@
 use crate::clock::Instant;
 use crate::shutdown::Shutdown;
 
-/// What an instance knows of one cell.
+/// What an instance knows about one cell.
 #[derive(Default)]
 pub(super) struct CellView {
     pub(super) owner: Option<SocketAddr>,
-    /// Latest epoch whose owner was heard of.
+    /// Latest known epoch.
     pub(super) epoch: Epoch,
-    /// When that epoch was first heard of.
+    /// Time at which that epoch became known.
     epoch_since: Option<Instant>,
     pub(super) owner_handle: Option<OwnerHandle>,
-    /// When the owner was last heard of.
+    /// Time of the latest contact with the owner.
     pub(super) owner_heard_at: Option<Instant>,
-    /// When an owner was last heard of that reaches the store.
+    /// Time of the latest contact with an owner that reaches the store.
     pub(super) serving_owner_heard_at: Option<Instant>,
-    /// Raised while this instance owns the cell and the store keeps it waiting.
+    /// Triggered while this instance owns the cell and the store answers slowly or not at all.
     pub(super) handover_due: Shutdown,
-    /// While this instance has claimed the cell and reads its journal; raised when that ends.
+    /// Present while this instance has claimed the cell and replays its journal; triggered at the
+    /// end.
     takeover: Option<Shutdown>,
 }
 
 impl Node {
-    /// The owner of a cell, as far as it is known.
+    /// The owner of a cell, if known.
     pub fn owner(&self, cell: Id) -> Option<SocketAddr> {
         self.views.borrow().get(&cell).and_then(|view| view.owner)
     }
 
-    /// The way to the cell's owner when that is this instance.
+    /// Handle to the cell's owner, if that is this instance.
     pub fn owner_handle(&self, cell: Id) -> Option<OwnerHandle> {
         self.views.borrow().get(&cell).and_then(|view| view.owner_handle.clone())
     }
@@ -49,15 +50,15 @@
         }
     }
 
-    pub(in crate::cell) fn set_owner_handle(&self, cell: Id, owning: Option<OwnerHandle>) {
+    pub(in crate::cell) fn set_owner_handle(&self, cell: Id, handle: Option<OwnerHandle>) {
         if let Some(view) = self.views.borrow_mut().get_mut(&cell) {
-            view.owner = owning.as_ref().map(|_| self.me);
-            view.owner_handle = owning;
+            view.owner = handle.as_ref().map(|_| self.me);
+            view.owner_handle = handle;
         }
         self.end_takeover(cell);
     }
 
-    /// Notes that this instance has claimed the cell and is about to own it.
+    /// Records that this instance has claimed the cell and will own it after the replay.
     pub(in crate::cell) fn begin_takeover(&self, cell: Id) {
         if let Some(view) = self.views.borrow_mut().get_mut(&cell) {
             view.owner = Some(self.me);
@@ -66,33 +67,33 @@
         self.note_owner_heard(cell);
     }
 
-    /// Notes that this instance owns the cell, or will not.
+    /// Records that this instance owns the cell, or will not own it.
     pub(in crate::cell) fn end_takeover(&self, cell: Id) {
         let mut views = self.views.borrow_mut();
         let Some(view) = views.get_mut(&cell) else { return };
-        let Some(preparing) = view.takeover.take() else { return };
-        preparing.trigger();
+        let Some(takeover) = view.takeover.take() else { return };
+        takeover.trigger();
         if view.owner_handle.is_none() && view.owner == Some(self.me) {
             view.owner = None;
         }
     }
 
-    /// Waits, for `limit` at most, while this instance is about to own the cell.
+    /// Waits, for `limit` at most, while this instance prepares to own the cell.
     pub(super) async fn wait_for_takeover(&self, cell: Id, limit: Duration) {
-        let preparing = self.views.borrow().get(&cell).and_then(|view| view.takeover.clone());
-        if let Some(preparing) = preparing {
-            let _ = monoio::time::timeout(limit, preparing.wait()).await;
+        let takeover = self.views.borrow().get(&cell).and_then(|view| view.takeover.clone());
+        if let Some(takeover) = takeover {
+            let _ = monoio::time::timeout(limit, takeover.wait()).await;
         }
     }
 
-    /// Notes that an owner was heard of that reaches the store.
+    /// Records a contact with an owner that reaches the store.
     pub(in crate::cell) fn note_serving_owner(&self, cell: Id) {
         if let Some(view) = self.views.borrow_mut().get_mut(&cell) {
             view.serving_owner_heard_at = Some(self.deps.clock.now());
         }
     }
 
-    /// When this instance last heard of the cell's owner.
+    /// Time of this instance's latest contact with the cell's owner.
     pub(in crate::cell) fn owner_heard_at(&self, cell: Id) -> Option<Instant> {
         self.views.borrow().get(&cell).and_then(|view| view.owner_heard_at)
     }
@@ -103,12 +104,12 @@
         }
     }
 
-    /// Latest epoch whose owner was heard of.
+    /// Latest known epoch of the cell.
     pub(in crate::cell) fn epoch(&self, cell: Id) -> Epoch {
         self.views.borrow().get(&cell).map_or(Epoch(0), |view| view.epoch)
     }
 
-    /// When the latest epoch was first heard of.
+    /// Time at which the latest epoch became known.
     pub(in crate::cell) fn epoch_since(&self, cell: Id) -> Option<Instant> {
         self.views.borrow().get(&cell).and_then(|view| view.epoch_since)
     }
