--- a/benches/cell/mix.rs
+++ b/benches/cell/mix.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use oriolefork::cell::job::{Id, Job, Step};
-use oriolefork::cell::queue::{Advice, Queue, Service, Table};
+use oriolefork::cell::queue::{PolicyTiming, Queue, QueueConfig, Service};
 use oriolefork::resource::Amount;
 use rand::Rng;
 use rand::rngs::StdRng;
@@ -49,7 +49,7 @@
     pub attempts: u32,
     pub stretch: f64,
     pub target_ms: u64,
-    /// Decision, each worker named, share of workers that may run a step.
+    /// RetryDecision, each worker named, share of workers that may run a step.
     pub advice: (f64, f64, f64),
 }
 
@@ -188,25 +188,25 @@
 
 impl Site {
     /// The configuration in force.
-    pub fn table(&self) -> Rc<Table> {
+    pub fn table(&self) -> Rc<QueueConfig> {
         let queue = |(number, kind): (usize, &Kind)| Queue {
             name: number.to_string(),
             host: "jobs.example".to_owned(),
-            prefix: format!("/{number}/"),
+            path_prefix: format!("/{number}/"),
             service: SERVICE.to_owned(),
             priority: kind.priority,
-            attempts: kind.attempts,
+            max_failures: kind.attempts,
             stretch: kind.stretch,
             target_ms: kind.target_ms,
-            advice: Some(Advice {
+            policy: Some(PolicyTiming {
                 decide_ms: kind.advice.0,
-                each_ms: kind.advice.1,
+                per_worker_ms: kind.advice.1,
                 valid_ms: 1_500,
             }),
         };
-        let service = Service { name: SERVICE.to_owned(), guards: false };
+        let service = Service { name: SERVICE.to_owned(), enforces_capacity: false };
         let queues = self.kinds.iter().enumerate().map(queue).map(Rc::new).collect();
-        Rc::new(Table { version: 1, queues, services: vec![service] })
+        Rc::new(QueueConfig { version: 1, queues, services: vec![service] })
     }
 }
 
@@ -234,7 +234,7 @@
                 accelerators: 0,
             },
             estimate_ms: around(self.work_ms, 0.5, rng) as u64,
-            after: if number == 0 { Vec::new() } else { vec![number - 1] },
+            depends_on: if number == 0 { Vec::new() } else { vec![number - 1] },
             gang,
             checkpoints: rng.random_bool(0.5),
             ..Step::default()
--- a/src/cell/election/journal.rs
+++ b/src/cell/election/journal.rs
@@ -1,34 +1,34 @@
-//! Reading the journal, up to its end.
+//! Replay of the journal.
 
 use super::Election;
-use crate::cell::link::Unread;
+use crate::cell::dependencies::ReadError;
 
 impl Election {
-    /// Reads the journal to its end; `false` when the store does not answer.
+    /// Replays the journal to its end; `false` when the store does not answer.
     pub(super) async fn read(&mut self) -> bool {
-        let journal = self.node.borders.journal.clone();
-        if !self.reading.begun {
-            match journal.base(self.cell).await {
-                Ok(base) => self.reading.begin(&base),
+        let journal = self.node.deps.journal.clone();
+        if !self.replay.has_snapshot {
+            match journal.snapshot(self.cell).await {
+                Ok(snapshot) => self.replay.load_snapshot(&snapshot),
                 Err(cause) => return self.unread(&cause),
             }
         }
         loop {
-            match journal.read(self.cell, self.reading.next).await {
+            match journal.read(self.cell, self.replay.next_offset).await {
                 Ok(page) => {
                     for record in &page.records {
-                        self.reading.take(record);
+                        self.replay.apply_record(record);
                     }
-                    self.reading.next = page.next;
-                    if page.next >= page.end {
+                    self.replay.next_offset = page.next_offset;
+                    if page.next_offset >= page.end_offset {
                         return true;
                     }
                 }
-                Err(Unread::Dropped) => {
-                    self.reading.begun = false;
-                    return self.unread(&Unread::Dropped.to_string());
+                Err(ReadError::Truncated) => {
+                    self.replay.has_snapshot = false;
+                    return self.unread(&ReadError::Truncated.to_string());
                 }
-                Err(Unread::Failed(cause)) => return self.unread(&cause),
+                Err(ReadError::Failed(cause)) => return self.unread(&cause),
             }
         }
     }
--- a/src/cell/election/mod.rs
+++ b/src/cell/election/mod.rs
@@ -1,95 +1,96 @@
-//! Who owns a cell: each instance follows the owner, and takes over when the owner is gone.
+//! Election of a cell's owner: each instance follows the owner, and takes over when it is gone.
 //!
-//! Safety lies in the journal alone: from a claim on it refuses the owner before, so that what
-//! stands before the claim is all that ever will. The claimant reads up to its own claim and has the
-//! whole state. Everything here only decides *when* to claim.
+//! Safety depends on the journal alone. From a claim on, the journal refuses the former owner, so
+//! that no record can be inserted before the claim. The claimant replays the journal up to its own
+//! claim and then has the whole state. The other code here only decides *when* to claim.
 //!
-//! | File | Duty |
+//! | File | Contents |
 //! |---|---|
 //! | `follow.rs` | following the owner while it answers |
-//! | `motive.rs`, `consider.rs` | why it may have to be replaced, and whether it has to |
-//! | `turn.rs` | who tries first |
-//! | `sign.rs`, `journal.rs` | what the store says of the owner |
-//! | `claim.rs` | the claim, and the begin of an owner |
-//! | `heir.rs` | who keeps up with the journal while another instance owns the cell |
+//! | `reason.rs`, `takeover.rs` | possible reasons for a takeover, and the checks before it |
+//! | `priority.rs` | the order in which instances claim |
+//! | `owner_record.rs` | reading and writing the owner record |
+//! | `journal.rs`, `search.rs` | replay of the journal, unless a new owner appears meanwhile |
+//! | `claim.rs` | the claim, and the start of an owner |
+//! | `standby.rs` | replay of the journal ahead of a takeover |
 
 mod claim;
-mod consider;
 mod follow;
-mod heir;
 mod journal;
-mod motive;
+mod owner_record;
+mod priority;
+mod reason;
 mod search;
-mod sign;
-mod turn;
+mod standby;
+mod takeover;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use motive::Motive;
+use reason::TakeoverReason;
 
 use super::Id;
-use super::link::Sign;
+use super::dependencies::OwnerRecord;
 use super::node::Node;
-use super::reading::Reading;
+use super::replay::JournalReplay;
 use crate::clock::Instant;
 
-/// Rest after the store could not be read.
-const READ_RETRY: Duration = Duration::from_millis(200);
+/// Delay after the store could not be read.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 struct Election {
     node: Rc<Node>,
     cell: Id,
-    reading: Reading,
-    /// Place in the order of succession, as the owner told it last.
+    replay: JournalReplay,
+    /// Position in the order of succession, as last received from the owner.
     rank: Option<u32>,
     /// Instances that followed the owner when it last answered.
     peers: Vec<SocketAddr>,
-    /// Digest of the order of succession that the present owner told last; zero for none.
-    succession: u64,
-    /// The sign that this instance went by last.
-    followed: Option<Sign>,
-    /// Whether the owner did not answer when it was last asked.
-    unheard: bool,
-    /// When an heir reads on in the journal.
-    next_keep_up: Instant,
-    /// Since when the instance that claimed the cell has been reading its journal.
-    preparing_since: Option<Instant>,
+    /// Digest of the order of succession received last from the present owner; zero for none.
+    succession_digest: u64,
+    /// The owner record that this instance followed last.
+    last_owner_record: Option<OwnerRecord>,
+    /// Whether the owner did not answer the last watch request.
+    owner_unresponsive: bool,
+    /// Time of the next replay as a standby.
+    next_catch_up: Instant,
+    /// Time since which the instance that claimed the cell has been replaying its journal.
+    claimant_since: Option<Instant>,
     /// The owner that answered last.
     last_owner: Option<SocketAddr>,
-    /// Processor that it may use, in thousandths of a core.
-    owner_strength: u32,
-    /// End of the journal, as the owner told it last.
-    seen_end: u64,
+    /// CPU that this owner may use, in thousandths of a core.
+    owner_cpu_millis: u32,
+    /// End offset of the journal, as last received from the owner.
+    known_journal_end: u64,
 }
 
 /// Follows or owns the cell until the instance leaves.
 pub async fn run(node: Rc<Node>, cell: Id) {
-    let next_keep_up = node.borders.clock.now();
+    let next_keep_up = node.deps.clock.now();
     let mut election = Election {
         node,
         cell,
-        reading: Reading::default(),
+        replay: JournalReplay::default(),
         rank: None,
         peers: Vec::new(),
-        succession: 0,
-        followed: None,
-        unheard: false,
-        next_keep_up,
-        preparing_since: None,
+        succession_digest: 0,
+        last_owner_record: None,
+        owner_unresponsive: false,
+        next_catch_up: next_keep_up,
+        claimant_since: None,
         last_owner: None,
-        owner_strength: 0,
-        seen_end: 0,
+        owner_cpu_millis: 0,
+        known_journal_end: 0,
     };
-    let mut motive = Motive::Unknown;
+    let mut reason = TakeoverReason::Unknown;
     while !election.node.has_left() {
         if election.node.stop.is_triggered() {
-            // A process about to end takes nothing over; it passes calls on until it is gone.
-            election.follow_quietly().await;
+            // A process that shuts down claims nothing; it forwards calls until its end.
+            election.follow_without_claiming().await;
             continue;
         }
-        election.consider(motive).await;
-        motive = election.follow().await;
+        election.take_over_if_needed(reason).await;
+        reason = election.follow().await;
     }
 }
--- a/src/cell/machine/backlog.rs
+++ b/src/cell/machine/backlog.rs
@@ -113,7 +113,8 @@
     /// Whether the step needs a decision of the policy service and no query about it has been sent.
     pub(super) fn is_unqueried(&self, step: &PendingStep) -> bool {
         let tickets = self.tickets.get(&step.key);
-        step.queue.advice.is_some()
-            && tickets.is_none_or(|tickets| tickets.tally().0 == 0 && !tickets.is_asking())
+        step.queue.policy.is_some()
+            && tickets
+                .is_none_or(|tickets| tickets.counts().0 == 0 && !tickets.has_pending_question())
     }
 }
--- a/src/cell/machine/blocker.rs
+++ b/src/cell/machine/blocker.rs
@@ -68,6 +68,6 @@
     /// Whether the step needs a decision of the policy service and has not had any.
     fn has_no_answer(&self, step: &PendingStep) -> bool {
         let tickets = self.tickets.get(&step.key);
-        step.queue.advice.is_some() && tickets.is_none_or(|tickets| tickets.tally().0 == 0)
+        step.queue.policy.is_some() && tickets.is_none_or(|tickets| tickets.counts().0 == 0)
     }
 }
--- a/src/cell/machine/calls.rs
+++ b/src/cell/machine/calls.rs
@@ -4,7 +4,7 @@
 use super::{Answer, Call, CallId, Effect, Machine};
 use crate::cell::job::{Id, Job, Phase};
 use crate::cell::record::Record;
-use crate::cell::timings::VOUCH;
+use crate::cell::timings::MAX_STORE_STALENESS;
 use crate::telemetry::names;
 
 impl Machine {
@@ -115,7 +115,7 @@
     /// Guards against an owner that lost its connection to the store and was replaced: it has no
     /// record of the jobs that its successor accepted, and the caller would take its job for lost.
     fn unknown(&self) -> Answer {
-        if self.now.since(self.journal.last_write_sent()) < VOUCH {
+        if self.now.since(self.journal.last_write_sent()) < MAX_STORE_STALENESS {
             Answer::Unknown
         } else {
             Answer::Unavailable
--- a/src/cell/machine/commands.rs
+++ b/src/cell/machine/commands.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::{Effect, Machine, Stage};
-use crate::cell::job::{End, Run};
-use crate::cell::link::{Fault, Start};
-use crate::cell::timings::{ORDER_RETRY, START_TRIES};
+use crate::cell::dependencies::{StartCommand, WorkerError};
+use crate::cell::job::{Run, RunOutcome};
+use crate::cell::timings::{COMMAND_RETRY, MAX_START_ATTEMPTS};
 
 impl Machine {
     /// Sends the commands that are due.
@@ -34,8 +34,8 @@
     fn is_capacity_known(&self, run: Run) -> bool {
         let active = self.runs.get(&run);
         let worker = active.and_then(|active| self.workers.get(&active.worker));
-        let known_for = self.timings.room_known_for;
-        worker.is_none_or(|worker| worker.is_room_known(known_for, self.now))
+        let known_for = self.timings.capacity_max_age;
+        worker.is_none_or(|worker| worker.is_capacity_current(known_for, self.now))
     }
 
     fn send_start(&mut self, run: Run) {
@@ -46,13 +46,13 @@
         let Some(active) = self.runs.get_mut(&run) else { return };
         active.stage = Stage::Starting { in_flight: true };
         active.starts_sent += 1;
-        active.start_lease_end_ms = active.start_lease_end_ms.max(start.until_ms);
+        active.start_lease_end_ms = active.start_lease_end_ms.max(start.lease_until_ms);
         let worker = active.worker.clone();
         let Some(peer) = self.workers.get(&worker).map(super::Worker::address) else { return };
         self.effects.push(Effect::Start { worker, peer, start });
     }
 
-    fn start_command(&mut self, run: Run) -> Option<Start> {
+    fn start_command(&mut self, run: Run) -> Option<StartCommand> {
         let (epoch, now, may_extend_leases) = (self.epoch, self.now, self.may_extend_leases());
         let active = self.runs.get(&run)?;
         let worker = self.workers.get_mut(&active.worker)?;
@@ -63,18 +63,25 @@
         let entry = self.state.jobs.get(&key.job)?;
         let spec = entry.job.steps.get(key.step as usize)?;
         let queue = self.config.queue(&entry.job.queue)?;
-        let ticket = match queue.advice {
-            Some(_) => Some(self.tickets.get(&key)?.valid(&worker.id, now)?.to_owned()),
+        let ticket = match queue.policy {
+            Some(_) => Some(self.tickets.get(&key)?.valid_ticket(&worker.id, now)?.to_owned()),
             None => None,
         };
         let step = self.state.step(&key)?;
         let saved = if spec.gang {
-            step.saved.clone()
+            step.checkpoint.clone()
         } else {
-            step.tasks.get(run.task.index as usize)?.saved.clone()
+            step.tasks.get(run.task.index as usize)?.checkpoint.clone()
         };
         let until_ms = if may_extend_leases { worker.lease.grant(now)? } else { return None };
-        Some(Start { epoch, run, payload: entry.job.clone(), until_ms, saved, ticket })
+        Some(StartCommand {
+            epoch,
+            run,
+            job: entry.job.clone(),
+            lease_until_ms: until_ms,
+            checkpoint: saved,
+            ticket,
+        })
     }
 
     /// Ends an attempt that cannot have started, or stops it if a start command may still arrive.
@@ -83,7 +90,7 @@
         if active.may_have_arrived {
             self.stop_run(run);
         } else {
-            self.end_run(run, End::Void, String::new());
+            self.end_run(run, RunOutcome::NeverStarted, String::new());
         }
     }
 
@@ -95,7 +102,12 @@
         self.effects.push(Effect::Stop { worker: active.worker.clone(), peer, run });
     }
 
-    pub(super) fn start_answered(&mut self, worker: &str, run: Run, outcome: Result<u64, Fault>) {
+    pub(super) fn start_answered(
+        &mut self,
+        worker: &str,
+        run: Run,
+        outcome: Result<u64, WorkerError>,
+    ) {
         let now = self.now;
         self.note_response(worker, &outcome);
         if let Ok(clock_ms) = outcome {
@@ -113,7 +125,7 @@
                 active.since = now;
                 active.progress = (0, now);
                 let stop_requested = active.stop_requested;
-                self.state.note_started(run.task.step.job);
+                self.state.mark_started(run.task.step.job);
                 if stop_requested {
                     self.stop_run(run);
                 }
@@ -124,14 +136,14 @@
 
     /// Handles the answer to a start command that arrives after a stop or a poll has changed the
     /// attempt's stage.
-    fn late_start_answer(&mut self, run: Run, outcome: &Result<u64, Fault>) {
-        let unknown = matches!(outcome, Err(Fault::Unknown(_)));
+    fn late_start_answer(&mut self, run: Run, outcome: &Result<u64, WorkerError>) {
+        let unknown = matches!(outcome, Err(WorkerError::Unknown(_)));
         if let Some(active) = self.runs.get_mut(&run) {
             active.may_have_arrived |= unknown;
         }
     }
 
-    fn start_failed(&mut self, worker: &str, run: Run, fault: &Fault) {
+    fn start_failed(&mut self, worker: &str, run: Run, fault: &WorkerError) {
         let now = self.now;
         log::info!(
             "event=task.start_failed task={run} worker={worker} cause={:?}",
@@ -139,31 +151,31 @@
         );
         let Some(active) = self.runs.get_mut(&run) else { return };
         match fault {
-            Fault::Fenced => self.step_down(worker),
-            Fault::OtherLife => self.remove_dead_worker(worker, "another_life"),
+            WorkerError::Fenced => self.step_down(worker),
+            WorkerError::OtherIncarnation => self.remove_dead_worker(worker, "another_life"),
             // The attempt has already ended on the worker; the next poll either lists that end or
             // nothing.
-            Fault::Over => active.stage = Stage::Running(now),
-            Fault::Late => active.next_command = now.after(ORDER_RETRY),
-            Fault::NotSent(_) | Fault::Unknown(_) => {
-                active.may_have_arrived |= matches!(fault, Fault::Unknown(_));
-                active.next_command = now.after(ORDER_RETRY);
+            WorkerError::RunEnded => active.stage = Stage::Running(now),
+            WorkerError::LeaseExpired => active.next_command = now.after(COMMAND_RETRY),
+            WorkerError::NotSent(_) | WorkerError::Unknown(_) => {
+                active.may_have_arrived |= matches!(fault, WorkerError::Unknown(_));
+                active.next_command = now.after(COMMAND_RETRY);
                 // Workers carry out a repeated command once, so that a repetition shows whether the
                 // first command arrived.
-                if active.starts_sent >= START_TRIES {
+                if active.starts_sent >= MAX_START_ATTEMPTS {
                     self.note_unresponsive(worker);
                     self.abandon_start(run);
                 }
             }
-            Fault::Ticket => {
+            WorkerError::InvalidTicket => {
                 if let Some(tickets) = self.tickets.get_mut(&run.task.step) {
                     tickets.expire(worker);
                 }
                 self.abandon_start(run);
             }
-            Fault::NoRoom | Fault::Unhealthy | Fault::Refused(_) => {
+            WorkerError::NoCapacity | WorkerError::Unhealthy | WorkerError::Refused(_) => {
                 if let Some(worker) = self.workers.get_mut(worker) {
-                    worker.distrust(now);
+                    worker.pause_after_refusal(now);
                 }
                 self.abandon_start(run);
             }
@@ -178,7 +190,7 @@
         match active.stage {
             Stage::Recording | Stage::Stopping { .. } => {}
             Stage::Starting { in_flight: false } if !active.may_have_arrived => {
-                self.end_run(run, End::Void, String::new());
+                self.end_run(run, RunOutcome::NeverStarted, String::new());
             }
             Stage::Starting { .. } | Stage::Running(_) | Stage::Recovered => {
                 active.stage = Stage::Stopping { in_flight: false, acknowledged: None };
@@ -187,15 +199,22 @@
         }
     }
 
-    pub(super) fn stop_answered(&mut self, worker: &str, run: Run, outcome: Result<u64, Fault>) {
+    pub(super) fn stop_answered(
+        &mut self,
+        worker: &str,
+        run: Run,
+        outcome: Result<u64, WorkerError>,
+    ) {
         let now = self.now;
         self.note_response(worker, &outcome);
         if let Ok(clock_ms) = outcome {
             self.read_clock(worker, clock_ms);
         }
         match outcome {
-            Err(Fault::Fenced) => return self.step_down(worker),
-            Err(Fault::OtherLife) => return self.remove_dead_worker(worker, "another_life"),
+            Err(WorkerError::Fenced) => return self.step_down(worker),
+            Err(WorkerError::OtherIncarnation) => {
+                return self.remove_dead_worker(worker, "another_life");
+            }
             _ => {}
         }
         let Some(active) = self.runs.get_mut(&run) else { return };
@@ -203,13 +222,13 @@
             return;
         }
         let acknowledged = match outcome {
-            Ok(_) | Err(Fault::Over) => Some(now),
+            Ok(_) | Err(WorkerError::RunEnded) => Some(now),
             Err(fault) => {
                 log::info!(
                     "event=task.stop_failed task={run} worker={worker} cause={:?}",
                     fault.to_string()
                 );
-                active.next_command = now.after(ORDER_RETRY * 4);
+                active.next_command = now.after(COMMAND_RETRY * 4);
                 None
             }
         };
@@ -217,19 +236,19 @@
         let Some(worker) = self.workers.get_mut(worker) else { return };
         if acknowledged.is_some() {
             // A report proves the end only if its poll is sent in a later millisecond.
-            worker.next_look = worker.next_look.min(now.after(Duration::from_millis(1)));
+            worker.next_poll = worker.next_poll.min(now.after(Duration::from_millis(1)));
         } else {
-            worker.silence.note_stop(now);
+            worker.command_backoff.record_unanswered_stop(now);
         }
     }
 
     /// Notes that the worker responds to commands.
-    fn note_response(&mut self, id: &str, outcome: &Result<u64, Fault>) {
-        if matches!(outcome, Err(Fault::NotSent(_) | Fault::Unknown(_))) {
+    fn note_response(&mut self, id: &str, outcome: &Result<u64, WorkerError>) {
+        if matches!(outcome, Err(WorkerError::NotSent(_) | WorkerError::Unknown(_))) {
             return;
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.silence.end();
+            worker.command_backoff.reset();
         }
     }
 
@@ -237,7 +256,7 @@
     fn read_clock(&mut self, worker: &str, clock_ms: u64) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.lease.read(clock_ms, now);
+            worker.lease.observe_clock(clock_ms, now);
         }
     }
 
@@ -245,11 +264,11 @@
     fn note_unresponsive(&mut self, id: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else { return };
-        if worker.silence.note_start(now) {
-            let times = worker.silence.times();
+        if worker.command_backoff.record_unanswered_start(now) {
+            let times = worker.command_backoff.consecutive();
             log::warn!(
                 "event=worker.unanswering worker={id} times={times} missed={}",
-                worker.missed
+                worker.missed_polls
             );
         }
     }
--- a/src/cell/machine/crash.rs
+++ b/src/cell/machine/crash.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::{ActiveRun, Machine, Stage};
-use crate::cell::job::{End, Id, Run};
+use crate::cell::job::{Id, Run, RunOutcome};
 use crate::cell::worker::Worker;
 use crate::clock::Instant;
 
@@ -54,27 +54,27 @@
 
     /// Whether the task is suspected of crashing its workers.
     pub(super) fn is_suspect(&self, run: &Run) -> bool {
-        self.state.task(&run.task).is_some_and(|task| task.suspicion.is_strong())
+        self.state.task(&run.task).is_some_and(|task| task.crash_score.is_suspect())
     }
 
     /// Returns how an attempt ends whose worker process is gone.
-    pub(super) fn end_on_dead_worker(&self, worker: &Worker, active: &ActiveRun) -> End {
+    pub(super) fn end_on_dead_worker(&self, worker: &Worker, active: &ActiveRun) -> RunOutcome {
         if active.was_never_sent() {
-            End::Void
-        } else if worker.listed.draining {
-            End::Lost
+            RunOutcome::NeverStarted
+        } else if worker.info.draining {
+            RunOutcome::WorkerLost
         } else {
-            match (active.was_started(), active.was_starting_at(worker.silent_since)) {
-                (Some(true), true) => End::CrashedAtStart,
-                (Some(false), false) => End::Lost,
-                _ => End::Crashed,
+            match (active.was_started(), active.was_starting_at(worker.unresponsive_since)) {
+                (Some(true), true) => RunOutcome::WorkerCrashedAtStart,
+                (Some(false), false) => RunOutcome::WorkerLost,
+                _ => RunOutcome::WorkerCrashed,
             }
         }
     }
 
     /// Whether a task has crashed so many workers that its job fails.
     pub(super) fn has_crashed_too_often(&self, run: &Run) -> bool {
-        self.state.task(&run.task).is_some_and(|task| task.suspicion.is_proven())
+        self.state.task(&run.task).is_some_and(|task| task.crash_score.is_proven_cause())
     }
 }
 
--- a/src/cell/machine/loss.rs
+++ b/src/cell/machine/loss.rs
@@ -4,10 +4,10 @@
 
 use super::roster::incarnations_of;
 use super::{ActiveRun, Machine, Stage};
-use crate::cell::job::{End, Run};
-use crate::cell::life::Life;
+use crate::cell::incarnation::WorkerIncarnation;
+use crate::cell::job::{Run, RunOutcome};
 use crate::cell::record::WorkerId;
-use crate::cell::timings::{AUTHORITY, CLOCK_DRIFT, LEASE_MARGIN};
+use crate::cell::timings::{CLOCK_DRIFT, LEASE_GRANT_WINDOW, LEASE_MARGIN};
 use crate::cell::worker::Worker;
 
 impl Machine {
@@ -29,15 +29,17 @@
     fn log_worker_gone(&self, worker: &Worker, reason: &str) {
         let placed =
             worker.runs.iter().filter_map(|run| self.runs.get(run)).map(|active| active.since);
-        let silent = worker.silent_since.map(|since| self.now.since(since));
-        let youngest =
-            worker.silent_since.zip(placed.max()).map(|(silent, placed)| silent.since(placed));
+        let silent = worker.unresponsive_since.map(|since| self.now.since(since));
+        let youngest = worker
+            .unresponsive_since
+            .zip(placed.max())
+            .map(|(silent, placed)| silent.since(placed));
         log::warn!(
             "event=worker.gone worker={} reason={reason} tasks={} draining={} silent_ms={} \
              youngest_ms={}",
             worker.id,
             worker.runs.len(),
-            worker.listed.draining,
+            worker.info.draining,
             millis_or_unknown(silent),
             millis_or_unknown(youngest)
         );
@@ -51,22 +53,23 @@
         let over: Vec<Run> = runs.filter(|run| self.runs.get(run).is_some_and(former)).collect();
         for run in over {
             self.unlisted_runs.remove(&run);
-            self.end_run(run, End::Crashed, String::new());
+            self.end_run(run, RunOutcome::WorkerCrashed, String::new());
         }
     }
 
     fn answers_as_other_incarnation(&self, worker: &str) -> bool {
-        incarnations_of(&self.workers, Life::of(worker).entry)
-            .any(|(id, worker)| worker.fenced && Life::of(id).born.is_some())
+        incarnations_of(&self.workers, WorkerIncarnation::parse(worker).listed_name).any(
+            |(id, worker)| worker.fenced && WorkerIncarnation::parse(id).started_at_ms.is_some(),
+        )
     }
 
     /// Ends attempts on workers whose leases have certainly expired.
     pub(super) fn expire_leases(&mut self) {
         let lease = self.timings.lease.mul_f64(1.0 + 2.0 * CLOCK_DRIFT);
-        let unfenced_end = self.claimed.after(AUTHORITY + lease + LEASE_MARGIN);
+        let unfenced_end = self.claimed.after(LEASE_GRANT_WINDOW + lease + LEASE_MARGIN);
         let now = self.now;
         let lapsed = |worker: &&Worker| {
-            let end = if worker.fenced { worker.lease.lapse() } else { Some(unfenced_end) };
+            let end = if worker.fenced { worker.lease.expires_at() } else { Some(unfenced_end) };
             !worker.runs.is_empty() && end.is_some_and(|end| now > end)
         };
         let ids: Vec<WorkerId> =
@@ -92,14 +95,14 @@
         }
         log::warn!("event=worker.lapsed worker={id} tasks={}", runs.len());
         for run in runs {
-            self.end_run(run, End::Lost, String::new());
+            self.end_run(run, RunOutcome::WorkerLost, String::new());
         }
     }
 
     /// Ends attempts on workers that have not been listed since this owner took over.
     fn end_unlisted_runs(&mut self) {
         for run in std::mem::take(&mut self.unlisted_runs) {
-            self.end_run(run, End::Lost, String::new());
+            self.end_run(run, RunOutcome::WorkerLost, String::new());
         }
     }
 }
--- a/src/cell/machine/mod.rs
+++ b/src/cell/machine/mod.rs
@@ -49,10 +49,10 @@
 use self::timer_queue::TimerQueue;
 use self::view::WorkerViews;
 use super::Epoch;
-use super::duty::Duty;
+use super::activity::OwnerActivity;
 use super::job::{Id, Job, Phase, Run, Step, StepKey};
-use super::peer::Offer;
-use super::queue::Table;
+use super::peer::HandoverOffer;
+use super::queue::QueueConfig;
 use super::record::WorkerId;
 use super::state::State;
 use super::ticket::Tickets;
@@ -83,7 +83,7 @@
     /// State of the cell, as the journal's records define it.
     pub state: State,
     /// Configuration in force.
-    pub config: Rc<Table>,
+    pub config: Rc<QueueConfig>,
     /// Workers by name of their incarnation.
     pub workers: TrackedMap<WorkerId, Worker>,
     /// Attempts that are not known to have ended.
@@ -146,7 +146,7 @@
         state: State,
         claim: u64,
         end: u64,
-        config: Rc<Table>,
+        config: Rc<QueueConfig>,
         timings: Timings,
         now: Instant,
         unix: Unix,
@@ -227,17 +227,17 @@
         &mut self,
         now: Instant,
         unix: Unix,
-        done: &mut dyn FnMut(Duty),
+        done: &mut dyn FnMut(OwnerActivity),
     ) -> Vec<Effect> {
         self.advance(now, unix);
         self.admit_delayed_jobs();
-        done(Duty::Call);
+        done(OwnerActivity::Call);
         self.rank_instances();
-        done(Duty::Watch);
+        done(OwnerActivity::Watch);
         self.send_commands();
-        done(Duty::Order);
+        done(OwnerActivity::Command);
         self.send_polls();
-        done(Duty::Look);
+        done(OwnerActivity::Poll);
         if self.now >= self.next_lease_check {
             self.next_lease_check = now.after(LEASE_CHECK_INTERVAL);
             self.expire_leases();
@@ -247,13 +247,13 @@
             self.next_forget = now.after(FORGET_INTERVAL);
             self.forget();
         }
-        done(Duty::Upkeep);
+        done(OwnerActivity::Upkeep);
         if self.now >= self.next_round && (self.needs_placement || self.now >= self.round_by) {
             self.place();
-            done(Duty::Placement);
+            done(OwnerActivity::Placement);
         }
         self.flush();
-        done(Duty::Append);
+        done(OwnerActivity::Append);
         std::mem::take(&mut self.effects)
     }
 
@@ -264,12 +264,12 @@
 
     /// Whether another instance should take the cell over from this owner, which may use `strength`
     /// thousandths of a core.
-    pub fn offer(&self, strength: u32, now: Instant) -> Offer {
+    pub fn offer(&self, strength: u32, now: Instant) -> HandoverOffer {
         match self.store_health(now) {
-            StoreHealth::Stuck => Offer::Open,
-            _ if self.stronger_instance_exists(strength, now) => Offer::Open,
-            StoreHealth::Degraded => Offer::IfQuicker,
-            StoreHealth::Good => Offer::Kept,
+            StoreHealth::Stuck => HandoverOffer::Anyone,
+            _ if self.stronger_instance_exists(strength, now) => HandoverOffer::Anyone,
+            StoreHealth::Degraded => HandoverOffer::IfFaster,
+            StoreHealth::Good => HandoverOffer::NotOffered,
         }
     }
 
@@ -290,7 +290,7 @@
     }
 
     fn demand(&self, run: &Run) -> Amount {
-        self.spec(&run.task.step).map_or(Amount::ZERO, Step::room)
+        self.spec(&run.task.step).map_or(Amount::ZERO, Step::allocation)
     }
 
     /// Returns the step as submitted.
@@ -299,7 +299,7 @@
     }
 
     fn forget(&mut self) {
-        let gone = self.state.forget(self.unix, self.timings.status_retention);
+        let gone = self.state.remove_expired(self.unix, self.timings.status_retention);
         for id in gone {
             remove_job(&mut self.tickets, id);
             remove_job(&mut self.failed_workers, id);
@@ -319,7 +319,7 @@
     }
 
     fn phase_of(&self, job: Id) -> Option<Phase> {
-        self.state.jobs.get(&job).map(super::state::Entry::phase)
+        self.state.jobs.get(&job).map(super::state::JobState::phase)
     }
 }
 
--- a/src/cell/machine/outcome_stats.rs
+++ b/src/cell/machine/outcome_stats.rs
@@ -1,24 +1,24 @@
 //! Statistics about workers and queues, updated from the ends of attempts.
 
 use super::{ActiveRun, Machine};
-use crate::cell::job::{End, Run};
+use crate::cell::job::{Run, RunOutcome};
 
 impl Machine {
     /// Updates the worker's failure count and the queue's mean run time.
-    pub(super) fn update_stats(&mut self, run: &Run, active: &ActiveRun, end: End) {
+    pub(super) fn update_stats(&mut self, run: &Run, active: &ActiveRun, end: RunOutcome) {
         let step = run.task.step;
         // Long-running tasks may fail at any time, which is no evidence against their worker.
-        if self.spec(&step).is_some_and(|spec| spec.lasting) {
+        if self.spec(&step).is_some_and(|spec| spec.long_running) {
             return;
         }
         let Some(worker) = self.workers.get_mut(&active.worker) else { return };
         match end {
-            End::Done => {
-                worker.note_success();
+            RunOutcome::Succeeded => {
+                worker.record_success();
                 self.update_mean_run_time(run, active);
             }
-            End::Failed => {
-                let quarantined = worker.note_failure(step.job, self.now);
+            RunOutcome::Failed => {
+                let quarantined = worker.record_failure(step.job, self.now);
                 self.failed_workers.entry(step).or_default().insert(active.worker.clone());
                 if quarantined {
                     log::warn!("event=worker.quarantined worker={} reason=failures", active.worker);
--- a/src/cell/machine/preemption.rs
+++ b/src/cell/machine/preemption.rs
@@ -8,9 +8,9 @@
 use super::view::WorkerViews;
 use super::{ActiveRun, Machine, Stage};
 use crate::cell::job::Run;
-use crate::cell::preempt::{self, Place, Victim};
+use crate::cell::preempt::{self, CandidateWorker, Victim};
 use crate::cell::record::WorkerId;
-use crate::cell::worker::Yielding;
+use crate::cell::worker::PreemptibleRun;
 use crate::clock::millis;
 
 /// Pause of a step after it has preempted tasks: a stop takes up to 0.4 s, and the released
@@ -50,31 +50,31 @@
             return;
         }
         let spec = step.spec();
-        let demand = spec.room();
+        let demand = spec.allocation();
         let taken = self.spread_counts(step, views);
-        let bound = |at: &usize| match spec.spread {
+        let bound = |at: &usize| match spec.max_per_worker {
             0 => usize::MAX,
             spread => spread.saturating_sub(taken.get(at).copied().unwrap_or(0)) as usize,
         };
-        let places = allowed.iter().map(|at| Place {
-            room: views.get(*at).free,
-            bound: bound(at),
+        let places = allowed.iter().map(|at| CandidateWorker {
+            free: views.get(*at).free,
+            max_tasks: bound(at),
             victims: self.preemptible(*at, step, views).map(|one| one.victim.clone()).collect(),
         });
-        let choice = preempt::choose(&demand, count, places.collect());
-        if choice.victims.is_empty() || spec.gang && choice.fitting < count {
+        let choice = preempt::choose_victims(&demand, count, places.collect());
+        if choice.victims.is_empty() || spec.gang && choice.placeable < count {
             return;
         }
-        let work = demand.cpu_millis * choice.fitting as u64 * self.expected_ms(step);
-        if choice.lost > work {
+        let work = demand.cpu_millis * choice.placeable as u64 * self.expected_ms(step);
+        if choice.lost_work > work {
             return;
         }
         log::info!(
             "event=step.preempts step={} tasks={} victims={} lost_core_ms={}",
             step.key,
-            choice.fitting,
+            choice.placeable,
             choice.victims.len(),
-            choice.lost / 1_000
+            choice.lost_work / 1_000
         );
         self.next_preemption.insert(step.key, self.now.after(COOLDOWN));
         for run in choice.victims {
@@ -116,7 +116,7 @@
         at: usize,
         step: &PendingStep,
         views: &'a WorkerViews,
-    ) -> impl Iterator<Item = &'a Yielding> + use<'a> {
+    ) -> impl Iterator<Item = &'a PreemptibleRun> + use<'a> {
         let priority = step.queue.priority;
         views.get(at).preemptible.iter().filter(move |yielding| {
             let active = self.runs.get(&yielding.victim.run);
@@ -134,21 +134,24 @@
             return;
         }
         self.next_preemptible_scan = self.now.after(SCAN_INTERVAL);
-        let mut found: BTreeMap<WorkerId, Vec<Yielding>> = BTreeMap::new();
+        let mut found: BTreeMap<WorkerId, Vec<PreemptibleRun>> = BTreeMap::new();
         for (run, active) in self.runs.iter() {
             if let Some(priority) = self.preemptible_priority(run, active) {
                 let victim = Victim { run: *run, demand: active.demand };
-                found.entry(active.worker.clone()).or_default().push(Yielding { priority, victim });
+                found
+                    .entry(active.worker.clone())
+                    .or_default()
+                    .push(PreemptibleRun { priority, victim });
             }
         }
-        let before = self.workers.values().filter(|worker| !worker.yielding.is_empty());
+        let before = self.workers.values().filter(|worker| !worker.preemptible.is_empty());
         let before: Vec<WorkerId> = before.map(|worker| worker.id.clone()).collect();
         for id in before {
             found.entry(id).or_default();
         }
         for (id, yielding) in found {
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.yielding = yielding.into();
+                worker.preemptible = yielding.into();
             }
         }
     }
@@ -166,7 +169,7 @@
         }
         let entry = self.state.jobs.get(&key.job)?;
         let spec = entry.job.steps.get(key.step as usize)?;
-        if !spec.checkpoints || spec.gang || spec.lasting {
+        if !spec.checkpoints || spec.gang || spec.long_running {
             return None;
         }
         let queue = self.config.queue(&entry.job.queue)?;
--- a/src/cell/machine/proxy.rs
+++ b/src/cell/machine/proxy.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use crate::cell::timings::{ASKER_MOST_RESTS, ASKER_REST, PRESENCE};
+use crate::cell::timings::{PEER_TIMEOUT, PROXY_BACKOFF, PROXY_MAX_BACKOFFS};
 use crate::clock::Instant;
 
 /// An instance that follows the owner. It can send queries to the policy service, one at a time,
@@ -32,7 +32,7 @@
     pub(super) fn note_outcome(&mut self, answered: bool, now: Instant) {
         self.query = None;
         self.failures = if answered { 0 } else { self.failures + 1 };
-        self.backoff_until = now.after(ASKER_REST * self.failures.min(ASKER_MOST_RESTS));
+        self.backoff_until = now.after(PROXY_BACKOFF * self.failures.min(PROXY_MAX_BACKOFFS));
     }
 
     pub(super) fn is_idle(&self, now: Instant) -> bool {
@@ -40,6 +40,6 @@
     }
 
     pub(super) fn is_fresh(&self, now: Instant) -> bool {
-        now.since(self.last_seen) < PRESENCE
+        now.since(self.last_seen) < PEER_TIMEOUT
     }
 }
--- a/src/cell/machine/proxy_shares.rs
+++ b/src/cell/machine/proxy_shares.rs
@@ -14,7 +14,7 @@
 use super::rank::Timeliness;
 use super::view::WorkerViews;
 use crate::cell::job::StepKey;
-use crate::cell::queue::{Advice, Queue};
+use crate::cell::queue::{PolicyTiming, Queue};
 use crate::cell::record::WorkerId;
 
 /// Share of instances of a queue relative to the next higher priority. With half, a lower queue
@@ -32,7 +32,7 @@
 pub(super) struct DeferredQuery {
     step: StepKey,
     workers: Vec<WorkerId>,
-    advice: Advice,
+    advice: PolicyTiming,
 }
 
 /// How the instances that can query are shared among queues in one placement round.
@@ -101,7 +101,12 @@
     }
 
     /// Keeps a query until the others have had their turn.
-    pub(super) fn defer_query(&mut self, step: StepKey, workers: Vec<WorkerId>, advice: Advice) {
+    pub(super) fn defer_query(
+        &mut self,
+        step: StepKey,
+        workers: Vec<WorkerId>,
+        advice: PolicyTiming,
+    ) {
         self.deferred.push(DeferredQuery { step, workers, advice });
     }
 
@@ -146,8 +151,9 @@
     /// Whether a step may need a query.
     fn may_query(&self, step: &PendingStep) -> bool {
         let tickets = self.tickets.get(&step.key);
-        step.queue.advice.is_some()
-            && tickets.is_none_or(|tickets| !tickets.is_asking() && tickets.is_due(self.now))
+        step.queue.policy.is_some()
+            && tickets
+                .is_none_or(|tickets| !tickets.has_pending_question() && tickets.may_ask(self.now))
     }
 
     /// Sends the deferred queries, as far as instances are idle.
--- a/src/cell/machine/roster.rs
+++ b/src/cell/machine/roster.rs
@@ -5,51 +5,52 @@
 use std::rc::Rc;
 
 use super::Machine;
-use crate::cell::life::Life;
-use crate::cell::link::{Listed, Roster};
-use crate::cell::queue::Table;
+use crate::cell::dependencies::{RosterUpdate, WorkerInfo};
+use crate::cell::incarnation::WorkerIncarnation;
+use crate::cell::queue::QueueConfig;
 use crate::cell::record::WorkerId;
 use crate::cell::worker::Worker;
 
 impl Machine {
-    pub(super) fn update_workers(&mut self, roster: Roster) {
-        if roster.whole {
-            let present: BTreeSet<&WorkerId> = roster.present.iter().map(|(id, _)| id).collect();
+    pub(super) fn update_workers(&mut self, roster: RosterUpdate) {
+        if roster.is_complete {
+            let present: BTreeSet<&WorkerId> = roster.changed.iter().map(|(id, _)| id).collect();
             let missing: Vec<WorkerId> =
                 self.workers.keys().filter(|id| !present.contains(id)).cloned().collect();
             missing.iter().for_each(|id| self.mark_unlisted(id));
             self.dead_workers.retain(|id| present.contains(id));
         }
         let mut any_new = false;
-        for (id, listed) in roster.present {
+        for (id, listed) in roster.changed {
             any_new |= self.add_listed(id, listed);
         }
         if any_new {
             self.allocate_recovered();
         }
-        for entry in roster.gone {
+        for entry in roster.removed {
             self.mark_incarnations_unlisted(&entry);
         }
     }
 
     /// Adds or updates a worker's entry; returns `true` if the worker was not known.
-    fn add_listed(&mut self, id: WorkerId, listed: Rc<Listed>) -> bool {
+    fn add_listed(&mut self, id: WorkerId, listed: Rc<WorkerInfo>) -> bool {
         if self.dead_workers.contains(&id) {
             return false;
         }
         if let Some(worker) = self.workers.get_mut(&id) {
-            if worker.missing_since.take().is_some() || worker.listed != listed {
+            if worker.unlisted_since.take().is_some() || worker.info != listed {
                 log::info!(
                     "event=worker.changed worker={id} draining={} capacity={:?} used={:?}",
                     listed.draining,
                     listed.capacity.to_string(),
-                    worker.used.to_string()
+                    worker.allocated.to_string()
                 );
                 self.needs_placement = true;
             }
-            self.needs_placement |= !worker.is_room_known(self.timings.room_known_for, self.now);
-            worker.listed = listed;
-            worker.listed_at = self.now;
+            self.needs_placement |=
+                !worker.is_capacity_current(self.timings.capacity_max_age, self.now);
+            worker.info = listed;
+            worker.info_at = self.now;
             return false;
         }
         log::info!(
@@ -59,8 +60,8 @@
             crate::logging::value(&listed.labels.join(",")),
             listed.draining
         );
-        if Life::of(&id).born.is_some() {
-            self.mark_incarnations_unlisted(Life::of(&id).entry);
+        if WorkerIncarnation::parse(&id).started_at_ms.is_some() {
+            self.mark_incarnations_unlisted(WorkerIncarnation::parse(&id).listed_name);
         }
         self.workers.insert(id.clone(), Worker::new(id, listed, self.timings.lease, self.now));
         true
@@ -71,7 +72,7 @@
         for run in std::mem::take(&mut self.unlisted_runs) {
             let Some(active) = self.runs.get(&run) else { continue };
             match self.workers.get_mut(&active.worker) {
-                Some(worker) => worker.reserve(run, &active.demand),
+                Some(worker) => worker.allocate(run, &active.demand),
                 None => {
                     self.unlisted_runs.insert(run);
                 }
@@ -84,7 +85,7 @@
         let incarnations: Vec<WorkerId> =
             incarnations_of(&self.workers, entry).map(|(id, _)| id.clone()).collect();
         incarnations.iter().for_each(|id| self.mark_unlisted(id));
-        self.dead_workers.retain(|id| Life::of(id).entry != entry);
+        self.dead_workers.retain(|id| WorkerIncarnation::parse(id).listed_name != entry);
     }
 
     /// Marks a worker as missing from the list. This alone does not mean that it is gone: entries
@@ -93,13 +94,13 @@
     fn mark_unlisted(&mut self, id: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else { return };
-        if worker.missing_since.is_none() {
+        if worker.unlisted_since.is_none() {
             log::info!("event=worker.unlisted worker={id} tasks={}", worker.runs.len());
-            worker.missing_since = Some(now);
+            worker.unlisted_since = Some(now);
         }
     }
 
-    pub(super) fn configure(&mut self, config: Rc<Table>) {
+    pub(super) fn configure(&mut self, config: Rc<QueueConfig>) {
         if config.version > self.config.version {
             log::info!("event=config.in_force version={}", config.version);
             self.config = config;
@@ -112,8 +113,8 @@
     pub(super) fn remove_unlisted_workers(&mut self) {
         let now = self.now;
         let over = |worker: &&Worker| {
-            let gone = worker.missing_since.is_some_and(|since| {
-                now.since(since) > crate::cell::timings::UNLISTED_AFTER && worker.missed > 0
+            let gone = worker.unlisted_since.is_some_and(|since| {
+                now.since(since) > crate::cell::timings::UNLISTED_AFTER && worker.missed_polls > 0
             });
             gone && worker.runs.is_empty()
         };
@@ -139,5 +140,5 @@
     workers
         .range::<str, _>((Bound::Included(entry), Bound::Unbounded))
         .take_while(move |(id, _)| id.starts_with(entry))
-        .filter(move |(id, _)| Life::of(id).entry == entry)
+        .filter(move |(id, _)| WorkerIncarnation::parse(id).listed_name == entry)
 }
--- a/src/cell/machine/view.rs
+++ b/src/cell/machine/view.rs
@@ -12,10 +12,10 @@
 use super::crash::StartingTasks;
 use super::pending::PendingStep;
 use super::timer_queue::TimerQueue;
+use crate::cell::dependencies::WorkerInfo;
 use crate::cell::job::{Run, Step};
-use crate::cell::link::Listed;
 use crate::cell::record::WorkerId;
-use crate::cell::worker::{Worker, Yielding};
+use crate::cell::worker::{PreemptibleRun, Worker};
 use crate::clock::Instant;
 use crate::resource::Amount;
 
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(super) struct WorkerView {
     pub(super) id: WorkerId,
-    pub(super) listed: Rc<Listed>,
+    pub(super) listed: Rc<WorkerInfo>,
     pub(super) free: Amount,
     /// CPU that is free at the start of the round, in thousandths of a core.
     free_cpu_millis: u64,
@@ -37,7 +37,7 @@
     /// Whether the worker left its latest commands unanswered.
     pub(super) unresponsive: bool,
     /// Attempts on the worker that may be preempted.
-    pub(super) preemptible: Rc<[Yielding]>,
+    pub(super) preemptible: Rc<[PreemptibleRun]>,
     /// Whether tasks on it have a response time target.
     pub(super) runs_serving: bool,
     /// Whether opportunistic tasks run on it, which use what others leave.
@@ -199,7 +199,8 @@
     /// Guards against opportunistic tasks that slow tasks with a response time target beyond that
     /// target: the two kinds run on different workers.
     pub(super) fn is_compatible(&self, step: &Step) -> bool {
-        !(step.fills && self.runs_serving || step.serves() && self.runs_opportunistic)
+        !(step.opportunistic && self.runs_serving
+            || step.has_latency_target() && self.runs_opportunistic)
     }
 
     /// Whether a task of the step may start beside those that are starting on the worker.
@@ -217,19 +218,21 @@
         if self.reserved || !self.matches(service, step) || !self.is_compatible(step) {
             return 0.0;
         }
-        let demand = step.room();
+        let demand = step.allocation();
         let fits = |room: u64, demand: u64| room.checked_div(demand).unwrap_or(u64::MAX);
         let slots = fits(room.cpu_millis, demand.cpu_millis)
             .min(fits(room.memory_mib, demand.memory_mib))
             .min(fits(room.accelerators, demand.accelerators))
             .min(u64::from(step.count));
-        let bound = if step.spread == 0 { u64::MAX } else { u64::from(step.spread) };
+        let bound =
+            if step.max_per_worker == 0 { u64::MAX } else { u64::from(step.max_per_worker) };
         slots.min(bound) as f64
     }
 
     /// Whether the worker belongs to `service` and has the label that the step requires.
     pub(super) fn matches(&self, service: &str, step: &Step) -> bool {
-        let label = step.label.as_ref().is_none_or(|label| self.listed.labels.contains(label));
+        let label =
+            step.required_label.as_ref().is_none_or(|label| self.listed.labels.contains(label));
         self.listed.service == service && label
     }
 }
@@ -238,7 +241,8 @@
     /// Refreshes the views for a round that places the `waiting` steps. What runs on each worker
     /// matters only if one of them has a response time target or is opportunistic.
     pub(super) fn refresh_views(&self, views: &mut WorkerViews, waiting: &[PendingStep]) {
-        let shares = |step: &PendingStep| step.spec().fills || step.spec().serves();
+        let shares =
+            |step: &PendingStep| step.spec().opportunistic || step.spec().has_latency_target();
         let interference = waiting.iter().any(shares);
         let crash_isolation =
             waiting.iter().any(|step| !step.suspects.is_empty()) || !self.suspects.is_empty();
@@ -284,8 +288,8 @@
 
     /// Returns when the view of a worker changes although the worker does not.
     fn next_refresh(&self, worker: &Worker) -> Option<Instant> {
-        let rest = worker.next_end_of_rest(self.now);
-        let known = worker.room_known_until(self.timings.room_known_for);
+        let rest = worker.next_backoff_change(self.now);
+        let known = worker.capacity_valid_until(self.timings.capacity_max_age);
         let lapse = known.map(|until| until.after(CLOCK_TICK)).filter(|lapse| *lapse > self.now);
         rest.into_iter().chain(lapse).min()
     }
@@ -293,24 +297,24 @@
     fn view(&self, worker: &Worker, options: ViewOptions) -> WorkerView {
         let ViewOptions { interference, crash_isolation } = options;
         let runs_any = |is: fn(&Step) -> bool| worker.runs.iter().any(|run| self.runs_as(run, is));
-        let known_for = self.timings.room_known_for;
-        let free = worker.room();
+        let known_for = self.timings.capacity_max_age;
+        let free = worker.free_capacity();
         WorkerView {
             id: worker.id.clone(),
-            listed: worker.listed.clone(),
+            listed: worker.info.clone(),
             free,
             free_cpu_millis: free.cpu_millis,
-            open: worker.is_open(self.now) && worker.is_room_known(known_for, self.now),
+            open: worker.accepts_tasks(self.now) && worker.is_capacity_current(known_for, self.now),
             reserved: false,
-            unresponsive: worker.silence.is_remembered(self.now),
+            unresponsive: worker.command_backoff.is_deprioritized(self.now),
             // Capacity released on an overcommitted worker cannot be used.
             preemptible: if worker.is_overcommitted() {
                 Rc::default()
             } else {
-                worker.yielding.clone()
+                worker.preemptible.clone()
             },
-            runs_serving: interference && runs_any(Step::serves),
-            runs_opportunistic: interference && runs_any(|step| step.fills),
+            runs_serving: interference && runs_any(Step::has_latency_target),
+            runs_opportunistic: interference && runs_any(|step| step.opportunistic),
             starting: if crash_isolation {
                 self.starting(worker)
             } else {
--- a/src/cell/node/view.rs
+++ b/src/cell/node/view.rs
@@ -1,42 +1,43 @@
-//! What an instance knows of each cell.
+//! View of an instance of each cell.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::Node;
-use crate::cell::owner::Handle;
+use crate::cell::owner::OwnerHandle;
 use crate::cell::{Epoch, Id};
 use crate::clock::Instant;
 use crate::shutdown::Shutdown;
 
-/// What an instance knows of one cell.
+/// What an instance knows about one cell.
 #[derive(Default)]
-pub(super) struct View {
+pub(super) struct CellView {
     pub(super) owner: Option<SocketAddr>,
-    /// Latest epoch whose owner was heard of.
+    /// Latest known epoch.
     pub(super) epoch: Epoch,
-    /// When that epoch was first heard of.
+    /// Time at which that epoch became known.
     epoch_since: Option<Instant>,
-    pub(super) owning: Option<Handle>,
-    /// When the owner was last heard of.
-    pub(super) contact: Option<Instant>,
-    /// When an owner was last heard of that reaches the store.
-    pub(super) served: Option<Instant>,
-    /// Raised while this instance owns the cell and the store keeps it waiting.
-    pub(super) alarm: Shutdown,
-    /// While this instance has claimed the cell and reads its journal; raised when that ends.
-    preparing: Option<Shutdown>,
+    pub(super) owner_handle: Option<OwnerHandle>,
+    /// Time of the latest contact with the owner.
+    pub(super) owner_heard_at: Option<Instant>,
+    /// Time of the latest contact with an owner that reaches the store.
+    pub(super) serving_owner_heard_at: Option<Instant>,
+    /// Triggered while this instance owns the cell and the store answers slowly or not at all.
+    pub(super) handover_due: Shutdown,
+    /// Present while this instance has claimed the cell and replays its journal; triggered at the
+    /// end.
+    takeover: Option<Shutdown>,
 }
 
 impl Node {
-    /// The owner of a cell, as far as it is known.
+    /// The owner of a cell, if known.
     pub fn owner(&self, cell: Id) -> Option<SocketAddr> {
         self.views.borrow().get(&cell).and_then(|view| view.owner)
     }
 
-    /// The way to the cell's owner when that is this instance.
-    pub fn owning(&self, cell: Id) -> Option<Handle> {
-        self.views.borrow().get(&cell).and_then(|view| view.owning.clone())
+    /// Handle to the cell's owner, if that is this instance.
+    pub fn owner_handle(&self, cell: Id) -> Option<OwnerHandle> {
+        self.views.borrow().get(&cell).and_then(|view| view.owner_handle.clone())
     }
 
     pub(in crate::cell) fn set_owner(&self, cell: Id, owner: Option<SocketAddr>) {
@@ -49,66 +50,66 @@
         }
     }
 
-    pub(in crate::cell) fn set_owning(&self, cell: Id, owning: Option<Handle>) {
+    pub(in crate::cell) fn set_owner_handle(&self, cell: Id, handle: Option<OwnerHandle>) {
         if let Some(view) = self.views.borrow_mut().get_mut(&cell) {
-            view.owner = owning.as_ref().map(|_| self.me);
-            view.owning = owning;
+            view.owner = handle.as_ref().map(|_| self.me);
+            view.owner_handle = handle;
         }
-        self.end_preparing(cell);
+        self.end_takeover(cell);
     }
 
-    /// Notes that this instance has claimed the cell and is about to own it.
-    pub(in crate::cell) fn begin_preparing(&self, cell: Id) {
+    /// Records that this instance has claimed the cell and will own it after the replay.
+    pub(in crate::cell) fn begin_takeover(&self, cell: Id) {
         if let Some(view) = self.views.borrow_mut().get_mut(&cell) {
             view.owner = Some(self.me);
-            view.preparing = Some(Shutdown::new());
+            view.takeover = Some(Shutdown::new());
         }
-        self.note_contact(cell);
+        self.note_owner_heard(cell);
     }
 
-    /// Notes that this instance owns the cell, or will not.
-    pub(in crate::cell) fn end_preparing(&self, cell: Id) {
+    /// Records that this instance owns the cell, or will not own it.
+    pub(in crate::cell) fn end_takeover(&self, cell: Id) {
         let mut views = self.views.borrow_mut();
         let Some(view) = views.get_mut(&cell) else { return };
-        let Some(preparing) = view.preparing.take() else { return };
-        preparing.trigger();
-        if view.owning.is_none() && view.owner == Some(self.me) {
+        let Some(takeover) = view.takeover.take() else { return };
+        takeover.trigger();
+        if view.owner_handle.is_none() && view.owner == Some(self.me) {
             view.owner = None;
         }
     }
 
-    /// Waits, for `limit` at most, while this instance is about to own the cell.
-    pub(super) async fn await_begin(&self, cell: Id, limit: Duration) {
-        let preparing = self.views.borrow().get(&cell).and_then(|view| view.preparing.clone());
-        if let Some(preparing) = preparing {
-            let _ = monoio::time::timeout(limit, preparing.wait()).await;
+    /// Waits, for `limit` at most, while this instance prepares to own the cell.
+    pub(super) async fn wait_for_takeover(&self, cell: Id, limit: Duration) {
+        let takeover = self.views.borrow().get(&cell).and_then(|view| view.takeover.clone());
+        if let Some(takeover) = takeover {
+            let _ = monoio::time::timeout(limit, takeover.wait()).await;
         }
     }
 
-    /// Notes that an owner was heard of that reaches the store.
-    pub(in crate::cell) fn note_served(&self, cell: Id) {
+    /// Records a contact with an owner that reaches the store.
+    pub(in crate::cell) fn note_serving_owner(&self, cell: Id) {
         if let Some(view) = self.views.borrow_mut().get_mut(&cell) {
-            view.served = Some(self.borders.clock.now());
+            view.serving_owner_heard_at = Some(self.deps.clock.now());
         }
     }
 
-    /// When this instance last heard of the cell's owner.
-    pub(in crate::cell) fn contact(&self, cell: Id) -> Option<Instant> {
-        self.views.borrow().get(&cell).and_then(|view| view.contact)
+    /// Time of this instance's latest contact with the cell's owner.
+    pub(in crate::cell) fn owner_heard_at(&self, cell: Id) -> Option<Instant> {
+        self.views.borrow().get(&cell).and_then(|view| view.owner_heard_at)
     }
 
-    pub(in crate::cell) fn note_contact(&self, cell: Id) {
+    pub(in crate::cell) fn note_owner_heard(&self, cell: Id) {
         if let Some(view) = self.views.borrow_mut().get_mut(&cell) {
-            view.contact = Some(self.borders.clock.now());
+            view.owner_heard_at = Some(self.deps.clock.now());
         }
     }
 
-    /// Latest epoch whose owner was heard of.
+    /// Latest known epoch of the cell.
     pub(in crate::cell) fn epoch(&self, cell: Id) -> Epoch {
         self.views.borrow().get(&cell).map_or(Epoch(0), |view| view.epoch)
     }
 
-    /// When the latest epoch was first heard of.
+    /// Time at which the latest epoch became known.
     pub(in crate::cell) fn epoch_since(&self, cell: Id) -> Option<Instant> {
         self.views.borrow().get(&cell).and_then(|view| view.epoch_since)
     }
@@ -118,7 +119,7 @@
             && epoch > view.epoch
         {
             view.epoch = epoch;
-            view.epoch_since = Some(self.borders.clock.now());
+            view.epoch_since = Some(self.deps.clock.now());
         }
     }
 }
--- a/src/cell/owner.rs
+++ b/src/cell/owner.rs
@@ -1,4 +1,4 @@
-//! The task that owns a cell's machine and carries its effects out.
+//! The task that runs a cell's state machine and executes its effects.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -11,41 +11,47 @@
 use local_sync::mpsc::unbounded::{Rx, Tx, channel};
 use local_sync::oneshot;
 
-use super::contact::Contact;
-use super::duty::{Duty, Lap, Ledger};
+use super::activity::{OwnerActivity, Stopwatch, ThreadProfiler};
+use super::dependencies::{
+    Discovery, Journal, JournalSnapshot, PolicyService, PollRequest, RosterUpdate, StartCommand,
+    WorkerClient, WorkerError, WorkerInfo,
+};
+use super::dependency_status::DependencyStatus;
 use super::job::Run;
-use super::link::{Advisor, Base, Fault, Journal, Listed, Lists, Look, Roster, Start, Workers};
 use super::machine::{Answer, Call, CallId, Effect, Machine, Message, PolicyQuery, StoreHealth};
 use super::peer as wire;
 use super::record::WorkerId;
-use super::timings::{APPEND_TIMEOUT, LOOK_TIMEOUT, ORDER_TIMEOUT, ROSTER_REST, SAVE_REST, TICK};
+use super::timings::{
+    APPEND_TIMEOUT, COMMAND_TIMEOUT, POLL_TIMEOUT, ROSTER_INTERVAL, SNAPSHOT_INTERVAL, TICK,
+};
 use super::{Epoch, Id};
 use crate::clock::{Clock, Instant, Unix};
 use crate::peer;
 
-/// Most messages taken in between two looks at what is due: as many as come in a tenth of a second where
-/// a site is at its busiest, so that a round of placement never comes after each few of them.
-const MESSAGES_A_STEP: usize = 1_024;
+/// Maximum number of messages processed between two steps of the machine. It is the number that
+/// arrives in a tenth of a second at the busiest sites, so that a placement round does not follow
+/// every few messages.
+const MAX_MESSAGES_PER_STEP: usize = 1_024;
 
-/// Ways to the outside that every instance has.
-pub struct Borders {
+/// Interfaces to external systems, shared by the tasks of an instance.
+pub struct Dependencies {
     /// Journals of the cells.
     pub journal: Rc<dyn Journal>,
     /// Workers.
-    pub workers: Rc<dyn Workers>,
+    pub workers: Rc<dyn WorkerClient>,
     /// The policy service.
-    pub advisor: Rc<dyn Advisor>,
+    pub policy_service: Rc<dyn PolicyService>,
     /// The platform's lists.
-    pub lists: Rc<dyn Lists>,
+    pub discovery: Rc<dyn Discovery>,
     /// Other instances.
     pub peers: Rc<peer::Client>,
-    /// Time, which also passes while the instance is suspended.
+    /// Clock that also advances while the instance is suspended.
     pub clock: Rc<dyn Clock>,
-    /// What the instance spends its time on while it owns a cell.
-    pub duties: Rc<Ledger>,
+    /// Time that the instance spends on each activity while it owns a cell.
+    pub profiler: Rc<ThreadProfiler>,
 }
 
-/// A look at the machine, run by the task that owns it.
+/// Read access to the machine, executed by the task that owns it.
 type Inspection = Box<dyn FnOnce(&Machine, Instant)>;
 
 enum Input {
@@ -56,37 +62,37 @@
 }
 
 impl Input {
-    /// What taking it in counts for.
-    const fn duty(&self) -> Duty {
+    /// Activity to which processing the input is attributed.
+    const fn duty(&self) -> OwnerActivity {
         match self {
             Self::Message(message) => message.activity(),
-            Self::Call { .. } | Self::End => Duty::Call,
-            Self::Inspect(_) => Duty::Watch,
+            Self::Call { .. } | Self::End => OwnerActivity::Call,
+            Self::Inspect(_) => OwnerActivity::Watch,
         }
     }
 }
 
-/// Way to talk to the task.
+/// Handle to the task.
 #[derive(Clone)]
-pub struct Handle {
+pub struct OwnerHandle {
     inputs: Tx<Input>,
 }
 
-impl Handle {
-    /// Tells the machine something.
+impl OwnerHandle {
+    /// Sends a message to the machine.
     pub fn send(&self, message: Message) {
-        // The task has ended when nobody takes it; its successor learns anew.
+        // The send fails when the task has ended; the next owner obtains the information itself.
         let _ = self.inputs.send(Input::Message(message));
     }
 
-    /// Asks for an answer; `None` when the owner ended before it answered.
+    /// Executes a call; `None` when the task ended before it answered.
     pub async fn call(&self, call: Call) -> Option<Answer> {
         let (reply, answer) = oneshot::channel();
         self.inputs.send(Input::Call { call, reply }).ok()?;
         answer.await.ok()
     }
 
-    /// Looks at the machine; `None` when the owner has ended.
+    /// Reads from the machine; `None` when the task has ended.
     pub async fn inspect<T: 'static>(
         &self,
         look: impl FnOnce(&Machine, Instant) -> T + 'static,
@@ -99,42 +105,42 @@
         receiver.await.ok()
     }
 
-    /// Ends the task.
-    pub fn end(&self) {
+    /// Stops the task.
+    pub fn stop(&self) {
         let _ = self.inputs.send(Input::End);
     }
 }
 
-/// The owner's task.
-pub struct Owner {
+/// Task of a cell's owner.
+pub struct OwnerTask {
     cell: Id,
     cells: u32,
     me: SocketAddr,
     machine: Machine,
-    borders: Rc<Borders>,
+    deps: Rc<Dependencies>,
     inputs: Rx<Input>,
-    handle: Handle,
-    waiting: BTreeMap<CallId, oneshot::Sender<Answer>>,
+    handle: OwnerHandle,
+    pending_replies: BTreeMap<CallId, oneshot::Sender<Answer>>,
     last_call: CallId,
     saves: u64,
     ended: Rc<Cell<bool>>,
-    duties: Rc<Ledger>,
-    /// Told at each step how the store takes what is decided.
-    health: Box<dyn Fn(StoreHealth)>,
+    profiler: Rc<ThreadProfiler>,
+    /// Called at each step with the health of the store.
+    report_health: Box<dyn Fn(StoreHealth)>,
 }
 
-impl Owner {
+impl OwnerTask {
     /// Builds the task for `machine`, which owns `cell` of `cells`.
     pub fn new(
         cell: Id,
         cells: u32,
         me: SocketAddr,
         machine: Machine,
-        borders: Rc<Borders>,
+        deps: Rc<Dependencies>,
         health: Box<dyn Fn(StoreHealth)>,
-    ) -> (Self, Handle) {
+    ) -> (Self, OwnerHandle) {
         let (sender, inputs) = channel();
-        let handle = Handle { inputs: sender };
+        let handle = OwnerHandle { inputs: sender };
         let owner = Self {
             cell,
             cells,
@@ -142,85 +148,85 @@
             machine,
             inputs,
             handle: handle.clone(),
-            waiting: BTreeMap::new(),
+            pending_replies: BTreeMap::new(),
             last_call: 0,
             saves: 0,
             ended: Rc::new(Cell::new(false)),
-            duties: borders.duties.clone(),
-            borders,
-            health,
+            profiler: deps.profiler.clone(),
+            deps,
+            report_health: health,
         };
         (owner, handle)
     }
 
-    /// Runs until another instance takes over or the handle says so; returns why.
+    /// Runs until another instance takes over or the handle stops it; returns the reason.
     pub async fn run(mut self) -> String {
         self.follow_roster();
-        self.remind_to_save();
-        self.tell_duties();
-        let why = self.serve().await;
+        self.schedule_snapshots();
+        self.report_activities();
+        let reason = self.run_loop().await;
         self.ended.set(true);
-        why
+        reason
     }
 
-    async fn serve(&mut self) -> String {
-        let mut lap = self.duties.lap();
+    async fn run_loop(&mut self) -> String {
+        let mut stopwatch = self.profiler.stopwatch();
         loop {
             let first = monoio::time::timeout(TICK, self.inputs.recv()).await.ok().flatten();
-            lap.restart();
-            if self.take_all(first, &mut lap) {
-                return "told to end".to_owned();
+            stopwatch.restart();
+            if self.drain_inputs(first, &mut stopwatch) {
+                return "stopped on request".to_owned();
             }
-            let (now, unix) = (self.borders.clock.now(), self.borders.clock.unix());
-            (self.health)(self.machine.store_health(now));
+            let (now, unix) = (self.deps.clock.now(), self.deps.clock.unix());
+            (self.report_health)(self.machine.store_health(now));
             let mut round = Duration::ZERO;
-            let effects = self.machine.step_by_activity(now, unix, &mut |duty| {
-                let took = lap.end(duty);
-                if duty == Duty::Placement {
-                    round = took;
+            let effects = self.machine.step_by_activity(now, unix, &mut |activity| {
+                let elapsed = stopwatch.record(activity);
+                if activity == OwnerActivity::Placement {
+                    round = elapsed;
                 }
             });
             self.machine.delay_next_round(round);
             for effect in effects {
-                let duty = effect.activity();
-                if let Some(why) = self.carry_out(effect) {
-                    return why;
+                let activity = effect.activity();
+                if let Some(reason) = self.execute(effect) {
+                    return reason;
                 }
-                lap.end(duty);
+                stopwatch.record(activity);
             }
         }
     }
 
-    /// Takes in what has come, `first` first; `true` when the task is to end.
-    fn take_all(&mut self, first: Option<Input>, lap: &mut Lap) -> bool {
-        // All of it had come by now, since nothing else runs meanwhile.
-        let (now, unix) = (self.borders.clock.now(), self.borders.clock.unix());
+    /// Processes the queued inputs, `first` before the others; `true` when the task is to stop.
+    fn drain_inputs(&mut self, first: Option<Input>, stopwatch: &mut Stopwatch) -> bool {
+        // All of them had arrived by now, since nothing else runs on the thread meanwhile.
+        let (now, unix) = (self.deps.clock.now(), self.deps.clock.unix());
         let mut next = first;
-        let mut duty = None;
-        for _ in 0..MESSAGES_A_STEP {
+        let mut activity = None;
+        for _ in 0..MAX_MESSAGES_PER_STEP {
             let Some(input) = next.take().or_else(|| self.inputs.try_recv().ok()) else { break };
-            let before = duty.replace(input.duty());
+            let before = activity.replace(input.duty());
             if let Some(before) = before.filter(|before| *before != input.duty()) {
-                lap.end(before);
+                stopwatch.record(before);
             }
-            if self.take(input, now, unix) {
+            if self.process(input, now, unix) {
                 return true;
             }
         }
-        if let Some(duty) = duty {
-            lap.end(duty);
+        if let Some(activity) = activity {
+            stopwatch.record(activity);
         }
         false
     }
 
-    /// Takes in one message; `true` when the task is to end.
-    fn take(&mut self, input: Input, now: Instant, unix: Unix) -> bool {
+    /// Processes one input; `true` when the task is to stop.
+    fn process(&mut self, input: Input, now: Instant, unix: Unix) -> bool {
         match input {
             Input::Message(message) => self.machine.handle(message, now, unix),
             Input::Call { call, reply } => {
                 self.last_call += 1;
                 let id = self.last_call;
-                self.waiting.insert(id, reply);
+                self.pending_replies.insert(id, reply);
                 self.machine.handle(Message::Call { id, call }, now, unix);
             }
             Input::Inspect(look) => look(&self.machine, now),
@@ -229,7 +235,7 @@
         false
     }
 
-    fn carry_out(&mut self, effect: Effect) -> Option<String> {
+    fn execute(&mut self, effect: Effect) -> Option<String> {
         match effect {
             Effect::Append { sequence, batch } => self.append(sequence, batch),
             Effect::Poll { worker, peer, poll } => self.poll(worker, peer, poll),
@@ -237,64 +243,65 @@
             Effect::Stop { worker, peer, run } => self.stop(worker, peer, run),
             Effect::QueryPolicy(question) => self.advise(question),
             Effect::Reply { id, answer } => {
-                if let Some(reply) = self.waiting.remove(&id) {
-                    // The caller has gone away when nobody takes the answer.
+                if let Some(reply) = self.pending_replies.remove(&id) {
+                    // The send fails when the caller no longer waits.
                     let _ = reply.send(answer);
                 }
             }
-            Effect::Save(base) => self.save(base),
+            Effect::Save(snapshot) => self.save_snapshot(snapshot),
             Effect::StepDown { reason } => return Some(reason),
         }
         None
     }
 
     fn append(&self, sequence: u64, batch: Bytes) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         let (cell, epoch) = (self.cell, self.machine.epoch);
         monoio::spawn(async move {
-            let sent = borders.clock.now();
-            let append = borders.journal.append(cell, epoch, sequence, batch, APPEND_TIMEOUT);
-            let outcome = borders.duties.measure(Duty::Append, append).await;
+            let sent = deps.clock.now();
+            let append = deps.journal.append(cell, epoch, sequence, batch, APPEND_TIMEOUT);
+            let outcome = deps.profiler.measure(OwnerActivity::Append, append).await;
             handle.send(Message::Appended { sequence, sent, outcome });
         });
     }
 
-    fn poll(&self, worker: WorkerId, peer: SocketAddr, poll: Look) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+    fn poll(&self, worker: WorkerId, peer: SocketAddr, poll: PollRequest) {
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
-            let sent = borders.clock.now();
-            let timeout = poll.wait + LOOK_TIMEOUT;
-            let look = borders.workers.look(peer, &worker, &poll, timeout);
-            let outcome = borders.duties.measure(Duty::Look, look).await;
+            let sent = deps.clock.now();
+            let timeout = poll.max_wait + POLL_TIMEOUT;
+            let poll = deps.workers.poll(peer, &worker, &poll, timeout);
+            let outcome = deps.profiler.measure(OwnerActivity::Poll, poll).await;
             handle.send(Message::Polled { worker, sent, outcome });
         });
     }
 
-    fn start(&self, worker: WorkerId, peer: SocketAddr, start: Start) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+    fn start(&self, worker: WorkerId, peer: SocketAddr, start: StartCommand) {
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
-            let order = borders.workers.start(peer, &worker, &start, ORDER_TIMEOUT);
-            let outcome = borders.duties.measure(Duty::Order, order).await;
+            let command = deps.workers.start(peer, &worker, &start, COMMAND_TIMEOUT);
+            let outcome = deps.profiler.measure(OwnerActivity::Command, command).await;
             handle.send(Message::Started { worker, run: start.run, outcome });
         });
     }
 
     fn stop(&self, worker: WorkerId, peer: SocketAddr, run: Run) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         let epoch: Epoch = self.machine.epoch;
         monoio::spawn(async move {
-            let order = borders.workers.stop(peer, &worker, run, epoch, ORDER_TIMEOUT);
-            let outcome: Result<u64, Fault> = borders.duties.measure(Duty::Order, order).await;
+            let command = deps.workers.stop(peer, &worker, run, epoch, COMMAND_TIMEOUT);
+            let outcome: Result<u64, WorkerError> =
+                deps.profiler.measure(OwnerActivity::Command, command).await;
             handle.send(Message::Stopped { worker, run, outcome });
         });
     }
 
     fn advise(&self, question: PolicyQuery) {
-        let (borders, handle, me) = (self.borders.clone(), self.handle.clone(), self.me);
+        let (deps, handle, me) = (self.deps.clone(), self.handle.clone(), self.me);
         monoio::spawn(async move {
             let number = question.number;
-            let asked = ask(&borders, me, question).boxed_local();
-            let allowed = borders.duties.measure(Duty::Advice, asked).await;
+            let asked = ask_policy_service(&deps, me, question).boxed_local();
+            let allowed = deps.profiler.measure(OwnerActivity::Policy, asked).await;
             if let Err(cause) = &allowed {
                 log::info!("event=advice.no_answer question={number} cause={cause:?}");
             }
@@ -302,32 +309,32 @@
         });
     }
 
-    /// Asks for the whole state to be saved at times, so that a successor reads little and the store
-    /// may drop old records.
-    fn remind_to_save(&self) {
+    /// Requests snapshots at intervals, so that the next owner has few records to replay and the
+    /// store may remove old ones.
+    fn schedule_snapshots(&self) {
         let (clock, handle, ended) =
-            (self.borders.clock.clone(), self.handle.clone(), self.ended.clone());
+            (self.deps.clock.clone(), self.handle.clone(), self.ended.clone());
         monoio::spawn(async move {
             while !ended.get() {
-                clock.sleep(SAVE_REST).await;
+                clock.sleep(SNAPSHOT_INTERVAL).await;
                 handle.send(Message::SnapshotDue);
             }
         });
     }
 
-    fn tell_duties(&self) {
+    fn report_activities(&self) {
         let ended = self.ended.clone();
-        monoio::spawn(self.duties.clone().tell(self.cell, move || !ended.get()));
+        monoio::spawn(self.profiler.clone().report_periodically(self.cell, move || !ended.get()));
     }
 
-    fn save(&mut self, base: Base) {
+    fn save_snapshot(&mut self, snapshot: JournalSnapshot) {
         self.saves += 1;
-        let (borders, cell, epoch) = (self.borders.clone(), self.cell, self.machine.epoch);
+        let (deps, cell, epoch) = (self.deps.clone(), self.cell, self.machine.epoch);
         let sequence = self.machine.claim_number() + self.saves;
         monoio::spawn(async move {
-            let bytes = base.state.as_ref().map_or(0, Bytes::len);
-            let offset = base.offset;
-            match borders.journal.save(cell, epoch, sequence, &base).await {
+            let bytes = snapshot.state.as_ref().map_or(0, Bytes::len);
+            let offset = snapshot.offset;
+            match deps.journal.save_snapshot(cell, epoch, sequence, &snapshot).await {
                 Ok(()) => {
                     log::info!("event=journal.saved cell={cell} offset={offset} bytes={bytes}")
                 }
@@ -336,54 +343,61 @@
         });
     }
 
-    /// Reads the list of workers as long as the task runs.
+    /// Reads the list of workers while the task runs.
     fn follow_roster(&self) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         let (cell, cells, ended) = (self.cell, self.cells, self.ended.clone());
-        borders.lists.restart();
+        deps.discovery.reset();
         monoio::spawn(async move {
-            let mut list = Contact::new("roster");
+            let mut list = DependencyStatus::new("roster");
             while !ended.get() {
-                match borders.duties.measure(Duty::List, borders.lists.roster()).await {
+                match deps
+                    .profiler
+                    .measure(OwnerActivity::List, deps.discovery.roster_update())
+                    .await
+                {
                     Ok(roster) => {
-                        list.answered();
-                        handle.send(Message::WorkersChanged(share(roster, cell, cells)));
+                        list.record_success();
+                        handle.send(Message::WorkersChanged(retain_cell(roster, cell, cells)));
                     }
-                    Err(cause) => list.failed(&cause),
+                    Err(cause) => list.record_failure(&cause),
                 }
-                borders.clock.sleep(ROSTER_REST).await;
+                deps.clock.sleep(ROSTER_INTERVAL).await;
             }
         });
     }
 }
 
-async fn ask(
-    borders: &Borders,
+async fn ask_policy_service(
+    deps: &Dependencies,
     me: SocketAddr,
     question: PolicyQuery,
-) -> Result<super::link::Allowed, String> {
+) -> Result<super::dependencies::Eligibility, String> {
     let timeout = question.timeout;
     if question.proxy == me {
-        return borders.advisor.advise(&question.step, &question.workers, timeout).await;
+        return deps
+            .policy_service
+            .eligible_workers(&question.step, &question.workers, timeout)
+            .await;
     }
-    let ask = wire::Ask {
+    let request = wire::PolicyRequest {
         step: question.step,
         workers: question.workers,
         timeout_ms: crate::clock::millis(timeout),
     };
-    let answer: Result<Result<super::link::Allowed, String>, peer::Error> =
-        borders.peers.call(question.proxy, wire::ADVISE, &ask, timeout + timeout / 4).await;
+    let answer: Result<Result<super::dependencies::Eligibility, String>, peer::Error> =
+        deps.peers.call(question.proxy, wire::POLICY, &request, timeout + timeout / 4).await;
     answer.map_err(|error| error.to_string())?
 }
 
-/// The cell that a worker belongs to: whole racks go to one cell, so that a gang that wants one
-/// rack finds it there.
-pub fn cell_of(listed: &Listed, cells: u32) -> Id {
+/// Cell that a worker belongs to. All workers of a rack belong to the same cell, so that a gang
+/// that needs a single rack finds it there.
+pub fn cell_of(listed: &WorkerInfo, cells: u32) -> Id {
     let rack = listed.rack.as_deref().unwrap_or(&listed.domain);
     Id((xxhash_rust::xxh3::xxh3_64(rack.as_bytes()) % u64::from(cells.max(1))) as u32)
 }
 
-fn share(mut roster: Roster, cell: Id, cells: u32) -> Roster {
-    roster.present.retain(|(_, listed)| cell_of(listed, cells) == cell);
+fn retain_cell(mut roster: RosterUpdate, cell: Id, cells: u32) -> RosterUpdate {
+    roster.changed.retain(|(_, listed)| cell_of(listed, cells) == cell);
     roster
 }
--- a/tests/logic/cell/place.rs
+++ b/tests/logic/cell/place.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use oriolefork::cell::job::{End, Step};
+use oriolefork::cell::job::{RunOutcome, Step};
 use oriolefork::cell::machine::{Call, Message};
 
 use super::model::{self, cores};
@@ -17,7 +17,7 @@
     assert_eq!(starts.len(), 3);
     let numbers: BTreeSet<u32> = starts.iter().map(|(_, start)| start.run.number).collect();
     assert_eq!(numbers.len(), 1, "members share the number of their try");
-    story.report(starts[0].0, &[], &[(1, starts[0].1.run, End::Failed)]);
+    story.report(starts[0].0, &[], &[(1, starts[0].1.run, RunOutcome::Failed)]);
     story.pass(5);
     assert_eq!(story.stops().len(), 2);
 }
@@ -40,9 +40,9 @@
 fn drained_worker_gets_nothing_new() {
     let mut story = Story::begin(1);
     let mut roster = model::roster(1, cores(8));
-    let mut listed = (*roster.present[0].1).clone();
+    let mut listed = (*roster.changed[0].1).clone();
     listed.draining = true;
-    roster.present[0].1 = listed.into();
+    roster.changed[0].1 = listed.into();
     story.tell(Message::WorkersChanged(roster));
     assert!(story.running(1, model::step(1, cores(1))).is_empty());
 }
@@ -52,8 +52,9 @@
 #[test]
 fn filling_task_stays_away_from_serving_ones() {
     let mut story = Story::begin(2);
-    let serving = Step { lasting: true, target_ms: Some(50), ..model::step(1, cores(1)) };
-    let filling = Step { fills: true, ..model::step(1, cores(4)) };
+    let serving =
+        Step { long_running: true, latency_target_ms: Some(50), ..model::step(1, cores(1)) };
+    let filling = Step { opportunistic: true, ..model::step(1, cores(4)) };
     let first = story.running(1, serving.clone());
     let second = story.running(2, filling);
     assert_ne!(first[0].0, second[0].0);
@@ -74,7 +75,7 @@
         story.report(0, &[long[0].1.run], &[]);
     }
     assert!(story.starts().is_empty(), "the first one still runs");
-    story.report(0, &[], &[(1, long[0].1.run, End::Done)]);
+    story.report(0, &[], &[(1, long[0].1.run, RunOutcome::Succeeded)]);
     for _ in 0..20 {
         story.pass(20);
         story.store_all();
--- a/tests/logic/cell/preempt.rs
+++ b/tests/logic/cell/preempt.rs
@@ -3,10 +3,10 @@
 
 use std::rc::Rc;
 
-use oriolefork::cell::job::{End, Job, Run, Step, StepKey, TaskKey};
+use oriolefork::cell::job::{Job, Run, RunOutcome, Step, StepKey, TaskKey};
 use oriolefork::cell::machine::{Call, Message};
-use oriolefork::cell::preempt::{Place, Victim, choose};
-use oriolefork::cell::queue::{Queue, Table};
+use oriolefork::cell::preempt::{CandidateWorker, Victim, choose_victims};
+use oriolefork::cell::queue::{Queue, QueueConfig};
 use oriolefork::resource::Amount;
 
 use super::model::{self, QUEUE, cores, id};
@@ -23,40 +23,40 @@
     Victim { run: run(number), demand }
 }
 
-fn place(room: u64, victims: &[(u64, u64)]) -> Place {
+fn place(room: u64, victims: &[(u64, u64)]) -> CandidateWorker {
     let victims = victims.iter().map(|(number, demand)| victim(*number, cores(*demand)));
-    Place { room: cores(room), bound: usize::MAX, victims: victims.collect() }
+    CandidateWorker { free: cores(room), max_tasks: usize::MAX, victims: victims.collect() }
 }
 
 #[test]
 fn choose_takes_free_room_first() {
-    let choice = choose(&cores(4), 1, vec![place(0, &[(1, 4)]), place(4, &[])]);
-    assert_eq!((choice.fitting, choice.victims.len(), choice.lost), (1, 0, 0));
+    let choice = choose_victims(&cores(4), 1, vec![place(0, &[(1, 4)]), place(4, &[])]);
+    assert_eq!((choice.placeable, choice.victims.len(), choice.lost_work), (1, 0, 0));
 }
 
 #[test]
 fn choose_stops_where_least_is_lost() {
-    let choice = choose(&cores(4), 1, vec![place(0, &[(1, 8)]), place(1, &[(2, 3)])]);
+    let choice = choose_victims(&cores(4), 1, vec![place(0, &[(1, 8)]), place(1, &[(2, 3)])]);
     assert_eq!(choice.victims, [run(2)]);
 }
 
 /// A small victim does not suffice and a large one alone does: the small one is left to run.
 #[test]
 fn choose_spares_what_is_not_needed() {
-    let choice = choose(&cores(8), 1, vec![place(0, &[(1, 2), (2, 8)])]);
+    let choice = choose_victims(&cores(8), 1, vec![place(0, &[(1, 2), (2, 8)])]);
     assert_eq!(choice.victims, [run(2)]);
 }
 
 #[test]
 fn choose_counts_each_victim_once() {
-    let choice = choose(&cores(4), 3, vec![place(0, &[(1, 4), (2, 4)])]);
-    assert_eq!((choice.fitting, choice.victims.len()), (2, 2));
+    let choice = choose_victims(&cores(4), 3, vec![place(0, &[(1, 4), (2, 4)])]);
+    assert_eq!((choice.placeable, choice.victims.len()), (2, 2));
 }
 
 #[test]
 fn choose_keeps_to_the_bound() {
-    let bounded = Place { bound: 1, ..place(8, &[]) };
-    assert_eq!(choose(&cores(2), 3, vec![bounded]).fitting, 1);
+    let bounded = CandidateWorker { max_tasks: 1, ..place(8, &[]) };
+    assert_eq!(choose_victims(&cores(2), 3, vec![bounded]).placeable, 1);
 }
 
 /// A cell with a queue that goes before the usual one.
@@ -66,7 +66,7 @@
     let usual = Queue { priority: 2, stretch: 40.0, ..Queue::clone(&table.queues[0]) };
     let urgent = Queue { name: URGENT.to_owned(), priority: 0, stretch: 4.0, ..usual.clone() };
     let queues = vec![usual.into(), urgent.into()];
-    let table = Table { version: 2, queues, services: table.services.clone() };
+    let table = QueueConfig { version: 2, queues, services: table.services.clone() };
     story.tell(Message::ConfigChanged(Rc::new(table)));
     story
 }
@@ -104,12 +104,12 @@
     let stopped = story.stops();
     assert_eq!(stopped.len(), 1, "one makes room enough");
     let left: Vec<Run> = runs.into_iter().filter(|run| *run != stopped[0]).collect();
-    story.report(0, &left, &[(1, stopped[0], End::Stopped)]);
+    story.report(0, &left, &[(1, stopped[0], RunOutcome::Stopped)]);
     story.pass(20);
     story.store_all();
     let next = story.starts();
     assert_eq!(next.len(), 1);
-    assert_eq!(next[0].1.payload.queue, URGENT);
+    assert_eq!(next[0].1.job.queue, URGENT);
 }
 
 /// A task that saves nothing would lose all it has done.
--- a/tests/process/election.rs
+++ b/tests/process/election.rs
@@ -10,15 +10,16 @@
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 use monoio::{LegacyDriver, RuntimeBuilder};
-use oriolefork::cell::duty::Ledger;
-use oriolefork::cell::job::{Run, StepKey};
-use oriolefork::cell::link::{
-    Advisor, Allowed, Base, Fault, Journal, Lists, Look, Page, Rejected, Report, Roster, Sign,
-    Start, Unread, Workers,
+use oriolefork::cell::activity::ThreadProfiler;
+use oriolefork::cell::dependencies::{
+    AppendError, Discovery, Eligibility, Journal, JournalSnapshot, OwnerRecord, Page,
+    PolicyService, PollReport, PollRequest, ReadError, RosterUpdate, StartCommand, WorkerClient,
+    WorkerError,
 };
+use oriolefork::cell::job::{Run, StepKey};
 use oriolefork::cell::node::{Identity, Node};
-use oriolefork::cell::owner::Borders;
-use oriolefork::cell::queue::Table;
+use oriolefork::cell::owner::Dependencies;
+use oriolefork::cell::queue::QueueConfig;
 use oriolefork::cell::record::WorkerId;
 use oriolefork::cell::timings::Timings;
 use oriolefork::cell::{Epoch, Id};
@@ -50,43 +51,44 @@
         _sequence: u64,
         _batch: Bytes,
         _timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<u64, Rejected>> {
+    ) -> LocalBoxFuture<'a, Result<u64, AppendError>> {
         self.claims.set(self.claims.get() + 1);
         std::future::pending().boxed_local()
     }
 
-    fn read(&self, _cell: Id, _from: u64) -> LocalBoxFuture<'_, Result<Page, Unread>> {
+    fn read(&self, _cell: Id, _from: u64) -> LocalBoxFuture<'_, Result<Page, ReadError>> {
         self.reads.set(self.reads.get() + 1);
         self.end.set(self.end.get() + u64::from(self.writes));
         let end = self.end.get();
-        async move { Ok(Page { records: Vec::new(), next: end, end }) }.boxed_local()
+        async move { Ok(Page { records: Vec::new(), next_offset: end, end_offset: end }) }
+            .boxed_local()
     }
 
-    fn base(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Base, String>> {
-        async { Ok(Base::default()) }.boxed_local()
+    fn snapshot(&self, _cell: Id) -> LocalBoxFuture<'_, Result<JournalSnapshot, String>> {
+        async { Ok(JournalSnapshot::default()) }.boxed_local()
     }
 
-    fn save<'a>(
+    fn save_snapshot<'a>(
         &'a self,
         _cell: Id,
         _epoch: Epoch,
         _sequence: u64,
-        _base: &'a Base,
+        _base: &'a JournalSnapshot,
     ) -> LocalBoxFuture<'a, Result<(), String>> {
         std::future::pending().boxed_local()
     }
 
-    fn publish(
+    fn publish_owner(
         &self,
         _cell: Id,
         _sequence: u64,
-        _sign: Sign,
-    ) -> LocalBoxFuture<'_, Result<(), Rejected>> {
+        _sign: OwnerRecord,
+    ) -> LocalBoxFuture<'_, Result<(), AppendError>> {
         std::future::pending().boxed_local()
     }
 
-    fn sign(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Option<Sign>, String>> {
-        let sign = Sign { epoch: Epoch(1), peer: self.owner, strength: 250 };
+    fn owner_record(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Option<OwnerRecord>, String>> {
+        let sign = OwnerRecord { epoch: Epoch(1), peer: self.owner, cpu_millis: 250 };
         async move { Ok(Some(sign)) }.boxed_local()
     }
 }
@@ -94,14 +96,14 @@
 /// Workers, a policy service and lists that nobody reaches.
 struct Nobody;
 
-impl Workers for Nobody {
-    fn look<'a>(
+impl WorkerClient for Nobody {
+    fn poll<'a>(
         &'a self,
         _peer: SocketAddr,
         _worker: &'a str,
-        _look: &'a Look,
+        _look: &'a PollRequest,
         _timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<Report, Fault>> {
+    ) -> LocalBoxFuture<'a, Result<PollReport, WorkerError>> {
         std::future::pending().boxed_local()
     }
 
@@ -109,9 +111,9 @@
         &'a self,
         _peer: SocketAddr,
         _worker: &'a str,
-        _start: &'a Start,
+        _start: &'a StartCommand,
         _timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<u64, Fault>> {
+    ) -> LocalBoxFuture<'a, Result<u64, WorkerError>> {
         std::future::pending().boxed_local()
     }
 
@@ -122,34 +124,34 @@
         _run: Run,
         _epoch: Epoch,
         _timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<u64, Fault>> {
+    ) -> LocalBoxFuture<'a, Result<u64, WorkerError>> {
         std::future::pending().boxed_local()
     }
 }
 
-impl Advisor for Nobody {
-    fn advise<'a>(
+impl PolicyService for Nobody {
+    fn eligible_workers<'a>(
         &'a self,
         _step: &'a StepKey,
         _workers: &'a [WorkerId],
         _timeout: Duration,
-    ) -> LocalBoxFuture<'a, Result<Allowed, String>> {
+    ) -> LocalBoxFuture<'a, Result<Eligibility, String>> {
         std::future::pending().boxed_local()
     }
 }
 
-impl Lists for Nobody {
-    fn restart(&self) {}
+impl Discovery for Nobody {
+    fn reset(&self) {}
 
-    fn roster(&self) -> LocalBoxFuture<'_, Result<Roster, String>> {
+    fn roster_update(&self) -> LocalBoxFuture<'_, Result<RosterUpdate, String>> {
         std::future::pending().boxed_local()
     }
 
-    fn table(
+    fn newer_config(
         &self,
         _version: u64,
         _wait: Duration,
-    ) -> LocalBoxFuture<'_, Result<Option<Table>, String>> {
+    ) -> LocalBoxFuture<'_, Result<Option<QueueConfig>, String>> {
         std::future::pending().boxed_local()
     }
 }
@@ -173,19 +175,19 @@
         let limits =
             peer::Limits { keepalive: Duration::from_millis(100), ..peer::Limits::default() };
         let clock: Rc<dyn Clock> = Rc::new(System::start());
-        let borders = Borders {
+        let borders = Dependencies {
             journal: journal.clone(),
             workers: Rc::new(Nobody),
-            advisor: Rc::new(Nobody),
-            lists: Rc::new(Nobody),
+            policy_service: Rc::new(Nobody),
+            discovery: Rc::new(Nobody),
             peers: Rc::new(peer::Client::new(limits)),
             clock,
-            duties: Ledger::new(),
+            profiler: ThreadProfiler::new(),
         };
         let identity = Identity {
             me: ([127, 0, 0, 1], 9).into(),
             incarnation: 1 << 20,
-            strength: 250,
+            cpu_millis: 250,
             domain: "hall".into(),
         };
         let stop = Shutdown::new();
