--- a/benches/intent.rs
+++ b/benches/intent.rs
@@ -15,8 +15,8 @@
 use monoio::{LegacyDriver, RuntimeBuilder};
 use oriolefork::clock::{Clock, System, Unix};
 use oriolefork::intent::{
-    Admission, Answer, Attempt, Batch, Entry, Guard, Intent, Key, Kind, Outcome, Partition, Policy,
-    Request, encode,
+    Admission, AttemptId, Batch, Deduplicator, Entry, ExecutionOutcome, Intent, Key, Kind,
+    Partition, Policy, RecordedResponse, Request, encode,
 };
 use oriolefork::store::{Error, Offset, Page, Record, Store};
 
@@ -27,7 +27,7 @@
 /// Time that the work takes.
 const WORK: Duration = Duration::from_millis(5);
 const RUN: Duration = Duration::from_secs(4);
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 const PAGE: usize = 1000;
 const INSTANCES: [u32; 3] = [1, 3, 9];
 const RATES: [u32; 4] = [20, 100, 500, 2000];
@@ -131,10 +131,10 @@
 async fn measure(way: Way, instances: u32, rate: u32) -> Run {
     let store: Rc<dyn Store> = Rc::new(Memory::default());
     let clock = Rc::new(System::start());
-    let guards: Vec<Guard> = (0..instances)
+    let deduplicators: Vec<Deduplicator> = (0..instances)
         .map(|number| {
             let name = format!("entry-{number}");
-            let (guard, driver) = Guard::new(
+            let (deduplicator, driver) = Deduplicator::new(
                 &name,
                 u64::from(number),
                 way.policy(),
@@ -142,8 +142,8 @@
                 Rc::clone(&clock) as Rc<dyn Clock>,
             );
             monoio::spawn(driver.run(Duration::ZERO));
-            guard.warm();
-            guard
+            deduplicator.preload();
+            deduplicator
         })
         .collect();
     monoio::time::sleep(Duration::from_millis(50)).await;
@@ -153,8 +153,8 @@
     let mut asked = Vec::new();
     for number in 0..total {
         monoio::time::sleep_until(start + RUN * number / total).await;
-        let guard = guards[(number % instances) as usize].clone();
-        asked.push(monoio::spawn(ask(guard, Rc::clone(&clock), number)));
+        let deduplicator = deduplicators[(number % instances) as usize].clone();
+        asked.push(monoio::spawn(ask(deduplicator, Rc::clone(&clock), number)));
     }
     let answers = join_all(asked).await;
     monoio::time::sleep(Way::Budget.policy().outcome_delay * 2).await;
@@ -176,8 +176,8 @@
             None => run.refused += 1,
         }
     }
-    for guard in &guards {
-        let stats = guard.stats().await.expect("the guard runs");
+    for deduplicator in &deduplicators {
+        let stats = deduplicator.stats().await.expect("the deduplicator runs");
         run.appends += stats.appends;
         run.reads += stats.reads;
         run.contiguous += stats.contiguous;
@@ -186,16 +186,18 @@
 }
 
 /// Runs one request; its time to win, or nothing when it was refused.
-async fn ask(guard: Guard, clock: Rc<System>, number: u32) -> Option<Duration> {
+async fn ask(deduplicator: Deduplicator, clock: Rc<System>, number: u32) -> Option<Duration> {
     let key = Key::new(Kind::Request, "portal", &format!("request-{number}")).expect("valid");
     let request = Request { key, created: clock.unix(), fingerprint: 0, domain: None };
     let start = monoio::time::Instant::now();
-    let Admission::Won(permit) = guard.begin(request, PATIENCE).await else { return None };
+    let Admission::Granted(permit) = deduplicator.begin(request, TIMEOUT).await else {
+        return None;
+    };
     let latency = start.elapsed();
     let work = permit.start();
     monoio::time::sleep(WORK).await;
     let body = Bytes::from_static(b"renewed");
-    work.finish(Outcome::Answered(Answer::new(200, "text/plain", &body, 4096)));
+    work.finish(ExecutionOutcome::Responded(RecordedResponse::new(200, "text/plain", &body, 4096)));
     Some(latency)
 }
 
@@ -246,12 +248,12 @@
     let now = Unix::from_millis(1_800_000_000_000);
     let records: Vec<Bytes> = (0..keys / KEYS_PER_BATCH).map(|number| batch(number, now)).collect();
     let bytes: usize = records.iter().map(Bytes::len).sum();
-    let policy = Policy { partition_bytes: usize::MAX, ..Policy::default() };
+    let policy = Policy { max_partition_bytes: usize::MAX, ..Policy::default() };
     let mut partition = Partition::new(0, Rc::new(policy));
     let resident = resident_kib();
     let start = Instant::now();
-    while partition.next() < records.len() as Offset {
-        let page = page(&records, partition.next());
+    while partition.next_offset() < records.len() as Offset {
+        let page = page(&records, partition.next_offset());
         partition.apply(&page, now).expect("a page");
     }
     let took = start.elapsed();
@@ -266,21 +268,26 @@
 }
 
 fn batch(number: u64, now: Unix) -> Bytes {
-    let id = Attempt { run: 1, serial: number };
+    let id = AttemptId { run: 1, serial: number };
     let entries = (0..KEYS_PER_BATCH).flat_map(|position| {
         let serial = number * KEYS_PER_BATCH + position;
-        let attempt = Attempt { run: 2, serial };
+        let attempt = AttemptId { run: 2, serial };
         let name = format!("01890a5d-ac96-774b-bcce-{serial:012}");
         let key = Key::new(Kind::Request, "portal", &name).expect("valid");
         let body = Bytes::from_static(b"{\"renewed\":true}");
-        let outcome = Outcome::Answered(Answer::new(200, "application/json", &body, 4096));
+        let outcome = ExecutionOutcome::Responded(RecordedResponse::new(
+            200,
+            "application/json",
+            &body,
+            4096,
+        ));
         let intent =
             Intent { attempt, key: key.clone(), created: now, fingerprint: serial, domain: None };
         [Entry::Intent(intent), Entry::Outcome { attempt, key, created: now, outcome }]
     });
     let entries = entries.collect();
     let writer = "erie-hall-1".to_owned();
-    encode(&Batch { partition: 0, writer, id, seen: number, horizon: now, entries })
+    encode(&Batch { partition: 0, writer, id, read_until: number, latest_created: now, entries })
 }
 
 fn resident_kib() -> u64 {
--- a/src/api/refusal.rs
+++ b/src/api/refusal.rs
@@ -131,11 +131,13 @@
     fn from(refusal: intent::Refusal) -> Self {
         let reason = match refusal {
             intent::Refusal::Expired => Reason::KeyExpired,
-            intent::Refusal::Ahead => Reason::Invalid,
-            intent::Refusal::Reused => Reason::KeyReused,
+            intent::Refusal::CreatedInFuture => Reason::Invalid,
+            intent::Refusal::KeyReused => Reason::KeyReused,
             intent::Refusal::Overloaded => Reason::Overloaded,
-            intent::Refusal::Stopped => Reason::ShuttingDown,
-            intent::Refusal::NoLog | intent::Refusal::Unsettled => Reason::LogUnavailable,
+            intent::Refusal::ShuttingDown => Reason::ShuttingDown,
+            intent::Refusal::LogUnavailable | intent::Refusal::Unconfirmed => {
+                Reason::LogUnavailable
+            }
         };
         Self::not_run(reason, refusal.to_string())
     }
--- a/src/entry/backend/dump.rs
+++ b/src/entry/backend/dump.rs
@@ -103,7 +103,7 @@
             standings: standings.iter().map(Standing::from).collect(),
             instances: Instances::from(&*self.directory.roster()),
             requests: self.requests.dump().await,
-            intents: self.binding.guard.stats().await.map(Intents::from),
+            intents: self.binding.deduplicator.stats().await.map(Intents::from),
         };
         let failed = |error| Refusal::not_run(Reason::Internal, format!("no dump: {error}"));
         serde_json::to_value(dump).map_err(failed)
@@ -172,7 +172,7 @@
 
 impl From<Stats> for Intents {
     fn from(stats: Stats) -> Self {
-        let Stats { intents, appends, reads, unsettled, .. } = stats;
-        Self { intents, appends, reads, unsettled }
+        let Stats { intents, appends, reads, unconfirmed, .. } = stats;
+        Self { intents, appends, reads, unsettled: unconfirmed }
     }
 }
--- a/src/entry/binding.rs
+++ b/src/entry/binding.rs
@@ -5,7 +5,7 @@
 
 use crate::api::{Call, Refusal, view};
 use crate::clock::Clock;
-use crate::intent::{self, Attempt, Guard, Key, Kind, Placement, Request};
+use crate::intent::{self, AttemptId, Deduplicator, DomainBinding, Key, Kind, Request};
 use crate::{codec, domain};
 
 /// Part of the caller's time that fixing the failure domain may take.
@@ -16,7 +16,7 @@
 /// What binds submissions to failure domains.
 pub struct Binding {
     /// Intents in the log.
-    pub guard: Guard,
+    pub deduplicator: Deduplicator,
     /// Time.
     pub clock: Rc<dyn Clock>,
     /// This instance's failure domain, which takes new jobs.
@@ -30,7 +30,7 @@
     /// Whether its owner is recorded to have accepted the job.
     pub accepted: bool,
     request: Request,
-    attempt: Attempt,
+    attempt: AttemptId,
 }
 
 impl Binding {
@@ -47,19 +47,19 @@
         submission: &view::job::Submission,
     ) -> Result<Bound, Refusal> {
         let request = self.request(submission)?;
-        let placement = self.guard.place_job(request.clone(), call.within / FIX_PART).await;
-        match placement {
-            Placement::Placed { attempt, domain, accepted, .. } => {
+        let binding = self.deduplicator.bind_job(request.clone(), call.within / FIX_PART).await;
+        match binding {
+            DomainBinding::Bound { attempt, domain, accepted, .. } => {
                 Ok(Bound { domain, accepted, request, attempt })
             }
-            Placement::NotRun(refusal) => Err(Refusal::from(refusal).after(FIX_PAUSE)),
+            DomainBinding::NotRun(refusal) => Err(Refusal::from(refusal).after(FIX_PAUSE)),
         }
     }
 
     /// Records that the owner has accepted the job, so that a late retry finds it accepted even
     /// when the owner has forgotten the ended job.
     pub fn accept(&self, bound: &Bound) {
-        self.guard.accept_job(&bound.request, bound.attempt, bound.domain.clone());
+        self.deduplicator.record_acceptance(&bound.request, bound.attempt, bound.domain.clone());
     }
 
     /// A key that is no version 7 UUID counts as made now: while its record is known, the key
@@ -69,7 +69,7 @@
         let invalid = |cause: String| Refusal::invalid("idempotency-key", cause);
         let work = codec::encode(spec).map_err(|error| invalid(error.to_string()))?;
         Ok(Request {
-            created: intent::created_of(key).unwrap_or_else(|| self.clock.unix()),
+            created: intent::creation_time(key).unwrap_or_else(|| self.clock.unix()),
             key: Key::new(Kind::Job, &spec.team, key)
                 .map_err(|error| invalid(error.to_string()))?,
             fingerprint: intent::fingerprint(&work),
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -159,11 +159,11 @@
         readiness: readiness.clone(),
     };
     monoio::spawn(follower.run(config.subscribe()));
-    let guard = requests::start_records(&me, shared.store.clone(), clock.clone());
+    let deduplicator = requests::start_records(&me, shared.store.clone(), clock.clone());
     let ways = requests::Ways {
         runners: Rc::new(http::Client::new(http::Limits::default())),
         peers: shared.peers.clone(),
-        guard: guard.clone(),
+        deduplicator: deduplicator.clone(),
         handle: handle.clone(),
         clock: clock.clone(),
     };
@@ -176,7 +176,7 @@
     };
     monoio::spawn(followers.run(members.subscribe()));
     let running = monoio::spawn(controller.run());
-    let binding = Binding { guard, clock: clock.clone(), domain: settings.domain.clone() };
+    let binding = Binding { deduplicator, clock: clock.clone(), domain: settings.domain.clone() };
     let entry = Entry {
         binding,
         me,
--- a/src/entry/requests.rs
+++ b/src/entry/requests.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::domain::Instance;
 use crate::entry::controller::Handle;
-use crate::intent::{self, Guard};
+use crate::intent::{self, Deduplicator};
 use crate::owner::machine::Machine;
 use crate::runner::handler::Access;
 use crate::runner::proxy::{Options, Proxy, Role};
@@ -30,7 +30,7 @@
     /// Other instances.
     pub peers: Rc<peer::Client>,
     /// Intents in the log.
-    pub guard: Guard,
+    pub deduplicator: Deduplicator,
     /// The owner's controller.
     pub handle: Handle,
     /// Time.
@@ -38,16 +38,17 @@
 }
 
 /// Starts the task that records intents of work that runs at most once.
-pub fn start_records(me: &Instance, store: Rc<dyn Store>, clock: Rc<dyn Clock>) -> Guard {
-    let (guard, records) = Guard::new(&me.name, me.run, intent::Policy::default(), store, clock);
+pub fn start_records(me: &Instance, store: Rc<dyn Store>, clock: Rc<dyn Clock>) -> Deduplicator {
+    let (deduplicator, records) =
+        Deduplicator::new(&me.name, me.run, intent::Policy::default(), store, clock);
     monoio::spawn(records.run(RECORD_GRACE));
-    guard.warm();
-    guard
+    deduplicator.preload();
+    deduplicator
 }
 
 /// Starts the tasks that answer quick requests until `stop` is triggered and all are answered.
 pub fn start(settings: &Settings, me: &Instance, ways: Ways, stop: Shutdown) -> Proxy {
-    let Ways { runners, peers, guard, handle, clock } = ways;
+    let Ways { runners, peers, deduplicator, handle, clock } = ways;
     let transport: Rc<dyn RunnerTransport> = Rc::new(runner::http::Client::new(runners));
     let (proxy, driver) = Proxy::new(Options {
         policy: settings.queues.routing(),
@@ -58,7 +59,7 @@
         transport: Rc::new(measured::Runners(transport)),
         peers: Rc::new(runner::peer::Client::new(peers)),
         clock: clock.clone(),
-        guard: Some(guard),
+        deduplicator: Some(deduplicator),
         access: Access::of(&settings.services, settings.queues.caller_timeout),
     });
     monoio::spawn(driver.run());
--- a/src/intent/ruling.rs
+++ b/src/intent/admission_decision.rs
@@ -3,16 +3,16 @@
 use derive_more::Display;
 
 use super::key::Request;
-use super::partition::State;
-use super::record::Attempt;
+use super::partition::KeyState;
+use super::record::AttemptId;
 
 /// The answer to one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ruling {
+pub enum AdmissionDecision {
     /// The request has won its key and may be tried once.
-    Won(Attempt),
+    Granted(AttemptId),
     /// An earlier request has won the key.
-    Duplicate(State),
+    Duplicate(KeyState),
     /// The request has run nothing and never will.
     NotRun(Refusal),
 }
@@ -26,10 +26,10 @@
 pub enum Refusal {
     /// The log could not be reached or did not answer.
     #[display("the log does not answer")]
-    NoLog,
+    LogUnavailable,
     /// The log's answer was lost, and the intent was not found there in time.
     #[display("the log did not confirm the intent in time")]
-    Unsettled,
+    Unconfirmed,
     /// Too many requests wait for the log.
     #[display("too many requests wait for the log")]
     Overloaded,
@@ -38,19 +38,19 @@
     Expired,
     /// The key's creation time lies ahead of this instance's clock.
     #[display("the idempotency key's creation time lies in the future")]
-    Ahead,
+    CreatedInFuture,
     /// The key was used before for other work.
     #[display("the idempotency key was used for other work")]
-    Reused,
-    /// The guard has ended.
+    KeyReused,
+    /// The deduplicator has ended.
     #[display("the instance is shutting down")]
-    Stopped,
+    ShuttingDown,
 }
 
-impl Ruling {
+impl AdmissionDecision {
     /// What `request` is told when another request has won its key.
-    pub(super) fn repeat(request: &Request, state: State) -> Self {
+    pub(super) fn repeat(request: &Request, state: KeyState) -> Self {
         let other = state.fingerprint.is_some_and(|known| known != request.fingerprint);
-        if other { Self::NotRun(Refusal::Reused) } else { Self::Duplicate(state) }
+        if other { Self::NotRun(Refusal::KeyReused) } else { Self::Duplicate(state) }
     }
 }
--- a/src/intent/placement.rs
+++ b/src/intent/domain_binding.rs
@@ -1,19 +1,19 @@
 //! Fixing the failure domain that takes a job.
 
+use super::admission_decision::Refusal;
 use super::key::{Kind, Request};
-use super::partition::{Progress, State};
-use super::record::{Attempt, Outcome};
-use super::ruling::Refusal;
+use super::partition::{KeyState, Progress};
+use super::record::{AttemptId, ExecutionOutcome};
 use crate::domain;
 
 /// Where a job goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Placement {
+pub enum DomainBinding {
     /// Hand the job to the owner of this failure domain, whoever asks and as often as it takes:
     /// the owner tells a repeated submission by the job's identity.
-    Placed {
+    Bound {
         /// The submission that fixed it.
-        attempt: Attempt,
+        attempt: AttemptId,
         /// The failure domain.
         domain: domain::Name,
         /// Whether an earlier submission has fixed it.
@@ -26,18 +26,18 @@
     NotRun(Refusal),
 }
 
-impl Placement {
-    /// Reads the placement that an earlier submission has fixed.
-    pub(super) fn repeated(state: State) -> Self {
+impl DomainBinding {
+    /// Reads the binding that an earlier submission has fixed.
+    pub(super) fn repeated(state: KeyState) -> Self {
         let (domain, accepted) = match state.progress {
-            Progress::Done(Outcome::Accepted(domain)) => (Some(domain), true),
+            Progress::Done(ExecutionOutcome::Accepted(domain)) => (Some(domain), true),
             _ => (state.domain, false),
         };
         match domain {
             Some(domain) => {
-                Self::Placed { attempt: state.attempt, domain, duplicate: true, accepted }
+                Self::Bound { attempt: state.attempt, domain, duplicate: true, accepted }
             }
-            None => Self::NotRun(Refusal::Reused),
+            None => Self::NotRun(Refusal::KeyReused),
         }
     }
 }
--- a/src/intent/flight.rs
+++ b/src/intent/flight.rs
@@ -1,7 +1,7 @@
 //! A batch whose place in the log is not known yet.
 
 use super::queue::{Load, Owed, Waiting};
-use super::record::Attempt;
+use super::record::AttemptId;
 use crate::clock::Instant;
 use crate::store::Offset;
 
@@ -9,9 +9,9 @@
 #[derive(Debug)]
 pub(super) struct Flight {
     /// Identity of the append.
-    pub(super) id: Attempt,
+    pub(super) id: AttemptId,
     /// Requests that are not answered yet.
-    pub(super) intents: Vec<(Attempt, Waiting)>,
+    pub(super) intents: Vec<(AttemptId, Waiting)>,
     /// Withdrawals and outcomes, kept until they are surely written.
     pub(super) owed: Vec<Owed>,
     /// Until when it is looked for; set once the append has ended.
@@ -21,12 +21,12 @@
 }
 
 impl Flight {
-    pub(super) fn new(id: Attempt, load: Load) -> Self {
+    pub(super) fn new(id: AttemptId, load: Load) -> Self {
         Self { id, intents: load.intents, owed: load.owed, settle_by: None, hint: None }
     }
 
     /// Takes out the requests whose time is over.
-    pub(super) fn expired(&mut self, now: Instant) -> Vec<(Attempt, Waiting)> {
+    pub(super) fn expired(&mut self, now: Instant) -> Vec<(AttemptId, Waiting)> {
         let (over, kept) = std::mem::take(&mut self.intents)
             .into_iter()
             .partition(|(_, waiting)| waiting.deadline <= now);
--- a/src/intent/key.rs
+++ b/src/intent/key.rs
@@ -8,9 +8,9 @@
 use crate::domain;
 
 /// Longest name of a service or team, in bytes.
-const OWNER_BYTES: usize = 128;
+const MAX_SCOPE_BYTES: usize = 128;
 /// Longest idempotency key, in bytes.
-const NAME_BYTES: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 /// Hexadecimal digits of a UUID.
 const UUID_DIGITS: usize = 32;
 /// Leading hexadecimal digits of a version 7 UUID that hold its creation time.
@@ -29,10 +29,10 @@
 
 /// An idempotency key with the service or team that named it.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
-#[display("{kind}/{owner}/{name}")]
+#[display("{kind}/{scope}/{name}")]
 pub struct Key {
     kind: Kind,
-    owner: String,
+    scope: String,
     name: String,
 }
 
@@ -41,16 +41,16 @@
 pub enum Error {
     /// No service or team was named.
     #[display("the service or team is empty")]
-    NoOwner,
+    EmptyScope,
     /// The service's or team's name is too long.
-    #[display("the service or team is longer than {OWNER_BYTES} bytes")]
-    LongOwner,
+    #[display("the service or team is longer than {MAX_SCOPE_BYTES} bytes")]
+    ScopeTooLong,
     /// No key was given.
     #[display("the idempotency key is empty")]
-    NoName,
+    EmptyName,
     /// The key is too long.
-    #[display("the idempotency key is longer than {NAME_BYTES} bytes")]
-    LongName,
+    #[display("the idempotency key is longer than {MAX_NAME_BYTES} bytes")]
+    NameTooLong,
 }
 
 impl Key {
@@ -66,13 +66,13 @@
     /// assert_eq!(key.to_string(), "request/portal/renew-7");
     /// assert!(Key::new(Kind::Request, "portal", "").is_err());
     /// ```
-    pub fn new(kind: Kind, owner: &str, name: &str) -> Result<Self, Error> {
-        match (owner.len(), name.len()) {
-            (0, _) => Err(Error::NoOwner),
-            (_, 0) => Err(Error::NoName),
-            (length, _) if length > OWNER_BYTES => Err(Error::LongOwner),
-            (_, length) if length > NAME_BYTES => Err(Error::LongName),
-            _ => Ok(Self { kind, owner: owner.to_owned(), name: name.to_owned() }),
+    pub fn new(kind: Kind, scope: &str, name: &str) -> Result<Self, Error> {
+        match (scope.len(), name.len()) {
+            (0, _) => Err(Error::EmptyScope),
+            (_, 0) => Err(Error::EmptyName),
+            (length, _) if length > MAX_SCOPE_BYTES => Err(Error::ScopeTooLong),
+            (_, length) if length > MAX_NAME_BYTES => Err(Error::NameTooLong),
+            _ => Ok(Self { kind, scope: scope.to_owned(), name: name.to_owned() }),
         }
     }
 
@@ -82,8 +82,8 @@
     }
 
     /// The service or team that named it.
-    pub fn owner(&self) -> &str {
-        &self.owner
+    pub fn scope(&self) -> &str {
+        &self.scope
     }
 
     /// The caller's idempotency key.
@@ -95,8 +95,8 @@
     pub fn partition(&self) -> u16 {
         let mut hasher = Xxh3::new();
         hasher.update(&[self.kind as u8]);
-        hasher.update(&(self.owner.len() as u64).to_le_bytes());
-        hasher.update(self.owner.as_bytes());
+        hasher.update(&(self.scope.len() as u64).to_le_bytes());
+        hasher.update(self.scope.as_bytes());
         hasher.update(self.name.as_bytes());
         let partition = hasher.digest() % u64::from(PARTITIONS);
         partition as u16
@@ -104,7 +104,7 @@
 
     /// Bytes of its names.
     pub(super) fn len(&self) -> usize {
-        self.owner.len() + self.name.len()
+        self.scope.len() + self.name.len()
     }
 }
 
@@ -113,7 +113,7 @@
 pub struct Request {
     /// The key.
     pub key: Key,
-    /// When the caller made the key; the same in each retry. See [`created_of`].
+    /// When the caller made the key; the same in each retry. See [`creation_time`].
     pub created: Unix,
     /// Fingerprint of the work, so that a key used for other work is noticed. See [`fingerprint`].
     pub fingerprint: u64,
@@ -126,12 +126,12 @@
 ///
 /// ```
 /// use oriolefork::clock::Unix;
-/// use oriolefork::intent::created_of;
-/// let created = created_of("01890a5d-ac96-774b-bcce-b302099a8057");
+/// use oriolefork::intent::creation_time;
+/// let created = creation_time("01890a5d-ac96-774b-bcce-b302099a8057");
 /// assert_eq!(created, Some(Unix::from_millis(0x0189_0a5d_ac96)));
-/// assert_eq!(created_of("renew-7"), None);
+/// assert_eq!(creation_time("renew-7"), None);
 /// ```
-pub fn created_of(name: &str) -> Option<Unix> {
+pub fn creation_time(name: &str) -> Option<Unix> {
     let digits: String = name.chars().filter(|symbol| *symbol != '-').collect();
     let is_uuid = digits.len() == UUID_DIGITS && digits.bytes().all(|b| b.is_ascii_hexdigit());
     if !is_uuid || digits.as_bytes()[UUID_TIME_DIGITS] != b'7' {
--- a/src/intent/lane.rs
+++ b/src/intent/lane.rs
@@ -4,16 +4,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::budget::Budget;
+use super::admission_decision::{AdmissionDecision, Refusal};
 use super::context::Context;
 use super::flight::Flight;
 use super::key::Request;
-use super::machine::{Effect, Now, Ticket};
-use super::partition::{Applied, Partition, Verdict};
+use super::machine::{Effect, Now, RequestId};
+use super::partition::{AppliedPage, IntentStatus, Partition};
 use super::policy::Policy;
 use super::queue::{Coverage, Owed, Queue, Waiting};
-use super::record::{Attempt, Batch, Entry};
-use super::ruling::{Refusal, Ruling};
+use super::record::{AttemptId, Batch, Entry};
+use super::token_bucket::TokenBucket;
 use super::wire;
 use crate::clock::Instant;
 use crate::store::{Offset, Outcome, Page};
@@ -23,7 +23,7 @@
 
 /// The requests and records of one partition at one instance.
 ///
-/// At most one call to the log is under way, and at most one batch is unsettled.
+/// At most one call to the log is under way, and at most one batch is unconfirmed.
 #[derive(Debug)]
 pub(super) struct Lane {
     number: u16,
@@ -71,7 +71,7 @@
     }
 
     /// Whether nothing waits for the log.
-    pub(super) fn is_quiet(&self) -> bool {
+    pub(super) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.flight.is_none()
     }
 
@@ -81,15 +81,15 @@
     }
 
     /// Has the partition read although no request waits for it.
-    pub(super) fn warm(&mut self) {
+    pub(super) fn preload(&mut self) {
         self.probe = true;
     }
 
     pub(super) fn submit(
         &mut self,
-        ticket: Ticket,
+        request_id: RequestId,
         request: Request,
-        patience: Duration,
+        timeout: Duration,
         context: &mut Context<'_>,
     ) {
         let now = context.now;
@@ -97,24 +97,24 @@
         let known = self.partition.state(&request.key).is_some();
         let unfit = if known { None } else { self.unfit(&request, now).or(crowded) };
         if let Some(reason) = unfit {
-            context.reply(ticket, Ruling::NotRun(reason));
+            context.reply(request_id, AdmissionDecision::NotRun(reason));
             return;
         }
         self.queue.waiting.push_back(Waiting {
-            ticket,
+            request_id,
             request,
             arrived: now.instant,
-            deadline: now.instant.after(patience),
+            deadline: now.instant.after(timeout),
             coverage: Coverage::None,
         });
     }
 
     /// Why a key that nobody holds cannot be won by `request`.
     fn unfit(&self, request: &Request, now: Now) -> Option<Refusal> {
-        let ahead = request.created > now.unix.after(self.policy.skew);
-        let past = now.unix.since(request.created) > self.policy.window;
+        let ahead = request.created > now.unix.after(self.policy.max_clock_skew);
+        let past = now.unix.since(request.created) > self.policy.max_key_age;
         match (ahead, past || !self.partition.admits(request.created)) {
-            (true, _) => Some(Refusal::Ahead),
+            (true, _) => Some(Refusal::CreatedInFuture),
             (_, true) => Some(Refusal::Expired),
             _ => None,
         }
@@ -128,11 +128,11 @@
     /// Takes the answer of the append under way.
     pub(super) fn appended(&mut self, answer: Result<Offset, Outcome>, context: &mut Context<'_>) {
         self.call = Call::None;
-        let settle_by = context.now.instant.after(self.policy.settle);
+        let settle_by = context.now.instant.after(self.policy.confirm_timeout);
         match answer {
             Ok(offset) => self.look_for_flight(settle_by, Some(offset)),
             Err(Outcome::Unknown) => {
-                context.stats.unsettled += 1;
+                context.stats.unconfirmed += 1;
                 self.look_for_flight(settle_by, None);
             }
             Err(Outcome::NotWritten) => self.not_written(context),
@@ -150,7 +150,7 @@
         self.fail(context.now.instant);
         let Some(flight) = self.flight.take() else { return };
         for (_, waiting) in flight.intents {
-            context.reply(waiting.ticket, Ruling::NotRun(Refusal::NoLog));
+            context.reply(waiting.request_id, AdmissionDecision::NotRun(Refusal::LogUnavailable));
         }
         self.queue.owe_again(flight.owed);
     }
@@ -158,7 +158,7 @@
     fn fail(&mut self, now: Instant) {
         let doublings = self.failures.min(BACKOFF_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        self.resume = now.after(self.policy.pause * 2_u32.pow(doublings));
+        self.resume = now.after(self.policy.retry_pause * 2_u32.pow(doublings));
     }
 
     /// Takes the answer of the read under way; `None` when it failed.
@@ -175,9 +175,9 @@
         if self.skip_old(page) {
             return Some(());
         }
-        let before = self.partition.next();
+        let before = self.partition.next_offset();
         let applied = self.partition.apply(page, context.now.unix).ok()?;
-        if self.partition.next() >= page.end {
+        if self.partition.next_offset() >= page.end {
             self.caught_up(context.now.instant);
         }
         self.settle(before, &applied, context);
@@ -187,7 +187,7 @@
     /// Leaves out all but the newest records of a long stream that is read for the first time.
     fn skip_old(&mut self, page: &Page) -> bool {
         let first = !std::mem::replace(&mut self.measured, true);
-        let start = page.end.saturating_sub(self.policy.cold_records);
+        let start = page.end.saturating_sub(self.policy.max_initial_records);
         let skips = first && start > page.oldest;
         if skips {
             self.partition.skip_to(start);
@@ -200,12 +200,12 @@
         self.probe = false;
         self.queue.caught_up();
         if self.flight.is_some() {
-            self.resume = now.after(self.policy.pause);
+            self.resume = now.after(self.policy.retry_pause);
         }
     }
 
     /// Answers the requests of the batch in flight once it is found in the log.
-    fn settle(&mut self, before: Offset, applied: &Applied, context: &mut Context<'_>) {
+    fn settle(&mut self, before: Offset, applied: &AppliedPage, context: &mut Context<'_>) {
         let Some(flight) = self.flight.take_if(|flight| applied.batches.contains(&flight.id))
         else {
             return;
@@ -213,32 +213,35 @@
         self.resume = context.now.instant;
         context.stats.contiguous += u64::from(flight.hint == Some(before));
         for (attempt, waiting) in flight.intents {
-            self.rule(attempt, waiting, applied.verdict(attempt), context);
+            self.rule(attempt, waiting, applied.status(attempt), context);
         }
     }
 
     fn rule(
         &mut self,
-        attempt: Attempt,
+        attempt: AttemptId,
         waiting: Waiting,
-        verdict: Verdict,
+        status: IntentStatus,
         context: &mut Context<'_>,
     ) {
         let state = self.partition.state(&waiting.request.key);
-        match (verdict, state) {
-            (Verdict::Won, _) => context.reply(waiting.ticket, Ruling::Won(attempt)),
-            (Verdict::Lost, Some(state)) => {
-                context.reply(waiting.ticket, Ruling::repeat(&waiting.request, state));
+        match (status, state) {
+            (IntentStatus::Won, _) => {
+                context.reply(waiting.request_id, AdmissionDecision::Granted(attempt))
             }
-            (Verdict::Lost, None) => {
+            (IntentStatus::Lost, Some(state)) => {
+                context
+                    .reply(waiting.request_id, AdmissionDecision::repeat(&waiting.request, state));
+            }
+            (IntentStatus::Lost, None) => {
                 // It lost to an attempt that was withdrawn since, so it may compete again.
                 self.withdraw(attempt, &waiting.request, context.now.instant);
                 self.queue.waiting.push_front(waiting);
             }
-            (Verdict::Expired, _) => {
+            (IntentStatus::Expired, _) => {
                 self.withdraw(attempt, &waiting.request, context.now.instant);
                 let refusal = Refusal::Expired;
-                context.reply(waiting.ticket, Ruling::NotRun(refusal));
+                context.reply(waiting.request_id, AdmissionDecision::NotRun(refusal));
             }
         }
     }
@@ -247,7 +250,7 @@
     ///
     /// A job's intent is left standing: it only fixes the failure domain, and another instance may
     /// already have acted on it.
-    fn withdraw(&mut self, attempt: Attempt, request: &Request, now: Instant) {
+    fn withdraw(&mut self, attempt: AttemptId, request: &Request, now: Instant) {
         if request.domain.is_none() {
             self.owe(Entry::Withdrawal { attempt, key: request.key.clone() }, now);
         }
@@ -264,25 +267,26 @@
         }
         if self.must_read() {
             self.read(context);
-        } else if self.queue.due(now).is_some_and(|due| due <= now) && context.budget.take(now) {
+        } else if self.queue.due(now).is_some_and(|due| due <= now) && context.budget.try_take(now)
+        {
             self.append(context);
         }
     }
 
     /// When [`advance`](Self::advance) has something to do next without any input.
-    pub(super) fn wake(&self, budget: &Budget, now: Instant) -> Option<Instant> {
+    pub(super) fn next_wakeup(&self, budget: &TokenBucket, now: Instant) -> Option<Instant> {
         let deadline = self.queue.waiting.iter().map(|waiting| waiting.deadline).min();
         let in_flight = self.flight.as_ref().and_then(Flight::wake);
         let work = (self.call == Call::None).then(|| self.work_at(budget, now)).flatten();
         [deadline, in_flight, work].into_iter().flatten().min()
     }
 
-    fn work_at(&self, budget: &Budget, now: Instant) -> Option<Instant> {
+    fn work_at(&self, budget: &TokenBucket, now: Instant) -> Option<Instant> {
         if self.must_read() {
             return Some(self.resume);
         }
         let due = self.queue.due(now)?;
-        Some(due.max(budget.ready(now)).max(self.resume))
+        Some(due.max(budget.available_at(now)).max(self.resume))
     }
 
     fn must_read(&self) -> bool {
@@ -299,7 +303,7 @@
     /// Answers the requests whose time is over, and all of them while the log is away.
     fn expire(&mut self, context: &mut Context<'_>) {
         let now = context.now.instant;
-        let away = self.failures >= self.policy.failures;
+        let away = self.failures >= self.policy.max_failures;
         let mut kept = VecDeque::with_capacity(self.queue.waiting.len());
         for waiting in std::mem::take(&mut self.queue.waiting) {
             if waiting.deadline > now && !away {
@@ -307,7 +311,7 @@
                 continue;
             }
             self.probe |= away;
-            self.refuse(&waiting, Refusal::NoLog, context);
+            self.refuse(&waiting, Refusal::LogUnavailable, context);
         }
         self.queue.waiting = kept;
         if let Some(flight) = self.flight.as_mut() {
@@ -328,20 +332,20 @@
         self.abandon(flight.intents, context);
     }
 
-    fn abandon(&mut self, intents: Vec<(Attempt, Waiting)>, context: &mut Context<'_>) {
+    fn abandon(&mut self, intents: Vec<(AttemptId, Waiting)>, context: &mut Context<'_>) {
         for (attempt, waiting) in intents {
             self.withdraw(attempt, &waiting.request, context.now.instant);
-            self.refuse(&waiting, Refusal::Unsettled, context);
+            self.refuse(&waiting, Refusal::Unconfirmed, context);
         }
     }
 
     /// Tells of the attempt that holds the key, when one is known, and else refuses.
     fn refuse(&self, waiting: &Waiting, refusal: Refusal, context: &mut Context<'_>) {
-        let ruling = match self.partition.state(&waiting.request.key) {
-            Some(state) => Ruling::repeat(&waiting.request, state),
-            None => Ruling::NotRun(refusal),
+        let decision = match self.partition.state(&waiting.request.key) {
+            Some(state) => AdmissionDecision::repeat(&waiting.request, state),
+            None => AdmissionDecision::NotRun(refusal),
         };
-        context.reply(waiting.ticket, ruling);
+        context.reply(waiting.request_id, decision);
     }
 
     /// Answers the requests whose answer is known without another look at the log.
@@ -349,21 +353,21 @@
         let mut kept = VecDeque::with_capacity(self.queue.waiting.len());
         for waiting in std::mem::take(&mut self.queue.waiting) {
             match self.known(&waiting, context.now) {
-                Some(ruling) => context.reply(waiting.ticket, ruling),
+                Some(decision) => context.reply(waiting.request_id, decision),
                 None => kept.push_back(waiting),
             }
         }
         self.queue.waiting = kept;
     }
 
-    fn known(&self, waiting: &Waiting, now: Now) -> Option<Ruling> {
+    fn known(&self, waiting: &Waiting, now: Now) -> Option<AdmissionDecision> {
         let request = &waiting.request;
         match self.partition.state(&request.key) {
             Some(state) if state.is_done() || waiting.coverage == Coverage::Whole => {
-                Some(Ruling::repeat(request, state))
+                Some(AdmissionDecision::repeat(request, state))
             }
             Some(_) => None,
-            None => self.unfit(request, now).map(Ruling::NotRun),
+            None => self.unfit(request, now).map(AdmissionDecision::NotRun),
         }
     }
 
@@ -371,7 +375,7 @@
         self.call = Call::Read;
         self.queue.begin_read();
         context.stats.reads += 1;
-        let from = self.partition.next();
+        let from = self.partition.next_offset();
         context.effects.push(Effect::Read { partition: self.number, from });
     }
 
@@ -382,8 +386,8 @@
             partition: self.number,
             writer: context.writer.name.clone(),
             id,
-            seen: self.partition.next(),
-            horizon: self.partition.horizon(),
+            read_until: self.partition.next_offset(),
+            latest_created: self.partition.latest_created(),
             entries: load.entries(),
         };
         context.stats.appends += 1;
--- a/src/intent/machine.rs
+++ b/src/intent/machine.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-use super::budget::Budget;
+use super::admission_decision::AdmissionDecision;
 use super::context::Context;
 use super::key::Request;
 use super::lane::Lane;
@@ -13,12 +13,12 @@
 use super::policy::{PARTITIONS, Policy};
 use super::queue::Writer;
 use super::record::Entry;
-use super::ruling::Ruling;
+use super::token_bucket::TokenBucket;
 use crate::clock::{Instant, Unix};
 use crate::store::{Offset, Outcome, Page};
 
 /// Identity of a request at one instance, chosen by whoever runs the machine.
-pub type Ticket = u64;
+pub type RequestId = u64;
 
 /// The present on both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,24 +33,24 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Read every partition before the first request needs it.
-    Warm,
+    Preload,
     /// A request wants to run.
     Submit {
         /// Its identity here.
-        ticket: Ticket,
+        request_id: RequestId,
         /// The request.
         request: Request,
         /// How long it waits for the log.
-        patience: Duration,
+        timeout: Duration,
     },
     /// A withdrawal or outcome is to be recorded.
-    Owe(Entry),
+    Record(Entry),
     /// A call to the log has ended.
-    Ended {
+    CallEnded {
         /// Partition it was made for.
         partition: u16,
         /// What it gave.
-        call: Call,
+        call: CallResult,
     },
     /// Time has passed.
     Tick,
@@ -58,7 +58,7 @@
 
 /// A call to the log that has ended.
 #[derive(Clone, Debug)]
-pub enum Call {
+pub enum CallResult {
     /// An append, with its offset or what is known of its effect.
     Append(Result<Offset, Outcome>),
     /// A read; `None` when it failed.
@@ -82,12 +82,12 @@
         /// First offset wanted.
         from: Offset,
     },
-    /// Answer a request. Each submitted ticket is answered once.
+    /// Answer a request. Each submitted request is answered once.
     Reply {
         /// The request.
-        ticket: Ticket,
+        request_id: RequestId,
         /// Its answer.
-        ruling: Ruling,
+        decision: AdmissionDecision,
     },
 }
 
@@ -101,7 +101,7 @@
     /// Reads made.
     pub reads: u64,
     /// Appends whose answer did not tell whether they took effect.
-    pub unsettled: u64,
+    pub unconfirmed: u64,
     /// Batches that landed where the writer had read to: nothing came in between.
     pub contiguous: u64,
 }
@@ -111,14 +111,14 @@
 pub struct Machine {
     lanes: Vec<Lane>,
     writer: Writer,
-    budget: Budget,
+    budget: TokenBucket,
     stats: Stats,
 }
 
 impl Machine {
     /// Starts a machine for the process `run` of the instance `name`.
     pub fn new(name: &str, run: u64, policy: Policy) -> Self {
-        let budget = Budget::new(policy.appends_per_second, policy.burst);
+        let budget = TokenBucket::new(policy.appends_per_second, policy.burst);
         let policy = Rc::new(policy);
         let lanes = (0..PARTITIONS).map(|number| Lane::new(number, Rc::clone(&policy))).collect();
         let writer = Writer { name: name.to_owned(), run, serial: 0 };
@@ -136,20 +136,20 @@
             effects: &mut effects,
         };
         match input {
-            Input::Warm => self.lanes.iter_mut().for_each(Lane::warm),
-            Input::Submit { ticket, request, patience } => {
+            Input::Preload => self.lanes.iter_mut().for_each(Lane::preload),
+            Input::Submit { request_id, request, timeout } => {
                 let lane = &mut self.lanes[usize::from(request.key.partition())];
-                lane.submit(ticket, request, patience, &mut context);
+                lane.submit(request_id, request, timeout, &mut context);
             }
-            Input::Owe(entry) => {
+            Input::Record(entry) => {
                 let lane = &mut self.lanes[usize::from(entry.key().partition())];
                 lane.owe(entry, now.instant);
             }
-            Input::Ended { partition, call } => {
+            Input::CallEnded { partition, call } => {
                 let lane = &mut self.lanes[usize::from(partition)];
                 match call {
-                    Call::Append(answer) => lane.appended(answer, &mut context),
-                    Call::Read(page) => lane.paged(page.as_ref(), &mut context),
+                    CallResult::Append(answer) => lane.appended(answer, &mut context),
+                    CallResult::Read(page) => lane.paged(page.as_ref(), &mut context),
                 }
             }
             Input::Tick => {}
@@ -164,13 +164,13 @@
     }
 
     /// When the machine wants a [`Input::Tick`] next.
-    pub fn wake(&self, now: Instant) -> Option<Instant> {
-        self.lanes.iter().filter_map(|lane| lane.wake(&self.budget, now)).min()
+    pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
+        self.lanes.iter().filter_map(|lane| lane.next_wakeup(&self.budget, now)).min()
     }
 
     /// Whether nothing waits for the log.
-    pub fn is_quiet(&self) -> bool {
-        self.lanes.iter().all(Lane::is_quiet)
+    pub fn is_idle(&self) -> bool {
+        self.lanes.iter().all(Lane::is_idle)
     }
 
     /// What is known of each partition.
--- a/src/intent/mod.rs
+++ b/src/intent/mod.rs
@@ -6,35 +6,37 @@
 //! outcome was never recorded stays unknown: it is told so and never tried again.
 //!
 //! [`Partition`] is what the records of one stream mean, [`Machine`] decides when to append and to
-//! read and what to answer, both without I/O; [`Guard`] runs the machine over a
+//! read and what to answer, both without I/O; [`Deduplicator`] runs the machine over a
 //! [`Store`](crate::store::Store). `docs/design/intent.md` weighs the ways.
 
-mod budget;
+mod admission_decision;
 mod context;
+mod deduplicator;
+mod domain_binding;
 mod flight;
-mod guard;
 mod key;
 mod lane;
 mod machine;
 mod partition;
 mod permit;
-mod placement;
 mod policy;
 mod queue;
 mod record;
-mod ruling;
 mod slots;
+mod token_bucket;
 mod wire;
 mod withdrawn;
 
-pub use self::budget::Budget;
-pub use self::guard::{Admission, Driver, Guard};
-pub use self::key::{Key, Kind, Request, created_of, fingerprint};
-pub use self::machine::{Call, Effect, Input, Machine, Now, Stats, Ticket};
-pub use self::partition::{Applied, Judgement, Partition, Progress, State, Verdict};
-pub use self::permit::{Permit, Try};
-pub use self::placement::Placement;
+pub use self::admission_decision::{AdmissionDecision, Refusal};
+pub use self::deduplicator::{Admission, Deduplicator, Driver};
+pub use self::domain_binding::DomainBinding;
+pub use self::key::{Key, Kind, Request, creation_time, fingerprint};
+pub use self::machine::{CallResult, Effect, Input, Machine, Now, RequestId, Stats};
+pub use self::partition::{AppliedPage, IntentResult, IntentStatus, KeyState, Partition, Progress};
+pub use self::permit::{Execution, Permit};
 pub use self::policy::{PARTITIONS, Policy};
-pub use self::record::{Answer, Attempt, Batch, Body, Entry, Intent, Outcome};
-pub use self::ruling::{Refusal, Ruling};
+pub use self::record::{
+    AttemptId, Batch, Entry, ExecutionOutcome, Intent, RecordedBody, RecordedResponse,
+};
+pub use self::token_bucket::TokenBucket;
 pub use self::wire::{decode, encode};
--- a/src/intent/permit.rs
+++ b/src/intent/permit.rs
@@ -2,15 +2,15 @@
 
 use local_sync::mpsc::unbounded::Tx;
 
-use super::guard::Message;
+use super::deduplicator::Message;
 use super::key::Key;
-use super::record::{Attempt, Entry, Outcome};
+use super::record::{AttemptId, Entry, ExecutionOutcome};
 use crate::clock::Unix;
 
 /// What a permit and a try stand for.
 #[derive(Debug)]
 struct Claim {
-    attempt: Attempt,
+    attempt: AttemptId,
     key: Key,
     created: Unix,
 }
@@ -19,7 +19,7 @@
 ///
 /// Dropping it unused gives the key back: the withdrawal is recorded, and a retry may win.
 pub struct Permit {
-    attempt: Attempt,
+    attempt: AttemptId,
     claim: Option<Claim>,
     home: Tx<Message>,
 }
@@ -27,18 +27,18 @@
 /// The one try of a key. From here on its work may have run.
 ///
 /// Dropping it without [`finish`](Self::finish) records that its outcome was lost.
-pub struct Try {
+pub struct Execution {
     claim: Option<Claim>,
     home: Tx<Message>,
 }
 
 impl Permit {
-    pub(super) fn new(attempt: Attempt, key: Key, created: Unix, home: Tx<Message>) -> Self {
+    pub(super) fn new(attempt: AttemptId, key: Key, created: Unix, home: Tx<Message>) -> Self {
         Self { attempt, claim: Some(Claim { attempt, key, created }), home }
     }
 
     /// Identity of the attempt, unique among all instances.
-    pub fn attempt(&self) -> Attempt {
+    pub fn attempt(&self) -> AttemptId {
         self.attempt
     }
 
@@ -48,8 +48,8 @@
     }
 
     /// Begins the try; call it before the first byte of the work may leave.
-    pub fn start(mut self) -> Try {
-        Try { claim: self.claim.take(), home: self.home.clone() }
+    pub fn start(mut self) -> Execution {
+        Execution { claim: self.claim.take(), home: self.home.clone() }
     }
 }
 
@@ -60,27 +60,27 @@
     }
 }
 
-impl Try {
+impl Execution {
     /// Records how the try ended. The record is written soon; a caller need not wait for it.
-    pub fn finish(mut self, outcome: Outcome) {
+    pub fn finish(mut self, outcome: ExecutionOutcome) {
         self.record(outcome);
     }
 
-    fn record(&mut self, outcome: Outcome) {
+    fn record(&mut self, outcome: ExecutionOutcome) {
         let Some(Claim { attempt, key, created }) = self.claim.take() else { return };
         send(&self.home, Entry::Outcome { attempt, key, created, outcome });
     }
 }
 
-impl Drop for Try {
+impl Drop for Execution {
     fn drop(&mut self) {
-        self.record(Outcome::Lost);
+        self.record(ExecutionOutcome::ResponseLost);
     }
 }
 
-/// A guard that has ended takes no record any more; the key then stays unknown to retries.
+/// A deduplicator that has ended takes no record any more; the key then stays unknown to retries.
 fn send(home: &Tx<Message>, entry: Entry) {
-    if home.send(Message::Owe(entry)).is_err() {
-        log::warn!("event=intent.record_lost cause=\"the guard has ended\"");
+    if home.send(Message::Record(entry)).is_err() {
+        log::warn!("event=intent.record_lost cause=\"the deduplicator has ended\"");
     }
 }
--- a/src/intent/policy.rs
+++ b/src/intent/policy.rs
@@ -19,33 +19,33 @@
     /// How long outcomes wait for an intent to share its append.
     pub outcome_delay: Duration,
     /// Size of one record in the log.
-    pub batch_bytes: usize,
+    pub max_batch_bytes: usize,
     /// Requests that may wait for their append in one partition.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// Outcomes and withdrawals that may wait for their append in one partition.
-    pub owed: usize,
+    pub max_pending_records: usize,
     /// How long a batch whose append was answered badly is looked for.
-    pub settle: Duration,
+    pub confirm_timeout: Duration,
     /// Pause before the log is read or appended to again after it failed or had nothing new.
-    pub pause: Duration,
+    pub retry_pause: Duration,
     /// How long one call to the log may take.
     pub call_timeout: Duration,
     /// Failed calls in a row after which requests are refused at once.
-    pub failures: u32,
+    pub max_failures: u32,
     /// Age beyond which a key is refused.
-    pub window: Duration,
+    pub max_key_age: Duration,
     /// Time for which the log surely keeps a record; zero when that is not known.
     pub retention: Duration,
     /// How far the clocks of callers and instances may lie apart.
-    pub skew: Duration,
+    pub max_clock_skew: Duration,
     /// Memory for the keys of one partition.
-    pub partition_bytes: usize,
+    pub max_partition_bytes: usize,
     /// Newest records that an instance reads of a partition when it first needs it.
-    pub cold_records: u64,
+    pub max_initial_records: u64,
     /// Withdrawn attempts that a partition remembers.
-    pub withdrawn: usize,
+    pub max_withdrawn: usize,
     /// Longest answer that is kept whole for retries.
-    pub answer_bytes: usize,
+    pub max_response_bytes: usize,
 }
 
 impl Default for Policy {
@@ -55,20 +55,20 @@
             burst: 20,
             linger: Duration::from_millis(2),
             outcome_delay: Duration::from_millis(250),
-            batch_bytes: 64 * 1024,
-            waiting: 1024,
-            owed: 4096,
-            settle: Duration::from_secs(1),
-            pause: Duration::from_millis(20),
+            max_batch_bytes: 64 * 1024,
+            max_waiting: 1024,
+            max_pending_records: 4096,
+            confirm_timeout: Duration::from_secs(1),
+            retry_pause: Duration::from_millis(20),
             call_timeout: Duration::from_secs(1),
-            failures: 3,
-            window: Duration::from_secs(24 * 60 * 60),
+            max_failures: 3,
+            max_key_age: Duration::from_secs(24 * 60 * 60),
             retention: Duration::ZERO,
-            skew: Duration::from_secs(2),
-            partition_bytes: 4 * 1024 * 1024,
-            cold_records: 20_000,
-            withdrawn: 4096,
-            answer_bytes: 4096,
+            max_clock_skew: Duration::from_secs(2),
+            max_partition_bytes: 4 * 1024 * 1024,
+            max_initial_records: 20_000,
+            max_withdrawn: 4096,
+            max_response_bytes: 4096,
         }
     }
 }
--- a/src/intent/queue.rs
+++ b/src/intent/queue.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 use super::key::Request;
-use super::machine::Ticket;
+use super::machine::RequestId;
 use super::policy::Policy;
-use super::record::{Attempt, Entry, Intent};
+use super::record::{AttemptId, Entry, Intent};
 use crate::clock::Instant;
 
 /// Identity of the process that writes.
@@ -31,7 +31,7 @@
 /// A request that is not answered yet.
 #[derive(Debug)]
 pub(super) struct Waiting {
-    pub(super) ticket: Ticket,
+    pub(super) request_id: RequestId,
     pub(super) request: Request,
     pub(super) arrived: Instant,
     pub(super) deadline: Instant,
@@ -48,7 +48,7 @@
 /// What goes into one batch.
 pub(super) struct Load {
     pub(super) owed: Vec<Owed>,
-    pub(super) intents: Vec<(Attempt, Waiting)>,
+    pub(super) intents: Vec<(AttemptId, Waiting)>,
 }
 
 /// Requests and records in order of arrival.
@@ -60,14 +60,14 @@
 }
 
 impl Writer {
-    pub(super) fn next(&mut self) -> Attempt {
+    pub(super) fn next(&mut self) -> AttemptId {
         self.serial += 1;
-        Attempt { run: self.run, serial: self.serial }
+        AttemptId { run: self.run, serial: self.serial }
     }
 }
 
 impl Waiting {
-    fn intent(&self, attempt: Attempt) -> Entry {
+    fn intent(&self, attempt: AttemptId) -> Entry {
         let request = &self.request;
         Entry::Intent(Intent {
             attempt,
@@ -80,7 +80,7 @@
 
     /// Upper estimate of its intent's size.
     fn len(&self) -> usize {
-        self.intent(Attempt { run: 0, serial: 0 }).len()
+        self.intent(AttemptId { run: 0, serial: 0 }).len()
     }
 }
 
@@ -103,7 +103,7 @@
     }
 
     pub(super) fn is_crowded(&self) -> bool {
-        self.waiting.len() >= self.policy.waiting
+        self.waiting.len() >= self.policy.max_waiting
     }
 
     /// When the oldest of all began to wait.
@@ -137,7 +137,7 @@
     }
 
     fn trim_owed(&mut self) {
-        let excess = self.owed.len().saturating_sub(self.policy.owed);
+        let excess = self.owed.len().saturating_sub(self.policy.max_pending_records);
         self.owed.drain(..excess);
     }
 
@@ -161,7 +161,7 @@
 
     /// Takes as much as fits one batch, at least one entry.
     pub(super) fn take(&mut self, writer: &mut Writer) -> Load {
-        let mut room = self.policy.batch_bytes;
+        let mut room = self.policy.max_batch_bytes;
         let mut load = Load { owed: Vec::new(), intents: Vec::new() };
         while let Some(owed) = self.owed.front() {
             let length = owed.entry.len();
--- a/src/intent/record.rs
+++ b/src/intent/record.rs
@@ -18,7 +18,7 @@
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{run:016x}-{serial}")]
-pub struct Attempt {
+pub struct AttemptId {
     /// Random number of the writer's process.
     pub run: u64,
     /// Count within that process.
@@ -33,11 +33,11 @@
     /// Name of the writer, for people.
     pub writer: String,
     /// Identity of the append.
-    pub id: Attempt,
+    pub id: AttemptId,
     /// The writer had taken account of every record below this offset.
-    pub seen: Offset,
+    pub read_until: Offset,
     /// No intent below `seen` has a later creation time.
-    pub horizon: Unix,
+    pub latest_created: Unix,
     /// What it says, in order.
     pub entries: Vec<Entry>,
 }
@@ -50,20 +50,20 @@
     /// The attempt has run nothing and never will, whether or not its intent is in the log.
     Withdrawal {
         /// The attempt.
-        attempt: Attempt,
+        attempt: AttemptId,
         /// Its key.
         key: Key,
     },
     /// How the one try of a key ended.
     Outcome {
         /// The attempt that won the key.
-        attempt: Attempt,
+        attempt: AttemptId,
         /// Its key.
         key: Key,
         /// When the caller made the key.
         created: Unix,
         /// How it ended.
-        outcome: Outcome,
+        outcome: ExecutionOutcome,
     },
 }
 
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Intent {
     /// The attempt.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// The key.
     pub key: Key,
     /// When the caller made the key.
@@ -84,31 +84,31 @@
 
 /// How a try ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ExecutionOutcome {
     /// The upstream gave a whole answer.
-    Answered(Answer),
+    Responded(RecordedResponse),
     /// The owner of this failure domain has the job in its log.
     Accepted(domain::Name),
     /// The upstream may have run it: no whole answer came.
-    Lost,
+    ResponseLost,
 }
 
 /// The answer of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type, cut to a bound.
     pub content_type: String,
     /// The body or its digest.
-    pub body: Body,
+    pub body: RecordedBody,
 }
 
 /// The body of an answer, as far as it is kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Body {
+pub enum RecordedBody {
     /// All of it.
-    Whole(Bytes),
+    Complete(Bytes),
     /// It was too long to keep.
     Digest {
         /// Its length in bytes.
@@ -118,42 +118,42 @@
     },
 }
 
-impl Answer {
+impl RecordedResponse {
     /// Keeps `body` whole when it has at most `limit` bytes, else its digest.
     ///
     /// ```
     /// use bytes::Bytes;
-    /// use oriolefork::intent::{Answer, Body};
-    /// let long = Answer::new(200, "text/plain", &Bytes::from_static(b"renewed"), 4);
-    /// assert!(matches!(long.body, Body::Digest { length: 7, .. }));
+    /// use oriolefork::intent::{RecordedResponse, RecordedBody};
+    /// let long = RecordedResponse::new(200, "text/plain", &Bytes::from_static(b"renewed"), 4);
+    /// assert!(matches!(long.body, RecordedBody::Digest { length: 7, .. }));
     /// ```
     pub fn new(status: u16, content_type: &str, body: &Bytes, limit: usize) -> Self {
         let kept = if body.len() <= limit {
-            Body::Whole(body.clone())
+            RecordedBody::Complete(body.clone())
         } else {
-            Body::Digest { length: body.len() as u64, hash: xxh3_64(body) }
+            RecordedBody::Digest { length: body.len() as u64, hash: xxh3_64(body) }
         };
         let end = content_type.floor_char_boundary(CONTENT_TYPE_BYTES);
         Self { status, content_type: content_type[..end].to_owned(), body: kept }
     }
 }
 
-impl Outcome {
+impl ExecutionOutcome {
     /// Bytes it holds beyond its fixed size.
     pub(super) fn len(&self) -> usize {
         match self {
-            Self::Answered(answer) => answer.len(),
+            Self::Responded(answer) => answer.len(),
             Self::Accepted(domain) => domain.as_str().len(),
-            Self::Lost => 0,
+            Self::ResponseLost => 0,
         }
     }
 }
 
-impl Answer {
+impl RecordedResponse {
     fn len(&self) -> usize {
         let body = match &self.body {
-            Body::Whole(bytes) => bytes.len(),
-            Body::Digest { .. } => 0,
+            RecordedBody::Complete(bytes) => bytes.len(),
+            RecordedBody::Digest { .. } => 0,
         };
         body + self.content_type.len()
     }
@@ -164,7 +164,7 @@
 
 impl Entry {
     /// The attempt it is about.
-    pub fn attempt(&self) -> Attempt {
+    pub fn attempt(&self) -> AttemptId {
         match self {
             Self::Intent(intent) => intent.attempt,
             Self::Withdrawal { attempt, .. } | Self::Outcome { attempt, .. } => *attempt,
--- a/src/intent/slots.rs
+++ b/src/intent/slots.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::key::Key;
-use super::record::{Attempt, Intent, Outcome};
+use super::record::{AttemptId, ExecutionOutcome, Intent};
 use crate::clock::Unix;
 use crate::domain;
 
@@ -21,8 +21,8 @@
     pub(super) domain: Option<domain::Name>,
     pub(super) writer: Rc<str>,
     /// The attempt that has won it.
-    pub(super) holder: Option<Attempt>,
-    pub(super) outcome: Option<Outcome>,
+    pub(super) holder: Option<AttemptId>,
+    pub(super) outcome: Option<ExecutionOutcome>,
 }
 
 /// The keys of a partition.
@@ -46,7 +46,7 @@
         self.slots.get(key)
     }
 
-    pub(super) fn holder(&self, key: &Key) -> Option<Attempt> {
+    pub(super) fn holder(&self, key: &Key) -> Option<AttemptId> {
         self.slots.get(key)?.holder
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Takes a key back from an attempt that has not run.
-    pub(super) fn free(&mut self, attempt: Attempt, key: &Key) {
+    pub(super) fn free(&mut self, attempt: AttemptId, key: &Key) {
         if let Some(slot) = self.slots.get_mut(key)
             && slot.holder == Some(attempt)
             && slot.outcome.is_none()
@@ -90,10 +90,10 @@
     /// Records the outcome of a key; a second record of it changes nothing.
     pub(super) fn conclude(
         &mut self,
-        attempt: Attempt,
+        attempt: AttemptId,
         key: &Key,
         created: Unix,
-        outcome: &Outcome,
+        outcome: &ExecutionOutcome,
         writer: &Rc<str>,
     ) {
         let slot = self.touch(key, created, writer);
@@ -108,7 +108,7 @@
     pub(super) fn forget_oldest(&mut self) -> Option<Slot> {
         let key = self.order.pop_front()?;
         let slot = self.slots.remove(&key)?;
-        let answer = slot.outcome.as_ref().map_or(0, Outcome::len);
+        let answer = slot.outcome.as_ref().map_or(0, ExecutionOutcome::len);
         self.bytes -= SLOT_BYTES + key.len() + answer;
         Some(slot)
     }
--- a/src/intent/budget.rs
+++ b/src/intent/token_bucket.rs
@@ -9,7 +9,7 @@
 
 /// A token bucket over appends.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct TokenBucket {
     per_second: u64,
     capacity: u64,
     /// Thousandths of an append.
@@ -17,7 +17,7 @@
     refilled: Instant,
 }
 
-impl Budget {
+impl TokenBucket {
     /// Starts a full budget of `burst` appends that refills at `per_second`.
     pub fn new(per_second: u32, burst: u32) -> Self {
         let capacity = u64::from(burst.max(1)) * SECOND;
@@ -33,14 +33,14 @@
     ///
     /// ```
     /// use oriolefork::clock::Instant;
-    /// use oriolefork::intent::Budget;
-    /// let mut budget = Budget::new(10, 1);
+    /// use oriolefork::intent::TokenBucket;
+    /// let mut budget = TokenBucket::new(10, 1);
     /// let start = Instant::from_millis(0);
-    /// assert!(budget.take(start));
-    /// assert!(!budget.take(start));
-    /// assert!(budget.take(budget.ready(start)));
+    /// assert!(budget.try_take(start));
+    /// assert!(!budget.try_take(start));
+    /// assert!(budget.try_take(budget.available_at(start)));
     /// ```
-    pub fn take(&mut self, now: Instant) -> bool {
+    pub fn try_take(&mut self, now: Instant) -> bool {
         self.refill(now);
         let enough = self.credit >= SECOND;
         if enough {
@@ -50,7 +50,7 @@
     }
 
     /// When the next append may be taken.
-    pub fn ready(&self, now: Instant) -> Instant {
+    pub fn available_at(&self, now: Instant) -> Instant {
         let missing = SECOND.saturating_sub(self.credit);
         let wait = missing.div_ceil(self.per_second);
         self.refilled.after(Duration::from_millis(wait)).max(now)
--- a/src/intent/wire.rs
+++ b/src/intent/wire.rs
@@ -5,7 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::key::{Key, Kind};
-use super::record::{Answer, Attempt, Batch, Body, Entry, Intent, Outcome};
+use super::record::{
+    AttemptId, Batch, Entry, ExecutionOutcome, Intent, RecordedBody, RecordedResponse,
+};
 use crate::clock::Unix;
 use crate::domain;
 
@@ -31,7 +33,7 @@
 struct WireBatch {
     partition: u16,
     writer: String,
-    id: Attempt,
+    id: AttemptId,
     seen: u64,
     horizon: Unix,
     entries: Vec<WireEntry>,
@@ -39,9 +41,9 @@
 
 #[derive(Serialize, Deserialize)]
 enum WireEntry {
-    Intent { attempt: Attempt, key: WireKey, created: Unix, fingerprint: u64, domain: String },
-    Withdrawal { attempt: Attempt, key: WireKey },
-    Outcome { attempt: Attempt, key: WireKey, created: Unix, outcome: WireOutcome },
+    Intent { attempt: AttemptId, key: WireKey, created: Unix, fingerprint: u64, domain: String },
+    Withdrawal { attempt: AttemptId, key: WireKey },
+    Outcome { attempt: AttemptId, key: WireKey, created: Unix, outcome: WireOutcome },
 }
 
 #[derive(Serialize, Deserialize)]
@@ -95,8 +97,8 @@
             partition: batch.partition,
             writer: batch.writer.clone(),
             id: batch.id,
-            seen: batch.seen,
-            horizon: batch.horizon,
+            seen: batch.read_until,
+            horizon: batch.latest_created,
             entries: batch.entries.iter().map(WireEntry::from).collect(),
         }
     }
@@ -111,8 +113,8 @@
             partition: wire.partition,
             writer: wire.writer,
             id: wire.id,
-            seen: wire.seen,
-            horizon: wire.horizon,
+            read_until: wire.seen,
+            latest_created: wire.horizon,
             entries,
         })
     }
@@ -156,7 +158,12 @@
             }
             WireEntry::Outcome { attempt, key, created, outcome } => {
                 let key = Key::try_from(key)?;
-                Ok(Self::Outcome { attempt, key, created, outcome: Outcome::from(outcome) })
+                Ok(Self::Outcome {
+                    attempt,
+                    key,
+                    created,
+                    outcome: ExecutionOutcome::from(outcome),
+                })
             }
         }
     }
@@ -166,7 +173,7 @@
     fn from(key: &Key) -> Self {
         Self {
             job: key.kind() == Kind::Job,
-            owner: key.owner().to_owned(),
+            owner: key.scope().to_owned(),
             name: key.name().to_owned(),
         }
     }
@@ -181,42 +188,46 @@
     }
 }
 
-impl From<&Outcome> for WireOutcome {
-    fn from(outcome: &Outcome) -> Self {
+impl From<&ExecutionOutcome> for WireOutcome {
+    fn from(outcome: &ExecutionOutcome) -> Self {
         match outcome {
-            Outcome::Answered(answer) => Self::from(answer),
-            Outcome::Accepted(domain) => Self::Accepted { domain: domain.clone() },
-            Outcome::Lost => Self::Lost,
+            ExecutionOutcome::Responded(answer) => Self::from(answer),
+            ExecutionOutcome::Accepted(domain) => Self::Accepted { domain: domain.clone() },
+            ExecutionOutcome::ResponseLost => Self::Lost,
         }
     }
 }
 
-impl From<&Answer> for WireOutcome {
-    fn from(answer: &Answer) -> Self {
+impl From<&RecordedResponse> for WireOutcome {
+    fn from(answer: &RecordedResponse) -> Self {
         let content_type = answer.content_type.clone();
         match &answer.body {
-            Body::Whole(body) => {
+            RecordedBody::Complete(body) => {
                 Self::Whole { status: answer.status, content_type, body: body.to_vec() }
             }
-            Body::Digest { length, hash } => {
+            RecordedBody::Digest { length, hash } => {
                 Self::Digest { status: answer.status, content_type, length: *length, hash: *hash }
             }
         }
     }
 }
 
-impl From<WireOutcome> for Outcome {
+impl From<WireOutcome> for ExecutionOutcome {
     fn from(wire: WireOutcome) -> Self {
         match wire {
             WireOutcome::Whole { status, content_type, body } => {
-                Self::Answered(Answer { status, content_type, body: Body::Whole(body.into()) })
+                Self::Responded(RecordedResponse {
+                    status,
+                    content_type,
+                    body: RecordedBody::Complete(body.into()),
+                })
             }
             WireOutcome::Digest { status, content_type, length, hash } => {
-                let body = Body::Digest { length, hash };
-                Self::Answered(Answer { status, content_type, body })
+                let body = RecordedBody::Digest { length, hash };
+                Self::Responded(RecordedResponse { status, content_type, body })
             }
             WireOutcome::Accepted { domain } => Self::Accepted(domain),
-            WireOutcome::Lost => Self::Lost,
+            WireOutcome::Lost => Self::ResponseLost,
         }
     }
 }
--- a/src/intent/withdrawn.rs
+++ b/src/intent/withdrawn.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashSet, VecDeque};
 
-use super::record::Attempt;
+use super::record::AttemptId;
 
 /// The newest attempts that were given up.
 ///
@@ -10,8 +10,8 @@
 /// it lands: the key then stays unknown, which is safe.
 #[derive(Debug)]
 pub(super) struct Withdrawn {
-    attempts: HashSet<Attempt>,
-    order: VecDeque<Attempt>,
+    attempts: HashSet<AttemptId>,
+    order: VecDeque<AttemptId>,
     limit: usize,
 }
 
@@ -20,11 +20,11 @@
         Self { attempts: HashSet::new(), order: VecDeque::new(), limit }
     }
 
-    pub(super) fn contains(&self, attempt: Attempt) -> bool {
+    pub(super) fn contains(&self, attempt: AttemptId) -> bool {
         self.attempts.contains(&attempt)
     }
 
-    pub(super) fn insert(&mut self, attempt: Attempt) {
+    pub(super) fn insert(&mut self, attempt: AttemptId) {
         if self.attempts.insert(attempt) {
             self.order.push_back(attempt);
         }
--- a/src/runner/handler.rs
+++ b/src/runner/handler.rs
@@ -15,7 +15,7 @@
 use super::transport::{Answer, Call};
 use crate::api::{self, Reason, header, reply};
 use crate::http::{Handler, Request, Response};
-use crate::intent::{self, Admission, Body, Outcome, Permit, Progress, State};
+use crate::intent::{self, Admission, ExecutionOutcome, KeyState, Permit, Progress, RecordedBody};
 use crate::job::Effect;
 use crate::settings::{self, Secret};
 
@@ -101,11 +101,11 @@
 
     /// Runs at most one of all requests that carry the same key.
     async fn run_once(&self, call: Call, key: &str) -> Result<Reply, api::Refusal> {
-        let Some(guard) = self.guard() else { return Ok(unrecorded()) };
+        let Some(deduplicator) = self.deduplicator() else { return Ok(unrecorded()) };
         let started = self.clock().now();
         let request = intent_of(&call, key)?;
-        match guard.begin(request, call.budget / RECORD_TIME_DIVISOR).await {
-            Admission::Won(permit) => {
+        match deduplicator.begin(request, call.budget / RECORD_TIME_DIVISOR).await {
+            Admission::Granted(permit) => {
                 let spent = self.clock().now().since(started);
                 let budget = call.budget.saturating_sub(spent);
                 Ok(self.run_with_permit(Call { budget, ..call }, permit).await)
@@ -161,7 +161,7 @@
 
 fn intent_of(call: &Call, key: &str) -> Result<intent::Request, api::Refusal> {
     let invalid = |message: String| api::Refusal::invalid(header::IDEMPOTENCY_KEY, message);
-    let created = intent::created_of(key).ok_or_else(|| {
+    let created = intent::creation_time(key).ok_or_else(|| {
         invalid("must be a version 7 UUID, whose time shows how old the request is".to_owned())
     })?;
     let key = intent::Key::new(intent::Kind::Request, &call.service, key);
@@ -171,16 +171,16 @@
 }
 
 /// Reply to a request whose key was used before: the recorded outcome of the first request.
-fn duplicate_reply(state: &State) -> Result<Reply, api::Refusal> {
+fn duplicate_reply(state: &KeyState) -> Result<Reply, api::Refusal> {
     let unknown = |message: &str| Err(api::Refusal::unknown(Reason::AnswerLost, message));
     match &state.progress {
-        Progress::Done(Outcome::Answered(answer)) => match &answer.body {
-            Body::Whole(body) => Ok(Reply::Complete(Answer {
+        Progress::Done(ExecutionOutcome::Responded(answer)) => match &answer.body {
+            RecordedBody::Complete(body) => Ok(Reply::Complete(Answer {
                 status: answer.status,
                 content_type: Some(answer.content_type.clone()).filter(|text| !text.is_empty()),
                 body: body.clone(),
             })),
-            Body::Digest { length, .. } => unknown(&format!(
+            RecordedBody::Digest { length, .. } => unknown(&format!(
                 "the request ran once with status {}; its answer of {length} bytes was too long to record",
                 answer.status
             )),
--- a/src/runner/proxy/active_request.rs
+++ b/src/runner/proxy/active_request.rs
@@ -7,7 +7,7 @@
 use local_sync::oneshot;
 
 use super::{Reply, Submission};
-use crate::intent::{self, Outcome, Permit};
+use crate::intent::{self, ExecutionOutcome, Permit};
 use crate::job::Effect;
 use crate::runner::attempt;
 use crate::runner::request::{self, RequestOutcome};
@@ -117,9 +117,13 @@
     fn finish(&mut self, answer: &Answer) {
         let Some(permit) = self.permit.take() else { return };
         let content_type = answer.content_type.as_deref().unwrap_or_default();
-        let kept =
-            intent::Answer::new(answer.status, content_type, &answer.body, MAX_RECORDED_BYTES);
-        permit.start().finish(Outcome::Answered(kept));
+        let kept = intent::RecordedResponse::new(
+            answer.status,
+            content_type,
+            &answer.body,
+            MAX_RECORDED_BYTES,
+        );
+        permit.start().finish(ExecutionOutcome::Responded(kept));
     }
 
     fn release_permit(&mut self) {
@@ -133,7 +137,7 @@
     fn drop(&mut self) {
         let may_have_run = self.may_have_run();
         if let Some(permit) = self.permit.take().filter(|_| may_have_run) {
-            permit.start().finish(Outcome::Lost);
+            permit.start().finish(ExecutionOutcome::ResponseLost);
         }
     }
 }
--- a/src/runner/proxy/mod.rs
+++ b/src/runner/proxy/mod.rs
@@ -18,7 +18,7 @@
 use super::{Policy, Router};
 use crate::clock::Clock;
 use crate::domain;
-use crate::intent::{Guard, Permit};
+use crate::intent::{Deduplicator, Permit};
 use crate::job::Effect;
 use crate::membership::Member;
 use crate::telemetry::names;
@@ -111,7 +111,7 @@
     /// Clock.
     pub clock: Rc<dyn Clock>,
     /// Recorder of at-most-once work; without it such work is refused.
-    pub guard: Option<Guard>,
+    pub deduplicator: Option<Deduplicator>,
     /// Accepted services and their tokens.
     pub access: Access,
 }
@@ -120,7 +120,7 @@
 #[derive(Clone)]
 pub struct Proxy {
     sender: Tx<Message>,
-    guard: Option<Guard>,
+    deduplicator: Option<Deduplicator>,
     access: Rc<Access>,
     clock: Rc<dyn Clock>,
 }
@@ -149,14 +149,14 @@
     pub fn new(options: Options) -> (Self, Driver) {
         let (sender, inbox) = unbounded::channel();
         let Options { policy, domain, position, run, warm_up, .. } = options;
-        let Options { transport, peers, clock, guard, access, .. } = options;
+        let Options { transport, peers, clock, deduplicator, access, .. } = options;
         let durations = LeaseDurations::for_run_limit(policy.run_limit);
         let usable_from = clock.now().after(warm_up.unwrap_or(durations.loan));
         let local_slots = LocalSlots::new(position, run, durations, usable_from);
         let router = Router::new(policy, domain, local_slots, run);
         let driver =
             Driver::new(router, durations, run, transport, peers, Rc::clone(&clock), inbox);
-        (Self { sender, guard, access: Rc::new(access), clock }, driver)
+        (Self { sender, deduplicator, access: Rc::new(access), clock }, driver)
     }
 
     /// Replaces the list of instances.
@@ -205,8 +205,8 @@
     }
 
     /// Recorder of at-most-once work, if there is one.
-    pub(super) fn guard(&self) -> Option<&Guard> {
-        self.guard.as_ref()
+    pub(super) fn deduplicator(&self) -> Option<&Deduplicator> {
+        self.deduplicator.as_ref()
     }
 
     /// Accepted services and their tokens.
--- a/tests/logic/intent.rs
+++ b/tests/logic/intent.rs
@@ -7,15 +7,15 @@
 mod world;
 
 use oriolefork::intent::{
-    Attempt, Batch, Entry, Input, Intent, Outcome, PARTITIONS, Policy, Refusal, Request, decode,
-    encode,
+    AttemptId, Batch, Entry, ExecutionOutcome, Input, Intent, PARTITIONS, Policy, Refusal, Request,
+    decode, encode,
 };
 use world::{End, World, is_done, is_unknown, is_won, refusal};
 
 fn pair() -> World {
     let mut world = World::new(2, Policy::default());
     for number in 0..2 {
-        world.input(number, Input::Warm);
+        world.input(number, Input::Preload);
     }
     world.calm();
     world
@@ -23,11 +23,11 @@
 
 /// Submits at an instance and lets its intent's append end as `end`.
 fn append(world: &mut World, number: usize, request: &Request, end: End) -> u64 {
-    let ticket = world.submit(number, request);
+    let request_id = world.submit(number, request);
     world.advance(5);
     assert_eq!(world.instances[number].calls(), 1);
     world.deliver(number, end);
-    ticket
+    request_id
 }
 
 #[test]
@@ -39,10 +39,10 @@
     let first = world.submit(0, &request);
     let second = world.submit(1, &request);
     world.calm();
-    let won = [first, second].map(|ticket| is_won(&world.rulings[&ticket]));
+    let won = [first, second].map(|request_id| is_won(&world.decisions[&request_id]));
     assert_eq!(won.iter().filter(|won| **won).count(), 1);
     let lost = if won[0] { second } else { first };
-    assert!(is_unknown(&world.rulings[&lost]));
+    assert!(is_unknown(&world.decisions[&lost]));
 }
 
 #[test]
@@ -51,9 +51,9 @@
     // finds its own record by reading back, and it is the first.
     let mut world = pair();
     let request = world.request("renew-7");
-    let ticket = append(&mut world, 0, &request, End::AnswerLost);
+    let request_id = append(&mut world, 0, &request, End::AnswerLost);
     world.calm();
-    assert!(is_won(&world.rulings[&ticket]));
+    assert!(is_won(&world.decisions[&request_id]));
 }
 
 #[test]
@@ -63,9 +63,9 @@
     // a retry, here through another hall, must be able to run.
     let mut world = pair();
     let request = world.request("renew-7");
-    let ticket = append(&mut world, 0, &request, End::Late);
+    let request_id = append(&mut world, 0, &request, End::Late);
     world.calm();
-    assert_eq!(refusal(&world.rulings[&ticket]), Refusal::Unsettled);
+    assert_eq!(refusal(&world.decisions[&request_id]), Refusal::Unconfirmed);
     world.land();
     assert!(is_won(&world.ask(1, &request)));
     world.begin_try(1);
@@ -78,22 +78,22 @@
     // "unknown", which is all that hall can know; once the withdrawal lands, a retry runs.
     let mut world = pair();
     let request = world.request("renew-7");
-    let ticket = append(&mut world, 0, &request, End::Late);
+    let request_id = append(&mut world, 0, &request, End::Late);
     for _ in 0..200 {
         world.advance(10);
-        if world.rulings.contains_key(&ticket) {
+        if world.decisions.contains_key(&request_id) {
             break;
         }
         world.deliver(0, End::Whole);
     }
-    assert_eq!(refusal(&world.rulings[&ticket]), Refusal::Unsettled);
+    assert_eq!(refusal(&world.decisions[&request_id]), Refusal::Unconfirmed);
     world.land();
     let between = world.submit(1, &request);
     for _ in 0..20 {
         world.deliver(1, End::Whole);
         world.advance(1);
     }
-    assert!(is_unknown(&world.rulings[&between]));
+    assert!(is_unknown(&world.decisions[&between]));
     world.calm();
     assert!(is_won(&world.ask(1, &request)));
 }
@@ -105,8 +105,8 @@
     // "unknown" and nothing ever runs.
     let mut world = pair();
     let request = world.request("renew-7");
-    let ticket = append(&mut world, 0, &request, End::Late);
-    while !world.rulings.contains_key(&ticket) {
+    let request_id = append(&mut world, 0, &request, End::Late);
+    while !world.decisions.contains_key(&request_id) {
         world.advance(50);
         world.deliver(0, End::Vanished);
     }
@@ -166,10 +166,10 @@
     for _ in 0..5 {
         last = append_or_refuse(&mut world, &request);
     }
-    assert_eq!(refusal(&world.rulings[&last]), Refusal::NoLog);
+    assert_eq!(refusal(&world.decisions[&last]), Refusal::LogUnavailable);
     let before = world.now;
     let at_once = world.submit(0, &request);
-    assert_eq!(refusal(&world.rulings[&at_once]), Refusal::NoLog);
+    assert_eq!(refusal(&world.decisions[&at_once]), Refusal::LogUnavailable);
     assert_eq!(world.now, before);
     world.calm();
     world.advance(2000);
@@ -178,12 +178,12 @@
 }
 
 fn append_or_refuse(world: &mut World, request: &Request) -> u64 {
-    let ticket = world.submit(0, request);
-    while !world.rulings.contains_key(&ticket) {
+    let request_id = world.submit(0, request);
+    while !world.decisions.contains_key(&request_id) {
         world.advance(20);
         world.deliver(0, End::Refused);
     }
-    ticket
+    request_id
 }
 
 #[test]
@@ -192,9 +192,9 @@
     // written though it is not. The record itself decides, not the answer: nothing runs.
     let mut world = pair();
     let request = world.request("renew-7");
-    let ticket = append(&mut world, 0, &request, End::Crossed);
+    let request_id = append(&mut world, 0, &request, End::Crossed);
     world.calm();
-    assert_eq!(refusal(&world.rulings[&ticket]), Refusal::Unsettled);
+    assert_eq!(refusal(&world.decisions[&request_id]), Refusal::Unconfirmed);
     assert!(is_won(&world.ask(1, &request)));
 }
 
@@ -218,7 +218,7 @@
     let request = world.request("sync-1");
     world.ask(0, &request);
     let other = Request { fingerprint: request.fingerprint + 1, ..request };
-    assert_eq!(refusal(&world.ask(1, &other)), Refusal::Reused);
+    assert_eq!(refusal(&world.ask(1, &other)), Refusal::KeyReused);
 }
 
 #[test]
@@ -241,15 +241,15 @@
 
 #[test]
 fn submit_append_hangs() {
-    // The log takes the append and answers only after the caller's patience is over. The caller was
+    // The log takes the append and answers only after the caller's timeout is over. The caller was
     // told "not run" by then; the intent that is found afterwards is not run from, and it does not
     // block the retry.
     let mut world = pair();
     let request = world.request("renew-7");
-    let ticket = world.submit(0, &request);
+    let request_id = world.submit(0, &request);
     world.advance(5);
-    world.advance(world::PATIENCE.as_millis() as u64);
-    assert_eq!(refusal(&world.rulings[&ticket]), Refusal::Unsettled);
+    world.advance(world::TIMEOUT.as_millis() as u64);
+    assert_eq!(refusal(&world.decisions[&request_id]), Refusal::Unconfirmed);
     world.calm();
     assert!(is_won(&world.ask(1, &request)));
 }
@@ -257,7 +257,7 @@
 #[test]
 fn submit_batch_bounded() {
     // A burst of requests, or of withdrawals, does not grow one record of the log beyond its bound.
-    let policy = Policy { batch_bytes: 1000, ..Policy::default() };
+    let policy = Policy { max_batch_bytes: 1000, ..Policy::default() };
     let mut world = World::new(1, policy);
     for number in 0..100 {
         let request = world.request(&format!("renew-{number}"));
@@ -278,7 +278,7 @@
     let requests: Vec<_> = (0..200).map(|n| world.request(&format!("renew-{n}"))).collect();
     let tickets: Vec<_> = requests.iter().map(|request| world.submit(0, request)).collect();
     world.calm();
-    assert!(tickets.iter().all(|ticket| is_won(&world.rulings[ticket])));
+    assert!(tickets.iter().all(|request_id| is_won(&world.decisions[request_id])));
     let appends = world.machine(0).stats().appends - before.appends;
     assert!(appends <= 2 * u64::from(PARTITIONS), "{appends} appends for 200 intents");
 }
@@ -288,7 +288,7 @@
     // A record cut anywhere, or with bytes added, is an error, never a shorter batch.
     let world = World::new(1, Policy::default());
     let request = world.request("renew-7");
-    let attempt = Attempt { run: 7, serial: 1 };
+    let attempt = AttemptId { run: 7, serial: 1 };
     let intent = Intent {
         attempt,
         key: request.key.clone(),
@@ -300,14 +300,14 @@
         attempt,
         key: request.key,
         created: request.created,
-        outcome: Outcome::Lost,
+        outcome: ExecutionOutcome::ResponseLost,
     };
     let batch = Batch {
         partition: 1,
         writer: "erie-1".to_owned(),
         id: attempt,
-        seen: 3,
-        horizon: request.created,
+        read_until: 3,
+        latest_created: request.created,
         entries: vec![Entry::Intent(intent), outcome],
     };
     let payload = encode(&batch);
--- a/tests/logic/intent/history.rs
+++ b/tests/logic/intent/history.rs
@@ -20,7 +20,7 @@
     Land,
     Advance(u64),
     Crash(usize),
-    Try(usize),
+    Execution(usize),
     Finish(usize),
     Withdraw(usize),
     Cut(usize),
@@ -46,7 +46,7 @@
         1 => Just(Step::Land),
         4 => prop_oneof![1_u64..30, 200_u64..3000].prop_map(Step::Advance),
         1 => instance.clone().prop_map(Step::Crash),
-        3 => instance.clone().prop_map(Step::Try),
+        3 => instance.clone().prop_map(Step::Execution),
         2 => instance.clone().prop_map(Step::Finish),
         1 => instance.prop_map(Step::Withdraw),
         1 => (0_usize..6).prop_map(Step::Cut),
@@ -57,11 +57,11 @@
 fn policy() -> Policy {
     Policy {
         appends_per_second: 200,
-        settle: Duration::from_millis(300),
-        partition_bytes: 1500,
-        cold_records: 5,
-        withdrawn: 2,
-        waiting: 4,
+        confirm_timeout: Duration::from_millis(300),
+        max_partition_bytes: 1500,
+        max_initial_records: 5,
+        max_withdrawn: 2,
+        max_waiting: 4,
         ..Policy::default()
     }
 }
@@ -110,12 +110,12 @@
         take(&mut world, &names, &mut requests, step);
     }
     for instance in 0..INSTANCES {
-        world.input(instance, Input::Warm);
+        world.input(instance, Input::Preload);
     }
     world.calm();
     world.advance(10_000);
     let fresh = world.request("fresh");
-    assert!(is_won(&world.ask(0, &fresh)), "a fresh key can be won: {:?}", world.rulings);
+    assert!(is_won(&world.ask(0, &fresh)), "a fresh key can be won: {:?}", world.decisions);
 }
 
 fn take(world: &mut World, names: &[String], requests: &mut [Option<Request>], step: &Step) {
@@ -129,7 +129,7 @@
         Step::Land => world.land(),
         Step::Advance(millis) => world.advance(*millis),
         Step::Crash(instance) => world.restart(*instance),
-        Step::Try(instance) => world.begin_try(*instance),
+        Step::Execution(instance) => world.begin_try(*instance),
         Step::Finish(instance) => world.finish_try(*instance),
         Step::Withdraw(instance) => world.withdraw(*instance),
         Step::Cut(kept) => world.cut(*kept),
--- a/tests/logic/intent/jobs.rs
+++ b/tests/logic/intent/jobs.rs
@@ -1,6 +1,6 @@
 //! The failure domain of a job is fixed once.
 
-use oriolefork::intent::{Attempt, Entry, Refusal, Ruling, decode};
+use oriolefork::intent::{AdmissionDecision, AttemptId, Entry, Refusal, decode};
 
 use super::world::{End, World, refusal};
 use super::{append, pair};
@@ -24,9 +24,9 @@
     // hall may already have handed the job over by it.
     let mut world = pair();
     let job = world.job("backup", "kurow-hall");
-    let ticket = append(&mut world, 0, &job, End::Late);
+    let request_id = append(&mut world, 0, &job, End::Late);
     world.calm();
-    assert_eq!(refusal(&world.rulings[&ticket]), Refusal::Unsettled);
+    assert_eq!(refusal(&world.decisions[&request_id]), Refusal::Unconfirmed);
     world.land();
     let retry = world.submit(1, &world.job("backup", "oamaru-hall"));
     world.calm();
@@ -36,16 +36,16 @@
     assert_eq!(domain_of(&world, again), "kurow-hall");
 }
 
-/// The domain that the log fixes for the job of `ticket`.
-fn domain_of(world: &World, ticket: u64) -> String {
-    match &world.rulings[&ticket] {
-        Ruling::Won(attempt) => intent_domain(world, *attempt),
-        Ruling::Duplicate(state) => state.domain.as_ref().expect("a job").to_string(),
-        Ruling::NotRun(refusal) => panic!("{refusal}"),
+/// The domain that the log fixes for the job of `request_id`.
+fn domain_of(world: &World, request_id: u64) -> String {
+    match &world.decisions[&request_id] {
+        AdmissionDecision::Granted(attempt) => intent_domain(world, *attempt),
+        AdmissionDecision::Duplicate(state) => state.domain.as_ref().expect("a job").to_string(),
+        AdmissionDecision::NotRun(refusal) => panic!("{refusal}"),
     }
 }
 
-fn intent_domain(world: &World, attempt: Attempt) -> String {
+fn intent_domain(world: &World, attempt: AttemptId) -> String {
     let records = world.streams.iter().flat_map(|stream| &stream.records);
     let entries = records.flat_map(|record| decode(record).expect("a batch").entries);
     let mut domains = entries.filter_map(|entry| match entry {
--- a/tests/logic/intent/partition.rs
+++ b/tests/logic/intent/partition.rs
@@ -6,7 +6,8 @@
 use bytes::Bytes;
 use oriolefork::clock::Unix;
 use oriolefork::intent::{
-    Attempt, Batch, Entry, Intent, Key, Kind, Outcome, Partition, Policy, Verdict, encode,
+    AttemptId, Batch, Entry, ExecutionOutcome, Intent, IntentStatus, Key, Kind, Partition, Policy,
+    encode,
 };
 use oriolefork::store::{Offset, Page, Record};
 use test_case::test_case;
@@ -20,7 +21,7 @@
 
 fn intent(serial: u64, name: &str, created: Unix) -> Entry {
     Entry::Intent(Intent {
-        attempt: Attempt { run: 1, serial },
+        attempt: AttemptId { run: 1, serial },
         key: Key::new(Kind::Request, "portal", name).expect("valid"),
         created,
         fingerprint: 0,
@@ -28,9 +29,16 @@
     })
 }
 
-fn batch(serial: u64, seen: Offset, horizon: Unix, entries: Vec<Entry>) -> Bytes {
-    let id = Attempt { run: 9, serial };
-    encode(&Batch { partition: 0, writer: "erie-1".to_owned(), id, seen, horizon, entries })
+fn batch(serial: u64, read_until: Offset, latest_created: Unix, entries: Vec<Entry>) -> Bytes {
+    let id = AttemptId { run: 9, serial };
+    encode(&Batch {
+        partition: 0,
+        writer: "erie-1".to_owned(),
+        id,
+        read_until,
+        latest_created,
+        entries,
+    })
 }
 
 fn page(oldest: Offset, first: Offset, payloads: Vec<Bytes>) -> Page {
@@ -51,7 +59,7 @@
     let mut partition = partition(Duration::ZERO);
     let kept = vec![batch(1, seen, ago(3), vec![])];
     partition.apply(&page(10, 10, kept), NOW).expect("a page");
-    assert_eq!(partition.floor(), expected.unwrap_or(NOW.after(Duration::from_secs(2))));
+    assert_eq!(partition.incomplete_until(), expected.unwrap_or(NOW.after(Duration::from_secs(2))));
 }
 
 #[test]
@@ -60,7 +68,7 @@
     let mut partition = partition(Duration::ZERO);
     let kept = vec![batch(1, 10, ago(5), vec![]), batch(2, 11, ago(1), vec![])];
     partition.apply(&page(10, 10, kept), NOW).expect("a page");
-    assert_eq!(partition.floor(), ago(5));
+    assert_eq!(partition.incomplete_until(), ago(5));
 }
 
 #[test]
@@ -70,7 +78,7 @@
     let mut partition = partition(24 * HOUR);
     partition.skip_to(10);
     partition.apply(&page(0, 10, vec![batch(1, 3, ago(3), vec![])]), NOW).expect("a page");
-    assert!(partition.floor() > NOW);
+    assert!(partition.incomplete_until() > NOW);
 }
 
 #[test]
@@ -86,7 +94,7 @@
     // A writer that missed records itself must not vouch for less than it missed.
     let mut partition = partition(Duration::ZERO);
     partition.apply(&page(10, 10, vec![batch(1, 10, ago(3), vec![])]), NOW).expect("a page");
-    assert_eq!(partition.horizon(), ago(3));
+    assert_eq!(partition.latest_created(), ago(3));
 }
 
 #[test]
@@ -95,9 +103,9 @@
     let mut partition = partition(Duration::ZERO);
     let payloads = vec![batch(1, 0, ago(1), vec![intent(1, "renew-7", ago(1))])];
     assert!(partition.apply(&page(0, 1, payloads.clone()), NOW).is_err());
-    assert_eq!(partition.next(), 0);
+    assert_eq!(partition.next_offset(), 0);
     let applied = partition.apply(&page(0, 0, payloads), NOW).expect("a page");
-    assert_eq!(applied.judgements[0].verdict, Verdict::Won);
+    assert_eq!(applied.intents[0].status, IntentStatus::Won);
 }
 
 #[test]
@@ -110,8 +118,8 @@
     let entries = vec![first.clone(), second, withdrawal, intent(3, "renew-7", ago(1))];
     let applied =
         partition.apply(&page(0, 0, vec![batch(1, 0, ago(1), entries)]), NOW).expect("a page");
-    let verdicts: Vec<_> = applied.judgements.iter().map(|judged| judged.verdict).collect();
-    assert_eq!(verdicts, [Verdict::Won, Verdict::Lost, Verdict::Lost]);
+    let statuses: Vec<_> = applied.intents.iter().map(|judged| judged.status).collect();
+    assert_eq!(statuses, [IntentStatus::Won, IntentStatus::Lost, IntentStatus::Lost]);
     assert_eq!(partition.state(first.key()).map(|state| state.attempt), Some(first.attempt()));
 }
 
@@ -121,11 +129,15 @@
     let mut partition = partition(Duration::ZERO);
     let first = intent(1, "renew-7", ago(1));
     let (attempt, key) = (first.attempt(), first.key().clone());
-    let outcome =
-        Entry::Outcome { attempt, key: key.clone(), created: ago(1), outcome: Outcome::Lost };
+    let outcome = Entry::Outcome {
+        attempt,
+        key: key.clone(),
+        created: ago(1),
+        outcome: ExecutionOutcome::ResponseLost,
+    };
     let withdrawal = Entry::Withdrawal { attempt, key };
     let entries = vec![first, outcome, withdrawal, intent(2, "renew-7", ago(1))];
     let applied =
         partition.apply(&page(0, 0, vec![batch(1, 0, ago(1), entries)]), NOW).expect("a page");
-    assert_eq!(applied.judgements[1].verdict, Verdict::Lost);
+    assert_eq!(applied.intents[1].status, IntentStatus::Lost);
 }
--- a/tests/logic/intent/retention.rs
+++ b/tests/logic/intent/retention.rs
@@ -43,10 +43,10 @@
     let request = world.request("renew-7");
     world.ask(1, &request);
     world.begin_try(1);
-    let ticket = append(&mut world, 0, &request, End::Whole);
+    let request_id = append(&mut world, 0, &request, End::Whole);
     world.cut(1);
     world.calm();
-    assert_eq!(refusal(&world.rulings[&ticket]), Refusal::Expired);
+    assert_eq!(refusal(&world.decisions[&request_id]), Refusal::Expired);
 }
 
 #[test]
@@ -91,9 +91,9 @@
         world.restart(0);
         let waiting = world.request("renew-8");
         // Both keys share the first one's partition only by chance, so look at all of them.
-        let rulings: Vec<_> = (0..16).map(|n| world.request(&format!("n-{n}"))).collect();
-        let won = rulings.iter().filter(|request| is_won(&world.ask(0, request))).count();
-        assert_eq!(won == rulings.len(), safe);
+        let decisions: Vec<_> = (0..16).map(|n| world.request(&format!("n-{n}"))).collect();
+        let won = decisions.iter().filter(|request| is_won(&world.ask(0, request))).count();
+        assert_eq!(won == decisions.len(), safe);
         world.advance(5000);
         let fresh = Request { created: world.unix(), ..waiting };
         assert!(is_won(&world.ask(0, &fresh)));
@@ -103,7 +103,7 @@
 }
 
 #[test_case(-25 * 3600, Refusal::Expired ; "older_than_window")]
-#[test_case(60, Refusal::Ahead ; "from_the_future")]
+#[test_case(60, Refusal::CreatedInFuture ; "from_the_future")]
 fn submit_creation_time(seconds: i64, expected: Refusal) {
     let mut world = pair();
     let created = world.unix().as_millis().saturating_add_signed(seconds * 1000);
@@ -133,7 +133,7 @@
 fn submit_memory_short() {
     // More keys than memory holds. The oldest are forgotten, and a retry of such a key is refused
     // instead of run again.
-    let policy = Policy { partition_bytes: 4000, ..Policy::default() };
+    let policy = Policy { max_partition_bytes: 4000, ..Policy::default() };
     let mut world = World::new(1, policy);
     let request = world.request("renew-7");
     world.ask(0, &request);
--- a/tests/logic/intent/world.rs
+++ b/tests/logic/intent/world.rs
@@ -8,12 +8,13 @@
 use oriolefork::clock::{Instant, Unix};
 use oriolefork::domain;
 use oriolefork::intent::{
-    Answer, Attempt, Call, Effect, Entry, Input, Key, Kind, Machine, Now, Outcome, PARTITIONS,
-    Policy, Progress, Refusal, Request, Ruling, Ticket, fingerprint,
+    AdmissionDecision, AttemptId, CallResult, Effect, Entry, ExecutionOutcome, Input, Key, Kind,
+    Machine, Now, PARTITIONS, Policy, Progress, RecordedResponse, Refusal, Request, RequestId,
+    fingerprint,
 };
 use oriolefork::store::{self, Offset, Page, Record};
 
-pub const PATIENCE: Duration = Duration::from_secs(5);
+pub const TIMEOUT: Duration = Duration::from_secs(5);
 const START: u64 = 1_800_000_000_000;
 const PAGE: usize = 3;
 
@@ -57,9 +58,9 @@
     /// How far its wall clock is ahead of the true time.
     pub ahead: Duration,
     calls: VecDeque<Effect>,
-    asked: BTreeMap<Ticket, Asked>,
-    permits: VecDeque<(Ticket, Attempt)>,
-    tries: VecDeque<(Ticket, Attempt, Outcome)>,
+    asked: BTreeMap<RequestId, Asked>,
+    permits: VecDeque<(RequestId, AttemptId)>,
+    tries: VecDeque<(RequestId, AttemptId, ExecutionOutcome)>,
 }
 
 pub struct World {
@@ -69,9 +70,9 @@
     pub instances: Vec<Instance>,
     pub now: Instant,
     /// The outcomes of the tries of each key as they truly happened.
-    pub tried: BTreeMap<Key, Vec<Outcome>>,
-    pub rulings: BTreeMap<Ticket, Ruling>,
-    tickets: Ticket,
+    pub tried: BTreeMap<Key, Vec<ExecutionOutcome>>,
+    pub decisions: BTreeMap<RequestId, AdmissionDecision>,
+    last_request_id: RequestId,
     runs: u64,
 }
 
@@ -84,8 +85,8 @@
             instances: Vec::new(),
             now: Instant::from_millis(1),
             tried: BTreeMap::new(),
-            rulings: BTreeMap::new(),
-            tickets: 0,
+            decisions: BTreeMap::new(),
+            last_request_id: 0,
             runs: 0,
         };
         for number in 0..instances {
@@ -111,13 +112,16 @@
         instance.asked.clear();
     }
 
-    pub fn submit(&mut self, number: usize, request: &Request) -> Ticket {
-        self.tickets += 1;
-        let ticket = self.tickets;
+    pub fn submit(&mut self, number: usize, request: &Request) -> RequestId {
+        self.last_request_id += 1;
+        let request_id = self.last_request_id;
         let asked = Asked { key: request.key.clone(), created: request.created, tried: false };
-        self.instances[number].asked.insert(ticket, asked);
-        self.input(number, Input::Submit { ticket, request: request.clone(), patience: PATIENCE });
-        ticket
+        self.instances[number].asked.insert(request_id, asked);
+        self.input(
+            number,
+            Input::Submit { request_id, request: request.clone(), timeout: TIMEOUT },
+        );
+        request_id
     }
 
     pub fn input(&mut self, number: usize, input: Input) {
@@ -127,20 +131,22 @@
         let Some(machine) = instance.machine.as_mut() else { return };
         for effect in machine.handle(input, now) {
             match effect {
-                Effect::Reply { ticket, ruling } => self.reply(number, ticket, ruling),
+                Effect::Reply { request_id, decision } => self.reply(number, request_id, decision),
                 call => self.instances[number].calls.push_back(call),
             }
         }
     }
 
     /// Checks each answer against what truly happened.
-    fn reply(&mut self, number: usize, ticket: Ticket, ruling: Ruling) {
+    fn reply(&mut self, number: usize, request_id: RequestId, decision: AdmissionDecision) {
         let instance = &mut self.instances[number];
-        let asked = instance.asked[&ticket].clone();
+        let asked = instance.asked[&request_id].clone();
         let tries = self.tried.get(&asked.key).map_or(&[][..], Vec::as_slice);
-        match &ruling {
-            Ruling::Won(attempt) => instance.permits.push_back((ticket, *attempt)),
-            Ruling::Duplicate(state) => {
+        match &decision {
+            AdmissionDecision::Granted(attempt) => {
+                instance.permits.push_back((request_id, *attempt))
+            }
+            AdmissionDecision::Duplicate(state) => {
                 if let Progress::Done(told) = &state.progress {
                     assert_eq!(
                         tries,
@@ -149,39 +155,44 @@
                     );
                 }
             }
-            Ruling::NotRun(_) => assert!(!asked.tried, "a request told not run was tried"),
+            AdmissionDecision::NotRun(_) => {
+                assert!(!asked.tried, "a request told not run was tried")
+            }
         }
-        let repeated = self.rulings.insert(ticket, ruling);
-        assert!(repeated.is_none(), "ticket {ticket} was answered twice");
+        let repeated = self.decisions.insert(request_id, decision);
+        assert!(repeated.is_none(), "request_id {request_id} was answered twice");
     }
 
     /// Begins the try of the oldest permit of an instance.
     pub fn begin_try(&mut self, number: usize) {
-        let Some((ticket, attempt)) = self.instances[number].permits.pop_front() else { return };
-        let asked = self.instances[number].asked.get_mut(&ticket).expect("asked here");
+        let Some((request_id, attempt)) = self.instances[number].permits.pop_front() else {
+            return;
+        };
+        let asked = self.instances[number].asked.get_mut(&request_id).expect("asked here");
         asked.tried = true;
         let body = Bytes::from(attempt.to_string());
-        let outcome = Outcome::Answered(Answer::new(200, "text/plain", &body, 8));
+        let outcome =
+            ExecutionOutcome::Responded(RecordedResponse::new(200, "text/plain", &body, 8));
         let tried = self.tried.entry(asked.key.clone()).or_default();
         tried.push(outcome.clone());
         assert_eq!(tried.len(), 1, "{} was tried twice", asked.key);
-        self.instances[number].tries.push_back((ticket, attempt, outcome));
+        self.instances[number].tries.push_back((request_id, attempt, outcome));
     }
 
     /// Records the outcome of the oldest try of an instance.
     pub fn finish_try(&mut self, number: usize) {
         let instance = &mut self.instances[number];
-        let Some((ticket, attempt, outcome)) = instance.tries.pop_front() else { return };
-        let Asked { key, created, .. } = instance.asked[&ticket].clone();
-        self.input(number, Input::Owe(Entry::Outcome { attempt, key, created, outcome }));
+        let Some((request_id, attempt, outcome)) = instance.tries.pop_front() else { return };
+        let Asked { key, created, .. } = instance.asked[&request_id].clone();
+        self.input(number, Input::Record(Entry::Outcome { attempt, key, created, outcome }));
     }
 
     /// Gives the oldest permit of an instance back unused.
     pub fn withdraw(&mut self, number: usize) {
         let instance = &mut self.instances[number];
-        let Some((ticket, attempt)) = instance.permits.pop_front() else { return };
-        let key = instance.asked[&ticket].key.clone();
-        self.input(number, Input::Owe(Entry::Withdrawal { attempt, key }));
+        let Some((request_id, attempt)) = instance.permits.pop_front() else { return };
+        let key = instance.asked[&request_id].key.clone();
+        self.input(number, Input::Record(Entry::Withdrawal { attempt, key }));
     }
 
     /// Ends the oldest call of an instance to the log.
@@ -189,14 +200,14 @@
         let Some(effect) = self.instances[number].calls.pop_front() else { return };
         let (partition, call) = match effect {
             Effect::Append { partition, payload } => {
-                (partition, Call::Append(self.append(partition, payload, end)))
+                (partition, CallResult::Append(self.append(partition, payload, end)))
             }
             Effect::Read { partition, from } => {
-                (partition, Call::Read(self.read(partition, from, end)))
+                (partition, CallResult::Read(self.read(partition, from, end)))
             }
             Effect::Reply { .. } => unreachable!("replies are taken at once"),
         };
-        self.input(number, Input::Ended { partition, call });
+        self.input(number, Input::CallEnded { partition, call });
     }
 
     fn append(
@@ -276,7 +287,7 @@
             }
             self.advance(10);
             let now = self.now;
-            let rests = |machine: &Machine| machine.is_quiet() && machine.wake(now).is_none();
+            let rests = |machine: &Machine| machine.is_idle() && machine.next_wakeup(now).is_none();
             let quiet = |instance: &Instance| {
                 instance.calls.is_empty() && instance.machine.as_ref().is_none_or(rests)
             };
@@ -288,10 +299,10 @@
     }
 
     /// Submits and waits with a healthy log for the answer.
-    pub fn ask(&mut self, number: usize, request: &Request) -> Ruling {
-        let ticket = self.submit(number, request);
+    pub fn ask(&mut self, number: usize, request: &Request) -> AdmissionDecision {
+        let request_id = self.submit(number, request);
         self.calm();
-        self.rulings[&ticket].clone()
+        self.decisions[&request_id].clone()
     }
 
     pub fn machine(&self, number: usize) -> &Machine {
@@ -336,22 +347,22 @@
     }
 }
 
-/// The refusal in a ruling; panics on any other.
-pub fn refusal(ruling: &Ruling) -> Refusal {
-    match ruling {
-        Ruling::NotRun(refusal) => *refusal,
+/// The refusal in a decision; panics on any other.
+pub fn refusal(decision: &AdmissionDecision) -> Refusal {
+    match decision {
+        AdmissionDecision::NotRun(refusal) => *refusal,
         other => panic!("{other:?} is no refusal"),
     }
 }
 
-pub fn is_unknown(ruling: &Ruling) -> bool {
-    matches!(ruling, Ruling::Duplicate(state) if state.progress == Progress::Unknown)
+pub fn is_unknown(decision: &AdmissionDecision) -> bool {
+    matches!(decision, AdmissionDecision::Duplicate(state) if state.progress == Progress::Unknown)
 }
 
-pub fn is_done(ruling: &Ruling) -> bool {
-    matches!(ruling, Ruling::Duplicate(state) if state.is_done())
+pub fn is_done(decision: &AdmissionDecision) -> bool {
+    matches!(decision, AdmissionDecision::Duplicate(state) if state.is_done())
 }
 
-pub fn is_won(ruling: &Ruling) -> bool {
-    matches!(ruling, Ruling::Won(_))
+pub fn is_won(decision: &AdmissionDecision) -> bool {
+    matches!(decision, AdmissionDecision::Granted(_))
 }
--- a/tests/process/intent.rs
+++ b/tests/process/intent.rs
@@ -8,8 +8,8 @@
 use monoio::task::JoinHandle;
 use oriolefork::clock::{Clock, System};
 use oriolefork::intent::{
-    Admission, Answer, Guard, Key, Kind, Outcome, Placement, Policy, Progress, Refusal, Request,
-    fingerprint,
+    Admission, Deduplicator, DomainBinding, ExecutionOutcome, Key, Kind, Policy, Progress,
+    RecordedResponse, Refusal, Request, fingerprint,
 };
 use oriolefork::standin::log;
 use oriolefork::standin::proxy::{self, Mode};
@@ -19,10 +19,10 @@
 
 use crate::harness::{Entry, LIMIT, Plan, Standin, block_on, eventually, get_json, post_json};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-const SETTLE: Duration = Duration::from_secs(2);
-const PAUSE: Duration = Duration::from_millis(20);
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(2);
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 const KEYS: usize = 40;
 
 /// A log, and a proxy with one route to it for each instance.
@@ -34,7 +34,7 @@
 /// The intents of one instance.
 struct Instance {
     name: String,
-    guard: Guard,
+    deduplicator: Deduplicator,
     task: JoinHandle<()>,
     clock: System,
 }
@@ -70,11 +70,12 @@
         let store = store::http::Client::new(self.route(name), http, CALL_TIMEOUT);
         let clock = System::start();
         let call_timeout = CALL_TIMEOUT * 2;
-        let policy = Policy { call_timeout, settle: SETTLE, ..Policy::default() };
-        let (guard, driver) = Guard::new(name, run, policy, Rc::new(store), Rc::new(clock.clone()));
-        guard.warm();
+        let policy = Policy { call_timeout, confirm_timeout: CONFIRM_TIMEOUT, ..Policy::default() };
+        let (deduplicator, driver) =
+            Deduplicator::new(name, run, policy, Rc::new(store), Rc::new(clock.clone()));
+        deduplicator.preload();
         let task = monoio::spawn(driver.run(Duration::ZERO));
-        Instance { name: name.to_owned(), guard, task, clock }
+        Instance { name: name.to_owned(), deduplicator, task, clock }
     }
 }
 
@@ -89,7 +90,7 @@
     }
 
     async fn begin(&self, request: &Request) -> Admission {
-        self.guard.begin(request.clone(), PATIENCE).await
+        self.deduplicator.begin(request.clone(), TIMEOUT).await
     }
 
     /// Asks again until the answer satisfies `wanted`.
@@ -101,20 +102,20 @@
                 return admission;
             }
             assert!(start.elapsed() < LIMIT, "the answer never came");
-            monoio::time::sleep(PAUSE).await;
+            monoio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
     /// Ends the instance as a kill would: nothing it still owed is written.
     async fn kill(self) {
-        let Self { guard, task, .. } = self;
-        drop(guard);
+        let Self { deduplicator, task, .. } = self;
+        drop(deduplicator);
         task.await;
     }
 }
 
 fn is_won(admission: &Admission) -> bool {
-    matches!(admission, Admission::Won(_))
+    matches!(admission, Admission::Granted(_))
 }
 
 fn is_unknown(admission: &Admission) -> bool {
@@ -132,8 +133,13 @@
     }
 }
 
-fn answered() -> Outcome {
-    Outcome::Answered(Answer::new(200, "text/plain", &Bytes::from_static(b"renewed"), 4096))
+fn answered() -> ExecutionOutcome {
+    ExecutionOutcome::Responded(RecordedResponse::new(
+        200,
+        "text/plain",
+        &Bytes::from_static(b"renewed"),
+        4096,
+    ))
 }
 
 // Two halls get each renewal at the same moment, because the client gave up on the first. Each
@@ -164,7 +170,7 @@
         let (erie, huron) = (platform.instance("erie", 1), platform.instance("huron", 2));
         platform.control(log::Control { drop_answers: Some(1), ..log::Control::default() });
         let request = erie.request("renew-7");
-        let Admission::Won(permit) = erie.begin(&request).await else { panic!("not won") };
+        let Admission::Granted(permit) = erie.begin(&request).await else { panic!("not won") };
         permit.start().finish(answered());
         let told = huron.until(&request, |told| !is_unknown(told)).await;
         assert!(is_done(&told));
@@ -185,7 +191,7 @@
         assert!(refusal(&erie.begin(&request).await).is_some());
         platform.switch(&erie, Mode::Pass);
         let won = huron.until(&request, is_won).await;
-        let Admission::Won(permit) = won else { unreachable!() };
+        let Admission::Granted(permit) = won else { unreachable!() };
         permit.start().finish(answered());
         let told = erie.until(&request, |told| !is_unknown(told) && refusal(told).is_none()).await;
         assert!(is_done(&told));
@@ -202,7 +208,7 @@
         platform.control(log::Control { outage: Some(true), ..log::Control::default() });
         let request = erie.request("renew-7");
         for _ in 0..5 {
-            assert_eq!(refusal(&erie.begin(&request).await), Some(Refusal::NoLog));
+            assert_eq!(refusal(&erie.begin(&request).await), Some(Refusal::LogUnavailable));
         }
         platform.control(log::Control { outage: Some(false), ..log::Control::default() });
         assert_eq!(platform.appends(), 0);
@@ -218,7 +224,7 @@
         let platform = Platform::start();
         let (erie, huron) = (platform.instance("erie", 1), platform.instance("huron", 2));
         let request = erie.request("renew-7");
-        let Admission::Won(permit) = erie.begin(&request).await else { panic!("not won") };
+        let Admission::Granted(permit) = erie.begin(&request).await else { panic!("not won") };
         std::mem::forget(permit.start());
         drop(erie);
         assert!(is_unknown(&huron.begin(&request).await));
@@ -234,7 +240,7 @@
         let platform = Platform::start();
         let (erie, huron) = (platform.instance("erie", 1), platform.instance("huron", 2));
         let request = erie.request("renew-7");
-        let Admission::Won(permit) = huron.begin(&request).await else { panic!("not won") };
+        let Admission::Granted(permit) = huron.begin(&request).await else { panic!("not won") };
         platform.switch(&erie, Mode::Truncate(120));
         assert!(!is_won(&erie.begin(&request).await));
         permit.start().finish(answered());
@@ -252,7 +258,7 @@
         let platform = Platform::start();
         let erie = platform.instance("erie", 1);
         let request = erie.request("renew-7");
-        let Admission::Won(permit) = erie.begin(&request).await else { panic!("not won") };
+        let Admission::Granted(permit) = erie.begin(&request).await else { panic!("not won") };
         permit.start().finish(answered());
         erie.kill().await;
         platform.control(log::Control { retention: Some(1), ..log::Control::default() });
@@ -281,17 +287,17 @@
         };
         let (first, second) = (job(&erie, "erie-hall"), job(&huron, "huron-hall"));
         let (here, there) = futures_util::join!(
-            erie.guard.place_job(first.clone(), PATIENCE),
-            huron.guard.place_job(second.clone(), PATIENCE)
+            erie.deduplicator.bind_job(first.clone(), TIMEOUT),
+            huron.deduplicator.bind_job(second.clone(), TIMEOUT)
         );
-        let Placement::Placed { domain, attempt, .. } = here else { panic!("{here:?}") };
-        let Placement::Placed { domain: other, .. } = there else { panic!("{there:?}") };
+        let DomainBinding::Bound { domain, attempt, .. } = here else { panic!("{here:?}") };
+        let DomainBinding::Bound { domain: other, .. } = there else { panic!("{there:?}") };
         assert_eq!(domain, other);
-        erie.guard.accept_job(&first, attempt, domain.clone());
+        erie.deduplicator.record_acceptance(&first, attempt, domain.clone());
         let start = std::time::Instant::now();
         loop {
-            let again = huron.guard.place_job(second.clone(), PATIENCE).await;
-            let Placement::Placed { domain: told, duplicate, accepted, .. } = again else {
+            let again = huron.deduplicator.bind_job(second.clone(), TIMEOUT).await;
+            let DomainBinding::Bound { domain: told, duplicate, accepted, .. } = again else {
                 panic!("{again:?}")
             };
             assert!(duplicate);
--- a/tests/process/runner.rs
+++ b/tests/process/runner.rs
@@ -9,7 +9,7 @@
 
 use oriolefork::clock::System;
 use oriolefork::domain::{self, Epoch};
-use oriolefork::intent::{self, Guard};
+use oriolefork::intent::{self, Deduplicator};
 use oriolefork::membership::{self, Source, State, wire};
 use oriolefork::runner::handler::Access;
 use oriolefork::runner::proxy::{Options, Proxy, Role};
@@ -90,7 +90,8 @@
     let store = store::http::Client::new(log, Rc::clone(&client), Duration::from_secs(2));
     let run = u64::from(position.index) + 1;
     let policy = intent::Policy::default();
-    let (guard, records) = Guard::new(&place.name, run, policy, Rc::new(store), clock.clone());
+    let (deduplicator, records) =
+        Deduplicator::new(&place.name, run, policy, Rc::new(store), clock.clone());
     monoio::spawn(records.run(Duration::from_secs(1)));
     let (proxy, driver) = Proxy::new(Options {
         policy: Policy::default(),
@@ -101,7 +102,7 @@
         transport: Rc::new(runner::http::Client::new(Rc::clone(&client))),
         peers: Rc::new(runner::peer::Client::new(Rc::clone(&peers))),
         clock,
-        guard: Some(guard),
+        deduplicator: Some(deduplicator),
         access: Access::open(),
     });
     monoio::spawn(driver.run());
