--- a/src/config/machine.rs
+++ b/src/config/machine.rs
@@ -62,7 +62,7 @@
     /// An append of a change was answered.
     Appended(publish::Id),
     /// An append of a change failed.
-    AppendFailed(publish::Id, store::Outcome),
+    AppendFailed(publish::Id, store::AppendOutcome),
     /// The peers to exchange digests with, this instance not among them.
     Peers(Vec<Peer>),
     /// A digest arrived, as a call or as an answer.
--- a/src/config/publish.rs
+++ b/src/config/publish.rs
@@ -144,9 +144,9 @@
     ///
     /// A lost answer leaves open whether the record was written. Appending it again is safe: a
     /// change is accepted only on its base, which the first copy used up.
-    pub(super) fn failed(&mut self, id: Id, outcome: store::Outcome, retry: Instant) {
+    pub(super) fn failed(&mut self, id: Id, outcome: store::AppendOutcome, retry: Instant) {
         if let Some(wait) = self.wait_mut(id) {
-            wait.maybe_written |= outcome == store::Outcome::Unknown;
+            wait.maybe_written |= outcome == store::AppendOutcome::Unknown;
             wait.retry = Some(retry);
         }
     }
--- a/src/intent/deduplicator.rs
+++ b/src/intent/deduplicator.rs
@@ -213,7 +213,7 @@
             let stream = Partition::stream_name(partition);
             let answer = select_biased! {
                 answer = store.append(&stream, payload).fuse() => answer.map_err(|error| report(&error)),
-                () = timeout.fuse() => Err(store::Outcome::Unknown),
+                () = timeout.fuse() => Err(store::AppendOutcome::Unknown),
             };
             Input::CallEnded { partition, call: CallResult::Append(answer) }
         };
@@ -256,7 +256,7 @@
     }
 }
 
-fn report(error: &store::Error) -> store::Outcome {
+fn report(error: &store::Error) -> store::AppendOutcome {
     log::warn!("event=intent.log_failed {error}");
     error.outcome
 }
--- a/src/intent/lane.rs
+++ b/src/intent/lane.rs
@@ -16,7 +16,7 @@
 use super::token_bucket::TokenBucket;
 use super::wire;
 use crate::clock::Instant;
-use crate::store::{Offset, Outcome, Page};
+use crate::store::{AppendOutcome, Offset, Page};
 
 /// Doublings of the pause after failures in a row.
 const BACKOFF_DOUBLINGS: u32 = 6;
@@ -126,16 +126,20 @@
     }
 
     /// Takes the answer of the append under way.
-    pub(super) fn appended(&mut self, answer: Result<Offset, Outcome>, context: &mut Context<'_>) {
+    pub(super) fn appended(
+        &mut self,
+        answer: Result<Offset, AppendOutcome>,
+        context: &mut Context<'_>,
+    ) {
         self.call = Call::None;
         let settle_by = context.now.instant.after(self.policy.confirm_timeout);
         match answer {
             Ok(offset) => self.look_for_flight(settle_by, Some(offset)),
-            Err(Outcome::Unknown) => {
+            Err(AppendOutcome::Unknown) => {
                 context.stats.unconfirmed += 1;
                 self.look_for_flight(settle_by, None);
             }
-            Err(Outcome::NotWritten) => self.not_written(context),
+            Err(AppendOutcome::NotWritten) => self.not_written(context),
         }
     }
 
--- a/src/intent/machine.rs
+++ b/src/intent/machine.rs
@@ -15,7 +15,7 @@
 use super::record::Entry;
 use super::token_bucket::TokenBucket;
 use crate::clock::{Instant, Unix};
-use crate::store::{Offset, Outcome, Page};
+use crate::store::{AppendOutcome, Offset, Page};
 
 /// Identity of a request at one instance, chosen by whoever runs the machine.
 pub type RequestId = u64;
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 pub enum CallResult {
     /// An append, with its offset or what is known of its effect.
-    Append(Result<Offset, Outcome>),
+    Append(Result<Offset, AppendOutcome>),
     /// A read; `None` when it failed.
     Read(Option<Page>),
 }
--- a/src/owner/election/claim.rs
+++ b/src/owner/election/claim.rs
@@ -8,7 +8,7 @@
 use crate::owner::journal::{AppendRequest, Tag};
 use crate::owner::machine::{Effect, Machine, Role};
 use crate::owner::record::Record;
-use crate::store::{self, Offset, Outcome};
+use crate::store::{self, AppendOutcome, Offset};
 
 /// Share of the claim timeout that each further rank waits.
 const RANK_DELAY_DIVISOR: u32 = 3;
@@ -127,7 +127,7 @@
                     active.journal.on_append_failed(tag, now);
                     active.on_append_failed(tag, now);
                 }
-                if error.outcome == Outcome::Unknown {
+                if error.outcome == AppendOutcome::Unknown {
                     self.read_soon(now);
                 }
             }
--- a/src/store/failover.rs
+++ b/src/store/failover.rs
@@ -8,7 +8,7 @@
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 
-use super::{Error, Offset, Outcome, Page, Store};
+use super::{AppendOutcome, Error, Offset, Page, Store};
 
 /// One log behind several addresses, of which the one that answered last is used.
 ///
@@ -17,53 +17,53 @@
 /// address only when it surely was not written; else the same record could be written twice, and
 /// only its writer knows how to tell.
 pub struct Failover {
-    ways: Vec<Rc<dyn Store>>,
+    endpoints: Vec<Rc<dyn Store>>,
     current: Cell<usize>,
 }
 
 impl Failover {
-    /// A log reached by any of `ways`, at least one, tried in order.
-    pub const fn new(ways: Vec<Rc<dyn Store>>) -> Self {
-        Self { ways, current: Cell::new(0) }
+    /// A log reached by any of `endpoints`, at least one, tried in order.
+    pub const fn new(endpoints: Vec<Rc<dyn Store>>) -> Self {
+        Self { endpoints, current: Cell::new(0) }
     }
 
-    fn way(&self) -> &dyn Store {
-        &*self.ways[self.current.get()]
+    fn endpoint(&self) -> &dyn Store {
+        &*self.endpoints[self.current.get()]
     }
 
     /// Uses the next way from here on, unless another call has moved on from `failed` already.
-    fn leave(&self, failed: usize) {
+    fn move_on_from(&self, failed: usize) {
         if self.current.get() == failed {
-            self.current.set((failed + 1) % self.ways.len());
+            self.current.set((failed + 1) % self.endpoints.len());
         }
     }
 
-    async fn append_somewhere(&self, stream: &str, payload: Bytes) -> Result<Offset, Error> {
-        for _ in 1..self.ways.len() {
+    async fn append_with_failover(&self, stream: &str, payload: Bytes) -> Result<Offset, Error> {
+        for _ in 1..self.endpoints.len() {
             let used = self.current.get();
-            match self.way().append(stream, payload.clone()).await {
-                Err(error) if error.outcome == Outcome::NotWritten => self.leave(used),
+            match self.endpoint().append(stream, payload.clone()).await {
+                Err(error) if error.outcome == AppendOutcome::NotWritten => self.move_on_from(used),
                 Err(error) => {
-                    self.leave(used);
+                    self.move_on_from(used);
                     return Err(error);
                 }
                 written => return written,
             }
         }
         let used = self.current.get();
-        let last = self.way().append(stream, payload).await;
-        last.inspect_err(|_| self.leave(used))
+        let last = self.endpoint().append(stream, payload).await;
+        last.inspect_err(|_| self.move_on_from(used))
     }
 
-    async fn read_somewhere(
+    async fn read_with_failover(
         &self,
         stream: &str,
         from: Offset,
         wait: Duration,
     ) -> Result<Page, Error> {
         let used = self.current.get();
-        let page = self.way().read(stream, from, wait).await;
-        page.inspect_err(|_| self.leave(used))
+        let page = self.endpoint().read(stream, from, wait).await;
+        page.inspect_err(|_| self.move_on_from(used))
     }
 }
 
@@ -73,7 +73,7 @@
         stream: &'a str,
         payload: Bytes,
     ) -> LocalBoxFuture<'a, Result<Offset, Error>> {
-        self.append_somewhere(stream, payload).boxed_local()
+        self.append_with_failover(stream, payload).boxed_local()
     }
 
     fn read<'a>(
@@ -82,6 +82,6 @@
         from: Offset,
         wait: Duration,
     ) -> LocalBoxFuture<'a, Result<Page, Error>> {
-        self.read_somewhere(stream, from, wait).boxed_local()
+        self.read_with_failover(stream, from, wait).boxed_local()
     }
 }
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -9,7 +9,7 @@
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 
-use super::{Error, Offset, Outcome, Page, Step, Store, wire};
+use super::{AppendOutcome, Error, Offset, Operation, Page, Store, wire};
 use crate::clock::millis;
 use crate::http;
 
@@ -30,24 +30,24 @@
     }
 
     async fn append(&self, stream: &str, payload: Bytes) -> Result<Offset, Error> {
-        let fail = |outcome, cause| self.error(Step::Append, outcome, cause);
+        let fail = |outcome, cause| self.error(Operation::Append, outcome, cause);
         let request = ::http::Request::builder()
             .method(Method::POST)
             .uri(format!("/v1/streams/{stream}"))
             .body(payload)
-            .map_err(|error| fail(Outcome::NotWritten, error.to_string()))?;
+            .map_err(|error| fail(AppendOutcome::NotWritten, error.to_string()))?;
         let sent = self.http.send(self.peer, request, self.timeout).await;
-        let response = sent.map_err(|error| fail(outcome(&error), error.to_string()))?;
+        let response = sent.map_err(|error| fail(unanswered_outcome(&error), error.to_string()))?;
         if response.status() != StatusCode::OK {
-            return Err(fail(refusal(response.status()), response.status().to_string()));
+            return Err(fail(refused_outcome(response.status()), response.status().to_string()));
         }
         let appended: wire::Appended = serde_json::from_slice(response.body())
-            .map_err(|error| fail(Outcome::Unknown, error.to_string()))?;
+            .map_err(|error| fail(AppendOutcome::Unknown, error.to_string()))?;
         Ok(appended.offset)
     }
 
     async fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<Page, Error> {
-        let fail = |cause| self.error(Step::Read, Outcome::NotWritten, cause);
+        let fail = |cause| self.error(Operation::Read, AppendOutcome::NotWritten, cause);
         let wait_ms = millis(wait);
         let query = format!("from={from}&wait_ms={wait_ms}&limit={PAGE_RECORDS}");
         let request = ::http::Request::builder()
@@ -64,8 +64,8 @@
         page.try_into().map_err(|error: wire::Error| fail(error.to_string()))
     }
 
-    fn error(&self, step: Step, outcome: Outcome, cause: String) -> Error {
-        Error { step, peer: self.peer, outcome, cause }
+    fn error(&self, operation: Operation, outcome: AppendOutcome, cause: String) -> Error {
+        Error { operation, peer: self.peer, outcome, cause }
     }
 }
 
@@ -88,18 +88,18 @@
     }
 }
 
-fn outcome(error: &http::Error) -> Outcome {
-    if error.sent { Outcome::Unknown } else { Outcome::NotWritten }
+fn unanswered_outcome(error: &http::Error) -> AppendOutcome {
+    if error.sent { AppendOutcome::Unknown } else { AppendOutcome::NotWritten }
 }
 
 /// What an answer other than success tells of the record.
 ///
 /// The log refuses with 4xx or 503 before it writes. Any other status may come from something that
 /// failed after the write.
-fn refusal(status: StatusCode) -> Outcome {
+fn refused_outcome(status: StatusCode) -> AppendOutcome {
     if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE {
-        Outcome::NotWritten
+        AppendOutcome::NotWritten
     } else {
-        Outcome::Unknown
+        AppendOutcome::Unknown
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -37,7 +37,7 @@
 
 /// Where in a call the failure arose.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Step {
+pub enum Operation {
     /// Appending a record.
     #[display("store.append")]
     Append,
@@ -48,7 +48,7 @@
 
 /// Whether a failed append may have been written.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AppendOutcome {
     /// The record was surely not written.
     #[display("not written")]
     NotWritten,
@@ -59,14 +59,14 @@
 
 /// A failed call to the log.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
-#[display("step={step} peer={peer} outcome={outcome} cause={cause}")]
+#[display("step={operation} peer={peer} outcome={outcome} cause={cause}")]
 pub struct Error {
     /// Where it arose.
-    pub step: Step,
+    pub operation: Operation,
     /// Address of the log.
     pub peer: std::net::SocketAddr,
     /// What is known of the effect.
-    pub outcome: Outcome,
+    pub outcome: AppendOutcome,
     /// Cause as text.
     pub cause: String,
 }
--- a/src/telemetry/measured.rs
+++ b/src/telemetry/measured.rs
@@ -13,7 +13,7 @@
 use super::{Counter, Histogram, names};
 use crate::membership::{self, Member, Source};
 use crate::runner::transport as runner;
-use crate::store::{self, Offset, Outcome, Page};
+use crate::store::{self, AppendOutcome, Offset, Page};
 use crate::worker::{self, Exchange, Fault, Report};
 
 /// The platform's log, measured.
@@ -29,7 +29,7 @@
         let append = self.0.append(stream, payload);
         measured(append, names::LOG_APPENDS, names::LOG_APPEND, |result| match result {
             Ok(_) => "written",
-            Err(error) if error.outcome == Outcome::NotWritten => "not_written",
+            Err(error) if error.outcome == AppendOutcome::NotWritten => "not_written",
             Err(_) => "unknown",
         })
     }
--- a/tests/logic/config/fleet.rs
+++ b/tests/logic/config/fleet.rs
@@ -150,7 +150,7 @@
     }
 
     /// The log fails an instance's appends, `written` or not, with the outcome it reports.
-    pub fn fail(&mut self, index: usize, written: bool, outcome: store::Outcome) {
+    pub fn fail(&mut self, index: usize, written: bool, outcome: store::AppendOutcome) {
         for (id, payload) in std::mem::take(&mut self.nodes[index].appends) {
             if written {
                 self.log.records.push(payload);
--- a/tests/logic/config/histories.rs
+++ b/tests/logic/config/histories.rs
@@ -85,7 +85,7 @@
             fleet.publish(node, "ana", base, Change::Preset(Preset::ALL[preset]));
         }
         Step::Flush { node } => fleet.flush(node),
-        Step::Lose { node, written } => fleet.fail(node, written, store::Outcome::Unknown),
+        Step::Lose { node, written } => fleet.fail(node, written, store::AppendOutcome::Unknown),
         Step::Read { node, limit } => {
             let mut page = fleet.log.page(fleet.nodes[node].machine.position());
             page.records.truncate(limit);
--- a/tests/logic/config/publish.rs
+++ b/tests/logic/config/publish.rs
@@ -61,7 +61,7 @@
     let mut fleet = Fleet::new(&["oamaru-hall", "kurow-hall"]);
     fleet.read_all();
     let id = fleet.publish(0, "ana", 0, PEAK);
-    fleet.fail(0, true, store::Outcome::Unknown);
+    fleet.fail(0, true, store::AppendOutcome::Unknown);
     fleet.advance(fleet.timing.retry);
     fleet.tick(0);
     fleet.flush(0);
@@ -78,7 +78,7 @@
     let mut fleet = Fleet::new(&["oamaru-hall", "kurow-hall"]);
     fleet.read_all();
     let id = fleet.publish(0, "ana", 0, PEAK);
-    fleet.fail(0, true, store::Outcome::Unknown);
+    fleet.fail(0, true, store::AppendOutcome::Unknown);
     fleet.advance(fleet.timing.publish);
     fleet.tick(0);
     assert_eq!(fleet.nodes[0].answers[&id], Outcome::Unknown(id));
@@ -95,7 +95,7 @@
     fleet.read_all();
     let id = fleet.publish(0, "ana", 0, PEAK);
     for _ in 0..20 {
-        fleet.fail(0, false, store::Outcome::NotWritten);
+        fleet.fail(0, false, store::AppendOutcome::NotWritten);
         fleet.advance(Duration::from_millis(300));
         fleet.tick(0);
     }
--- a/tests/logic/intent/world.rs
+++ b/tests/logic/intent/world.rs
@@ -215,21 +215,21 @@
         partition: u16,
         payload: Bytes,
         end: End,
-    ) -> Result<Offset, store::Outcome> {
+    ) -> Result<Offset, store::AppendOutcome> {
         let stream = &mut self.streams[usize::from(partition)];
         let next = stream.records.len() as Offset;
         match end {
             End::Whole | End::Stale => stream.records.push(payload),
             End::AnswerLost => {
                 stream.records.push(payload);
-                return Err(store::Outcome::Unknown);
+                return Err(store::AppendOutcome::Unknown);
             }
-            End::Refused => return Err(store::Outcome::NotWritten),
+            End::Refused => return Err(store::AppendOutcome::NotWritten),
             End::Late => {
                 self.late.push_back((partition, payload));
-                return Err(store::Outcome::Unknown);
+                return Err(store::AppendOutcome::Unknown);
             }
-            End::Vanished => return Err(store::Outcome::Unknown),
+            End::Vanished => return Err(store::AppendOutcome::Unknown),
             End::Crossed => {}
         }
         Ok(next)
--- a/tests/logic/store.rs
+++ b/tests/logic/store.rs
@@ -8,30 +8,30 @@
 use bytes::Bytes;
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
-use oriolefork::store::{Error, Failover, Offset, Outcome, Page, Step, Store};
+use oriolefork::store::{AppendOutcome, Error, Failover, Offset, Operation, Page, Store};
 use test_case::test_case;
 
 const WAIT: Duration = Duration::ZERO;
 
 /// A way to the log that fails until it is mended, and notes its calls in a shared list.
-struct Way {
+struct Endpoint {
     name: &'static str,
-    fails: Option<Outcome>,
+    fails: Option<AppendOutcome>,
     calls: Rc<RefCell<Vec<&'static str>>>,
 }
 
-impl Way {
-    fn answer<T>(&self, step: Step, good: T) -> Result<T, Error> {
+impl Endpoint {
+    fn answer<T>(&self, operation: Operation, good: T) -> Result<T, Error> {
         self.calls.borrow_mut().push(self.name);
         let peer = ([127, 0, 0, 1], 7_300).into();
-        let error = |outcome| Error { step, peer, outcome, cause: self.name.to_owned() };
+        let error = |outcome| Error { operation, peer, outcome, cause: self.name.to_owned() };
         self.fails.map_or(Ok(good), |outcome| Err(error(outcome)))
     }
 }
 
-impl Store for Way {
+impl Store for Endpoint {
     fn append<'a>(&'a self, _: &'a str, _: Bytes) -> LocalBoxFuture<'a, Result<Offset, Error>> {
-        ready(self.answer(Step::Append, 7)).boxed_local()
+        ready(self.answer(Operation::Append, 7)).boxed_local()
     }
 
     fn read<'a>(
@@ -41,7 +41,7 @@
         _: Duration,
     ) -> LocalBoxFuture<'a, Result<Page, Error>> {
         let page = Page { records: Vec::new(), oldest: 0, end: 0 };
-        ready(self.answer(Step::Read, page)).boxed_local()
+        ready(self.answer(Operation::Read, page)).boxed_local()
     }
 }
 
@@ -51,11 +51,12 @@
 }
 
 impl Log {
-    fn new(ways: [(&'static str, Option<Outcome>); 2]) -> Self {
+    fn new(endpoints: [(&'static str, Option<AppendOutcome>); 2]) -> Self {
         let calls = Rc::new(RefCell::new(Vec::new()));
-        let way =
-            |(name, fails)| -> Rc<dyn Store> { Rc::new(Way { name, fails, calls: calls.clone() }) };
-        Self { failover: Failover::new(ways.map(way).into()), calls: calls.clone() }
+        let endpoint = |(name, fails)| -> Rc<dyn Store> {
+            Rc::new(Endpoint { name, fails, calls: calls.clone() })
+        };
+        Self { failover: Failover::new(endpoints.map(endpoint).into()), calls: calls.clone() }
     }
 
     fn append(&self) -> Result<Offset, Error> {
@@ -80,7 +81,7 @@
 
 #[test]
 fn append_not_written_goes_to_next_way() {
-    let log = Log::new([("a", Some(Outcome::NotWritten)), ("b", None)]);
+    let log = Log::new([("a", Some(AppendOutcome::NotWritten)), ("b", None)]);
     assert_eq!((log.append(), log.append()), (Ok(7), Ok(7)));
     assert_eq!(log.calls(), ["a", "b", "b"], "the dead way is left for good");
 }
@@ -90,17 +91,17 @@
 // hear that it does not know, and settles it by reading.
 #[test]
 fn append_unknown_is_not_repeated() {
-    let log = Log::new([("a", Some(Outcome::Unknown)), ("b", None)]);
-    assert_eq!(log.append().map_err(|error| error.outcome), Err(Outcome::Unknown));
+    let log = Log::new([("a", Some(AppendOutcome::Unknown)), ("b", None)]);
+    assert_eq!(log.append().map_err(|error| error.outcome), Err(AppendOutcome::Unknown));
     assert_eq!(log.calls(), ["a"]);
     assert_eq!(log.append(), Ok(7));
     assert_eq!(log.calls(), ["b"], "the next call goes to the next address");
 }
 
-#[test_case(Outcome::NotWritten; "not_written")]
-#[test_case(Outcome::Unknown; "unknown")]
-fn append_all_ways_down(outcome: Outcome) {
-    let log = Log::new([("a", Some(Outcome::NotWritten)), ("b", Some(outcome))]);
+#[test_case(AppendOutcome::NotWritten; "not_written")]
+#[test_case(AppendOutcome::Unknown; "unknown")]
+fn append_all_ways_down(outcome: AppendOutcome) {
+    let log = Log::new([("a", Some(AppendOutcome::NotWritten)), ("b", Some(outcome))]);
     assert_eq!(log.append().map_err(|error| error.outcome), Err(outcome));
     assert_eq!(log.calls(), ["a", "b"]);
     assert!(log.append().is_err());
@@ -109,7 +110,7 @@
 
 #[test]
 fn read_failed_goes_to_next_way() {
-    let log = Log::new([("a", Some(Outcome::Unknown)), ("b", None)]);
+    let log = Log::new([("a", Some(AppendOutcome::Unknown)), ("b", None)]);
     assert!(log.read().is_err());
     assert!(log.read().is_ok());
     assert_eq!(log.calls(), ["a", "b"]);
--- a/tests/logic/telemetry.rs
+++ b/tests/logic/telemetry.rs
@@ -8,7 +8,7 @@
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 use metrics_exporter_prometheus::PrometheusBuilder;
-use oriolefork::store::{self, Offset, Outcome, Page, Store};
+use oriolefork::store::{self, AppendOutcome, Offset, Page, Store};
 use oriolefork::telemetry::measured;
 use oriolefork::telemetry::{self, names};
 use test_case::test_case;
@@ -58,14 +58,19 @@
     }
 }
 
-fn failed(outcome: Outcome) -> Result<Offset, store::Error> {
+fn failed(outcome: AppendOutcome) -> Result<Offset, store::Error> {
     let peer = ([127, 0, 0, 1], 7_300).into();
-    Err(store::Error { step: store::Step::Append, peer, outcome, cause: "cut".to_owned() })
+    Err(store::Error {
+        operation: store::Operation::Append,
+        peer,
+        outcome,
+        cause: "cut".to_owned(),
+    })
 }
 
 #[test_case(Ok(7), "written"; "written")]
-#[test_case(failed(Outcome::NotWritten), "not_written"; "not_written")]
-#[test_case(failed(Outcome::Unknown), "unknown"; "unknown")]
+#[test_case(failed(AppendOutcome::NotWritten), "not_written"; "not_written")]
+#[test_case(failed(AppendOutcome::Unknown), "unknown"; "unknown")]
 fn append_measured(answer: Result<Offset, store::Error>, outcome: &str) {
     let recorder = PrometheusBuilder::new().build_recorder();
     let store = measured::Store(Rc::new(Fixed(answer.clone())));
--- a/tests/logic/world.rs
+++ b/tests/logic/world.rs
@@ -16,7 +16,7 @@
 use oriolefork::placement::{Objective, Policy, Preset};
 use oriolefork::resource::Amount;
 use oriolefork::standin::{log as fake_log, worker as fake};
-use oriolefork::store::{self, Offset, Outcome, Page, Step};
+use oriolefork::store::{self, AppendOutcome, Offset, Operation, Page};
 use oriolefork::worker::{self, Fault};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -487,16 +487,16 @@
             let hold = self.rng.random_range(500..6_000);
             let tag = request.tag;
             self.push(hold, Event::Append { node, run, request, answer: false });
-            return self.fail_append(node, run, tag, Outcome::Unknown, 400);
+            return self.fail_append(node, run, tag, AppendOutcome::Unknown, 400);
         }
         if loss > 0.0 && self.rng.random_bool(loss) {
-            return self.fail_append(node, run, request.tag, Outcome::Unknown, 400);
+            return self.fail_append(node, run, request.tag, AppendOutcome::Unknown, 400);
         }
         self.push(delay, Event::Append { node, run, request, answer: true });
     }
 
-    fn fail_append(&mut self, node: usize, run: u64, tag: Tag, outcome: Outcome, delay: u64) {
-        let error = log_error(Step::Append, outcome);
+    fn fail_append(&mut self, node: usize, run: u64, tag: Tag, outcome: AppendOutcome, delay: u64) {
+        let error = log_error(Operation::Append, outcome);
         self.push(
             delay,
             Event::ToNode { node, run, message: Message::Appended { tag, result: Err(error) } },
@@ -506,7 +506,7 @@
     fn append(&mut self, node: usize, run: u64, request: &AppendRequest, answer: bool) {
         if self.faults.log_down || self.nodes[node].cut {
             if answer {
-                self.fail_append(node, run, request.tag, Outcome::NotWritten, 2);
+                self.fail_append(node, run, request.tag, AppendOutcome::NotWritten, 2);
             }
             return;
         }
@@ -515,7 +515,7 @@
             return;
         }
         if self.lost() {
-            return self.fail_append(node, run, request.tag, Outcome::Unknown, 400);
+            return self.fail_append(node, run, request.tag, AppendOutcome::Unknown, 400);
         }
         let delay = self.latency();
         self.push(
@@ -533,7 +533,7 @@
             return;
         }
         if self.faults.log_down || self.nodes[node].cut || self.lost() {
-            let error = log_error(Step::Read, Outcome::NotWritten);
+            let error = log_error(Operation::Read, AppendOutcome::NotWritten);
             let message = Message::Read(Err(error));
             return self.push(2, Event::ToNode { node, run, message });
         }
@@ -680,8 +680,8 @@
     }
 }
 
-fn log_error(step: Step, outcome: Outcome) -> store::Error {
-    store::Error { step, peer: address(3, 0), outcome, cause: "fault".to_owned() }
+fn log_error(operation: Operation, outcome: AppendOutcome) -> store::Error {
+    store::Error { operation, peer: address(3, 0), outcome, cause: "fault".to_owned() }
 }
 
 struct Trace;
--- a/tests/process/standin.rs
+++ b/tests/process/standin.rs
@@ -12,7 +12,7 @@
 use oriolefork::resource::Amount;
 use oriolefork::standin::proxy::{self, Mode};
 use oriolefork::standin::{instances, log, runner, worker as standin};
-use oriolefork::store::{self, Outcome, Page, Store};
+use oriolefork::store::{self, AppendOutcome, Page, Store};
 use oriolefork::task::{self, End, Phase};
 use oriolefork::worker::{self, Command, Exchange, Fault, Link, Report};
 use serde_json::json;
@@ -128,7 +128,7 @@
 fn append_answer_lost(mode: Mode) {
     let log = Behind::start("log", &[]);
     log.switch(mode);
-    assert_eq!(append(log.route, AMPLE).unwrap_err().outcome, Outcome::Unknown);
+    assert_eq!(append(log.route, AMPLE).unwrap_err().outcome, AppendOutcome::Unknown);
     eventually("the record is written", || (written(&log.standin) == 1).then_some(()));
 }
 
@@ -142,7 +142,7 @@
         log.switch(Mode::CutToClient);
         Store::append(&client, STREAM, Bytes::from_static(b"second")).await.unwrap_err()
     });
-    assert_eq!(error.outcome, Outcome::Unknown);
+    assert_eq!(error.outcome, AppendOutcome::Unknown);
     eventually("the record is written", || (written(&log.standin) == 2).then_some(()));
 }
 
@@ -152,7 +152,7 @@
     let control = log::Control { drop_answers: Some(1), ..log::Control::default() };
     post_json(log.addr, "/control", &control);
     let error = append(log.addr, Duration::from_secs(2)).unwrap_err();
-    assert_eq!((error.outcome, written(&log)), (Outcome::Unknown, 1));
+    assert_eq!((error.outcome, written(&log)), (AppendOutcome::Unknown, 1));
     assert_eq!(append(log.addr, AMPLE), Ok(1));
 }
 
@@ -161,7 +161,7 @@
     let log = Behind::start("log", &[]);
     log.switch(Mode::Refuse);
     let error = append(log.route, AMPLE).unwrap_err();
-    assert_eq!((error.outcome, written(&log.standin)), (Outcome::NotWritten, 0));
+    assert_eq!((error.outcome, written(&log.standin)), (AppendOutcome::NotWritten, 0));
     log.switch(Mode::Pass);
     assert_eq!(append(log.route, AMPLE), Ok(0));
 }
@@ -171,7 +171,7 @@
     let log = Standin::start("log", &[]);
     let control = log::Control { outage: Some(true), ..log::Control::default() };
     post_json(log.addr, "/control", &control);
-    assert_eq!(append(log.addr, AMPLE).unwrap_err().outcome, Outcome::NotWritten);
+    assert_eq!(append(log.addr, AMPLE).unwrap_err().outcome, AppendOutcome::NotWritten);
     let over = log::Control { outage: Some(false), ..log::Control::default() };
     post_json(log.addr, "/control", &over);
     assert_eq!(written(&log), 0);
@@ -183,7 +183,7 @@
     // record is written after all: "not written" would have been false.
     let log = Behind::start("log", &[]);
     log.switch(Mode::CutBoth);
-    assert_eq!(append(log.route, SHORT).unwrap_err().outcome, Outcome::Unknown);
+    assert_eq!(append(log.route, SHORT).unwrap_err().outcome, AppendOutcome::Unknown);
     assert_eq!(written(&log.standin), 0);
     log.switch(Mode::Pass);
     eventually("the record is written", || (written(&log.standin) == 1).then_some(()));
