--- a/src/intent/context.rs
+++ b/src/intent/context.rs
@@ -1,14 +1,14 @@
-//! What the lanes of one machine share.
+//! State that the partition clients of one machine share.
 
 use super::admission_decision::AdmissionDecision;
 use super::machine::{Effect, Now, RequestId, Stats};
-use super::queue::Writer;
+use super::queue::WriterId;
 use super::token_bucket::TokenBucket;
 
-/// What a lane may use beside its own state.
+/// Shared state and outputs that a partition client uses while it handles an input.
 pub(super) struct Context<'a> {
     pub(super) now: Now,
-    pub(super) writer: &'a mut Writer,
+    pub(super) writer: &'a mut WriterId,
     pub(super) budget: &'a mut TokenBucket,
     pub(super) stats: &'a mut Stats,
     pub(super) effects: &'a mut Vec<Effect>,
--- a/src/intent/deduplicator.rs
+++ b/src/intent/deduplicator.rs
@@ -1,4 +1,4 @@
-//! The machine run over the log: a handle for requests and the task that owns the state.
+//! Runs the machine over the log: a handle for requests, and the task that owns the state.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -21,55 +21,59 @@
 use crate::domain;
 use crate::store::{self, Store};
 
-/// Longest sleep of the task while nothing is due.
+/// Maximum sleep of the task while no work is due.
 const IDLE: Duration = Duration::from_secs(3600);
 
-/// The answer to a request that wants to run.
+/// Answer to a request for execution.
 pub enum Admission {
-    /// It may be tried once.
+    /// The request may run once.
     Granted(Permit),
     /// An earlier request has won the key.
     Duplicate(KeyState),
-    /// It has run nothing and never will.
+    /// The request has not run and never will.
     NotRun(Refusal),
 }
 
-/// Handle to the intents of one instance.
+/// Admits requests so that the work of an idempotency key runs at most once.
+///
+/// A cloneable handle to the [`Driver`] task.
 #[derive(Clone)]
 pub struct Deduplicator {
-    home: unbounded::Tx<Message>,
+    sender: unbounded::Tx<Message>,
 }
 
-/// The task that owns the intents of one instance and calls the log for them.
+/// Task that owns the state of one instance and calls the log.
 pub struct Driver {
     machine: Machine,
     store: Rc<dyn Store>,
     clock: Rc<dyn Clock>,
     call_timeout: Duration,
-    inbox: unbounded::Rx<Message>,
+    receiver: unbounded::Rx<Message>,
     calls: FuturesUnordered<LocalBoxFuture<'static, Input>>,
-    asking: HashMap<RequestId, Asking>,
+    requesters: HashMap<RequestId, Requester>,
     last_request_id: RequestId,
 }
 
-/// What handles, permits and tries tell the task.
+/// Message of a handle, permit or execution to the task.
 pub(super) enum Message {
-    Begin { request: Request, timeout: Duration, asking: Asking },
+    Begin { request: Request, timeout: Duration, requester: Requester },
     Record(Entry),
     Preload,
     Stats(oneshot::Sender<Stats>),
 }
 
-/// Who asked, and what a permit needs.
-pub(super) struct Asking {
+/// Where to send the answer of a request, and the data of its permit.
+pub(super) struct Requester {
     key: Key,
     created: Unix,
     reply: oneshot::Sender<Admission>,
-    home: unbounded::Tx<Message>,
+    sender: unbounded::Tx<Message>,
 }
 
 impl Deduplicator {
-    /// Builds a handle and the task behind it, for the process `run` of the instance `name`.
+    /// Creates a handle and its task for the instance `name`; `run` identifies the process.
+    ///
+    /// The handle works once [`Driver::run`] is polled.
     pub fn new(
         name: &str,
         run: u64,
@@ -77,40 +81,41 @@
         store: Rc<dyn Store>,
         clock: Rc<dyn Clock>,
     ) -> (Self, Driver) {
-        let (home, inbox) = unbounded::channel();
+        let (sender, receiver) = unbounded::channel();
         let driver = Driver {
             call_timeout: policy.call_timeout,
             machine: Machine::new(name, run, policy),
             store,
             clock,
-            inbox,
+            receiver,
             calls: FuturesUnordered::new(),
-            asking: HashMap::new(),
+            requesters: HashMap::new(),
             last_request_id: 0,
         };
-        (Self { home }, driver)
+        (Self { sender }, driver)
     }
 
-    /// Reads every partition now, so that the first requests need not wait for it.
+    /// Reads every partition now, so that the first requests do not wait for it.
     pub fn preload(&self) {
-        // A deduplicator that has ended has nothing to read for.
-        let _ = self.home.send(Message::Preload);
+        // Ignored if the task has ended: no request needs the partitions then.
+        let _ = self.sender.send(Message::Preload);
     }
 
-    /// Asks to run `request`, waiting for the log no longer than `timeout`.
+    /// Claims the key of `request`, waiting at most `timeout` for the log.
     ///
-    /// Dropping the future gives up; a key that was won meanwhile is given back.
+    /// Dropping the future cancels the claim; a key that was won meanwhile is released.
     pub async fn begin(&self, request: Request, timeout: Duration) -> Admission {
         let (reply, answer) = oneshot::channel();
-        let home = self.home.clone();
-        let asking = Asking { key: request.key.clone(), created: request.created, reply, home };
-        // When the task has ended, the dropped sender answers below.
-        let _ = self.home.send(Message::Begin { request, timeout, asking });
+        let sender = self.sender.clone();
+        let requester =
+            Requester { key: request.key.clone(), created: request.created, reply, sender };
+        // If the task has ended, the reply sender is dropped and `answer` fails below.
+        let _ = self.sender.send(Message::Begin { request, timeout, requester });
         answer.await.unwrap_or(Admission::NotRun(Refusal::ShuttingDown))
     }
 
-    /// Fixes the failure domain that takes a job: that of `request` or, when an earlier submission
-    /// with the same key came first, that of the earlier one.
+    /// Binds a job to a failure domain: that of `request` or, if an earlier submission used the
+    /// same key, that of the earlier one.
     pub async fn bind_job(&self, request: Request, timeout: Duration) -> DomainBinding {
         let Some(domain) = request.domain.clone().filter(|_| is_job(&request)) else {
             return DomainBinding::NotRun(Refusal::KeyReused);
@@ -118,34 +123,35 @@
         match self.begin(request, timeout).await {
             Admission::Granted(permit) => {
                 let attempt = permit.attempt();
-                permit.keep();
+                permit.retain_intent();
                 DomainBinding::Bound { attempt, domain, duplicate: false, accepted: false }
             }
-            Admission::Duplicate(state) => DomainBinding::repeated(state),
+            Admission::Duplicate(state) => DomainBinding::from_state(state),
             Admission::NotRun(refusal) => DomainBinding::NotRun(refusal),
         }
     }
 
-    /// Records that the owner of `domain` has the job of `request` in its log; `attempt` is the
-    /// one of its [`DomainBinding::Bound`].
+    /// Records that the owner of `domain` has the job of `request` in its log; `attempt` comes from
+    /// its [`DomainBinding::Bound`].
     pub fn record_acceptance(&self, request: &Request, attempt: AttemptId, domain: domain::Name) {
         let Request { key, created, .. } = request.clone();
         let outcome = ExecutionOutcome::Accepted(domain);
-        // When the task has ended, a retry hands the job over again, and the owner knows it.
-        let _ = self.home.send(Message::Record(Entry::Outcome { attempt, key, created, outcome }));
+        // If the task has ended, a retry submits the job again, and the owner detects the repeat.
+        let _ =
+            self.sender.send(Message::Record(Entry::Outcome { attempt, key, created, outcome }));
     }
 
-    /// Counts since the start; `None` when the task has ended.
+    /// Counters since the start; `None` if the task has ended.
     pub async fn stats(&self) -> Option<Stats> {
         let (reply, answer) = oneshot::channel();
-        let _ = self.home.send(Message::Stats(reply));
+        let _ = self.sender.send(Message::Stats(reply));
         answer.await.ok()
     }
 }
 
 impl Driver {
-    /// Runs until every handle, permit and try is gone and their records are written, or until
-    /// `grace` has passed since the last of them went.
+    /// Runs until every handle, permit and execution is dropped and their records are written, or
+    /// until `grace` has passed since the last of them was dropped.
     pub async fn run(mut self, grace: Duration) {
         let mut closing = None;
         while !closing.is_some_and(|end| self.clock.now() >= end || self.machine.is_idle()) {
@@ -158,7 +164,7 @@
         }
     }
 
-    /// Waits for the next input; `None` once no handle is left.
+    /// Waits for the next input; `None` once no handle, permit or execution is left.
     async fn next(&mut self, closing: bool) -> Option<Input> {
         let now = self.clock.now();
         let idle = self.machine.next_wakeup(now).map_or(IDLE, |wake| wake.since(now));
@@ -172,22 +178,22 @@
         }
         select_biased! {
             input = self.calls.select_next_some() => Some(input),
-            message = self.inbox.recv().fuse() => self.accept(message?),
+            message = self.receiver.recv().fuse() => self.accept(message?),
             () = timer => Some(Input::Tick),
         }
     }
 
     fn accept(&mut self, message: Message) -> Option<Input> {
         Some(match message {
-            Message::Begin { request, timeout, asking } => {
+            Message::Begin { request, timeout, requester } => {
                 self.last_request_id += 1;
-                self.asking.insert(self.last_request_id, asking);
+                self.requesters.insert(self.last_request_id, requester);
                 Input::Submit { request_id: self.last_request_id, request, timeout }
             }
             Message::Record(entry) => Input::Record(entry),
             Message::Preload => Input::Preload,
             Message::Stats(reply) => {
-                // Whoever asked may have gone.
+                // The caller may have dropped its future.
                 let _ = reply.send(self.machine.stats());
                 Input::Tick
             }
@@ -212,7 +218,7 @@
         let call = async move {
             let stream = Partition::stream_name(partition);
             let answer = select_biased! {
-                answer = store.append(&stream, payload).fuse() => answer.map_err(|error| report(&error)),
+                answer = store.append(&stream, payload).fuse() => answer.map_err(|error| log_error(&error)),
                 () = timeout.fuse() => Err(store::AppendOutcome::Unknown),
             };
             Input::CallEnded { partition, call: CallResult::Append(answer) }
@@ -228,7 +234,7 @@
             let stream = Partition::stream_name(partition);
             let page = select_biased! {
                 page = store.read(&stream, from, Duration::ZERO).fuse() => {
-                    page.map_err(|error| report(&error)).ok()
+                    page.map_err(|error| log_error(&error)).ok()
                 }
                 () = timeout.fuse() => None,
             };
@@ -237,14 +243,15 @@
         self.calls.push(call.boxed_local());
     }
 
-    /// Answers a request. One that no longer waits gives its permit back by dropping it.
+    /// Answers a request. If its caller has gone, the permit is dropped, which releases the key.
     fn reply(&mut self, request_id: RequestId, decision: AdmissionDecision) {
-        let Some(Asking { key, created, reply, home }) = self.asking.remove(&request_id) else {
+        let Some(Requester { key, created, reply, sender }) = self.requesters.remove(&request_id)
+        else {
             return;
         };
         let admission = match decision {
             AdmissionDecision::Granted(attempt) => {
-                Admission::Granted(Permit::new(attempt, key, created, home))
+                Admission::Granted(Permit::new(attempt, key, created, sender))
             }
             AdmissionDecision::Duplicate(state) => Admission::Duplicate(state),
             AdmissionDecision::NotRun(refusal) => {
@@ -256,7 +263,7 @@
     }
 }
 
-fn report(error: &store::Error) -> store::AppendOutcome {
+fn log_error(error: &store::Error) -> store::AppendOutcome {
     log::warn!("event=intent.log_failed {error}");
     error.outcome
 }
--- a/src/intent/domain_binding.rs
+++ b/src/intent/domain_binding.rs
@@ -1,4 +1,4 @@
-//! Fixing the failure domain that takes a job.
+//! Binds a job to the failure domain that takes it.
 
 use super::admission_decision::Refusal;
 use super::key::{Kind, Request};
@@ -6,29 +6,29 @@
 use super::record::{AttemptId, ExecutionOutcome};
 use crate::domain;
 
-/// Where a job goes.
+/// Failure domain that a job is bound to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DomainBinding {
-    /// Hand the job to the owner of this failure domain, whoever asks and as often as it takes:
-    /// the owner tells a repeated submission by the job's identity.
+    /// The job is bound to a failure domain. Any instance may submit it to that domain's owner, and
+    /// may repeat the submission: the owner detects repeats by the job's identity.
     Bound {
-        /// The submission that fixed it.
+        /// The submission that bound the job.
         attempt: AttemptId,
         /// The failure domain.
         domain: domain::Name,
-        /// Whether an earlier submission has fixed it.
+        /// Whether an earlier submission bound the job.
         duplicate: bool,
-        /// Whether that domain's owner is recorded to have accepted the job. Then the job is not
-        /// to be handed over again, also when the owner no longer remembers it.
+        /// Whether the domain's owner is recorded to have accepted the job. The job must not be
+        /// submitted again then, because the owner may already have deleted it.
         accepted: bool,
     },
-    /// Nothing was handed over, and nothing of this submission ever will be.
+    /// This submission was not passed to an owner and never will be.
     NotRun(Refusal),
 }
 
 impl DomainBinding {
-    /// Reads the binding that an earlier submission has fixed.
-    pub(super) fn repeated(state: KeyState) -> Self {
+    /// The binding that an earlier submission recorded.
+    pub(super) fn from_state(state: KeyState) -> Self {
         let (domain, accepted) = match state.progress {
             Progress::Done(ExecutionOutcome::Accepted(domain)) => (Some(domain), true),
             _ => (state.domain, false),
--- a/src/intent/key.rs
+++ b/src/intent/key.rs
@@ -7,16 +7,16 @@
 use crate::clock::Unix;
 use crate::domain;
 
-/// Longest name of a service or team, in bytes.
+/// Maximum length of a service's or team's name, in bytes.
 const MAX_SCOPE_BYTES: usize = 128;
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// Hexadecimal digits of a UUID.
+/// Number of hexadecimal digits in a UUID.
 const UUID_DIGITS: usize = 32;
-/// Leading hexadecimal digits of a version 7 UUID that hold its creation time.
+/// Number of leading hexadecimal digits in a version 7 UUID that encode its creation time.
 const UUID_TIME_DIGITS: usize = 12;
 
-/// What a key protects.
+/// Kind of work that a key protects.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// A quick request of a service to a runner.
@@ -27,7 +27,7 @@
     Job,
 }
 
-/// An idempotency key with the service or team that named it.
+/// An idempotency key within the scope of a service or team.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{kind}/{scope}/{name}")]
 pub struct Key {
@@ -36,16 +36,16 @@
     name: String,
 }
 
-/// A key that cannot be used.
+/// Why a key is invalid.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
-    /// No service or team was named.
+    /// The service or team is empty.
     #[display("the service or team is empty")]
     EmptyScope,
     /// The service's or team's name is too long.
     #[display("the service or team is longer than {MAX_SCOPE_BYTES} bytes")]
     ScopeTooLong,
-    /// No key was given.
+    /// The key is empty.
     #[display("the idempotency key is empty")]
     EmptyName,
     /// The key is too long.
@@ -54,11 +54,11 @@
 }
 
 impl Key {
-    /// Builds a key of `kind` from the name of the service or team and its idempotency key.
+    /// Creates a key from the name of the service or team and the caller's idempotency key.
     ///
     /// # Errors
     ///
-    /// Fails when one of the names is empty or too long.
+    /// Fails if one of them is empty or too long.
     ///
     /// ```
     /// use oriolefork::intent::{Key, Kind};
@@ -76,12 +76,12 @@
         }
     }
 
-    /// What the key protects.
+    /// Kind of work that the key protects.
     pub fn kind(&self) -> Kind {
         self.kind
     }
 
-    /// The service or team that named it.
+    /// The service or team that the key belongs to.
     pub fn scope(&self) -> &str {
         &self.scope
     }
@@ -91,7 +91,7 @@
         &self.name
     }
 
-    /// Number of the partition that holds the key's records, the same at every instance.
+    /// Number of the partition with the key's records; the same at every instance.
     pub fn partition(&self) -> u16 {
         let mut hasher = Xxh3::new();
         hasher.update(&[self.kind as u8]);
@@ -102,7 +102,7 @@
         partition as u16
     }
 
-    /// Bytes of its names.
+    /// Length of the scope and name, in bytes.
     pub(super) fn len(&self) -> usize {
         self.scope.len() + self.name.len()
     }
@@ -113,16 +113,16 @@
 pub struct Request {
     /// The key.
     pub key: Key,
-    /// When the caller made the key; the same in each retry. See [`creation_time`].
+    /// Creation time of the key; the same in each retry. See [`creation_time`].
     pub created: Unix,
-    /// Fingerprint of the work, so that a key used for other work is noticed. See [`fingerprint`].
+    /// Fingerprint of the work, which reveals a key that is reused for other work. See
+    /// [`fingerprint`].
     pub fingerprint: u64,
-    /// Failure domain that takes the job, for a key of [`Kind::Job`].
+    /// Failure domain that is to take the job, for a key of [`Kind::Job`].
     pub domain: Option<domain::Name>,
 }
 
-/// Reads the creation time out of an idempotency key that is a version 7 UUID; `None` when it is
-/// something else.
+/// Creation time of an idempotency key that is a version 7 UUID; `None` for any other key.
 ///
 /// ```
 /// use oriolefork::clock::Unix;
@@ -140,7 +140,7 @@
     u64::from_str_radix(&digits[..UUID_TIME_DIGITS], 16).ok().map(Unix::from_millis)
 }
 
-/// Fingerprint of the work that a key stands for.
+/// Fingerprint of the work that is submitted under a key.
 pub fn fingerprint(work: &[u8]) -> u64 {
     xxh3_64(work)
 }
--- a/src/intent/machine.rs
+++ b/src/intent/machine.rs
@@ -1,4 +1,4 @@
-//! The decision logic of one instance over all partitions, without I/O.
+//! Decision logic of one instance for all partitions, without I/O.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,64 +8,64 @@
 use super::admission_decision::AdmissionDecision;
 use super::context::Context;
 use super::key::Request;
-use super::lane::Lane;
 use super::partition::Partition;
+use super::partition_client::PartitionClient;
 use super::policy::{PARTITIONS, Policy};
-use super::queue::Writer;
+use super::queue::WriterId;
 use super::record::Entry;
 use super::token_bucket::TokenBucket;
 use crate::clock::{Instant, Unix};
 use crate::store::{AppendOutcome, Offset, Page};
 
-/// Identity of a request at one instance, chosen by whoever runs the machine.
+/// Identity of a request at one machine, chosen by the machine's caller.
 pub type RequestId = u64;
 
-/// The present on both clocks.
+/// Current time on both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Now {
-    /// On the monotonic clock.
+    /// Monotonic clock.
     pub instant: Instant,
-    /// On the wall clock.
+    /// Wall clock.
     pub unix: Unix,
 }
 
-/// What happens to a machine.
+/// Input of a machine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Read every partition before the first request needs it.
+    /// Read every partition before the first request arrives.
     Preload,
-    /// A request wants to run.
+    /// A request asks to be executed.
     Submit {
-        /// Its identity here.
+        /// Identity of the request.
         request_id: RequestId,
         /// The request.
         request: Request,
-        /// How long it waits for the log.
+        /// How long it may wait for the log.
         timeout: Duration,
     },
-    /// A withdrawal or outcome is to be recorded.
+    /// A withdrawal or outcome to append to the log.
     Record(Entry),
     /// A call to the log has ended.
     CallEnded {
-        /// Partition it was made for.
+        /// Partition of the call.
         partition: u16,
-        /// What it gave.
+        /// Result of the call.
         call: CallResult,
     },
     /// Time has passed.
     Tick,
 }
 
-/// A call to the log that has ended.
+/// Result of a call to the log.
 #[derive(Clone, Debug)]
 pub enum CallResult {
-    /// An append, with its offset or what is known of its effect.
+    /// An append: its offset, or whether it may have been written.
     Append(Result<Offset, AppendOutcome>),
-    /// A read; `None` when it failed.
+    /// A read: the page, or `None` if it failed.
     Read(Option<Page>),
 }
 
-/// What a machine wants done.
+/// Action that the machine's caller has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Append a record to a partition's stream.
@@ -79,19 +79,19 @@
     Read {
         /// The partition.
         partition: u16,
-        /// First offset wanted.
+        /// First offset to read.
         from: Offset,
     },
-    /// Answer a request. Each submitted request is answered once.
+    /// Answer a request. Each submitted request is answered exactly once.
     Reply {
         /// The request.
         request_id: RequestId,
-        /// Its answer.
+        /// Answer to it.
         decision: AdmissionDecision,
     },
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Intents sent to the log.
@@ -100,32 +100,35 @@
     pub appends: u64,
     /// Reads made.
     pub reads: u64,
-    /// Appends whose answer did not tell whether they took effect.
+    /// Appends that failed without showing whether the record was written.
     pub unconfirmed: u64,
-    /// Batches that landed where the writer had read to: nothing came in between.
+    /// Batches written at the offset that their writer would have read next: no other writer
+    /// appended in between.
     pub contiguous: u64,
 }
 
-/// The decision logic of one instance.
+/// Decision logic of one instance.
 #[derive(Debug)]
 pub struct Machine {
-    lanes: Vec<Lane>,
-    writer: Writer,
+    clients: Vec<PartitionClient>,
+    writer: WriterId,
     budget: TokenBucket,
     stats: Stats,
 }
 
 impl Machine {
-    /// Starts a machine for the process `run` of the instance `name`.
+    /// Creates a machine for the instance `name`; `run` identifies the process.
     pub fn new(name: &str, run: u64, policy: Policy) -> Self {
         let budget = TokenBucket::new(policy.appends_per_second, policy.burst);
         let policy = Rc::new(policy);
-        let lanes = (0..PARTITIONS).map(|number| Lane::new(number, Rc::clone(&policy))).collect();
-        let writer = Writer { name: name.to_owned(), run, serial: 0 };
-        Self { lanes, writer, budget, stats: Stats::default() }
+        let clients = (0..PARTITIONS)
+            .map(|number| PartitionClient::new(number, Rc::clone(&policy)))
+            .collect();
+        let writer = WriterId { name: name.to_owned(), run, serial: 0 };
+        Self { clients, writer, budget, stats: Stats::default() }
     }
 
-    /// Takes one input and returns what is to be done.
+    /// Handles an input and returns the actions to perform.
     pub fn handle(&mut self, input: Input, now: Now) -> Vec<Effect> {
         let mut effects = Vec::new();
         let mut context = Context {
@@ -136,49 +139,49 @@
             effects: &mut effects,
         };
         match input {
-            Input::Preload => self.lanes.iter_mut().for_each(Lane::preload),
+            Input::Preload => self.clients.iter_mut().for_each(PartitionClient::preload),
             Input::Submit { request_id, request, timeout } => {
-                let lane = &mut self.lanes[usize::from(request.key.partition())];
-                lane.submit(request_id, request, timeout, &mut context);
+                let client = &mut self.clients[usize::from(request.key.partition())];
+                client.submit(request_id, request, timeout, &mut context);
             }
             Input::Record(entry) => {
-                let lane = &mut self.lanes[usize::from(entry.key().partition())];
-                lane.owe(entry, now.instant);
+                let client = &mut self.clients[usize::from(entry.key().partition())];
+                client.enqueue_record(entry, now.instant);
             }
             Input::CallEnded { partition, call } => {
-                let lane = &mut self.lanes[usize::from(partition)];
+                let client = &mut self.clients[usize::from(partition)];
                 match call {
-                    CallResult::Append(answer) => lane.appended(answer, &mut context),
-                    CallResult::Read(page) => lane.paged(page.as_ref(), &mut context),
+                    CallResult::Append(answer) => client.append_ended(answer, &mut context),
+                    CallResult::Read(page) => client.read_ended(page.as_ref(), &mut context),
                 }
             }
             Input::Tick => {}
         }
-        // The lane that has waited longest takes the scarce appends first.
-        let mut order: Vec<&mut Lane> = self.lanes.iter_mut().collect();
-        order.sort_by_key(|lane| lane.oldest());
-        for lane in order {
-            lane.advance(&mut context);
+        // Partitions share the append limit: the one that has waited longest goes first.
+        let mut order: Vec<&mut PartitionClient> = self.clients.iter_mut().collect();
+        order.sort_by_key(|client| client.oldest());
+        for client in order {
+            client.advance(&mut context);
         }
         effects
     }
 
-    /// When the machine wants a [`Input::Tick`] next.
+    /// Time by which the machine needs an [`Input::Tick`].
     pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
-        self.lanes.iter().filter_map(|lane| lane.next_wakeup(&self.budget, now)).min()
+        self.clients.iter().filter_map(|client| client.next_wakeup(&self.budget, now)).min()
     }
 
-    /// Whether nothing waits for the log.
+    /// Whether no request or record waits for the log.
     pub fn is_idle(&self) -> bool {
-        self.lanes.iter().all(Lane::is_idle)
+        self.clients.iter().all(PartitionClient::is_idle)
     }
 
-    /// What is known of each partition.
+    /// State of each partition.
     pub fn partitions(&self) -> impl Iterator<Item = &Partition> {
-        self.lanes.iter().map(Lane::partition)
+        self.clients.iter().map(PartitionClient::partition)
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn stats(&self) -> Stats {
         self.stats
     }
--- a/src/intent/mod.rs
+++ b/src/intent/mod.rs
@@ -1,31 +1,33 @@
-//! Runs non-idempotent work at most once by the caller's idempotency key.
+//! Runs non-idempotent work at most once per idempotency key.
 //!
-//! An intent goes into the log before the one try. The key alone chooses the stream, so that a
-//! retry through any instance of any failure domain meets the same record, and the first intent in
-//! log order wins. The outcome is appended afterwards. A key whose try may have run and whose
-//! outcome was never recorded stays unknown: it is told so and never tried again.
+//! Before the work runs, an intent is appended to the log. The key alone selects the stream, so a
+//! retry through any instance of any failure domain reads the same record, and the first intent in
+//! log order wins the key. The outcome is appended afterwards. If the work may have run but no
+//! outcome was recorded, retries are answered that the outcome is unknown, and the work never runs
+//! again.
 //!
-//! [`Partition`] is what the records of one stream mean, [`Machine`] decides when to append and to
-//! read and what to answer, both without I/O; [`Deduplicator`] runs the machine over a
-//! [`Store`](crate::store::Store). `docs/design/intent.md` weighs the ways.
+//! [`Partition`] derives the state of the keys from the records of one stream. [`Machine`] decides
+//! when to append and read, and how to answer requests. Neither does any I/O: [`Deduplicator`] runs
+//! the machine over a [`Store`](crate::store::Store). `docs/design/intent.md` compares this design
+//! with its alternatives.
 
 mod admission_decision;
 mod context;
 mod deduplicator;
 mod domain_binding;
-mod flight;
+mod in_flight;
 mod key;
-mod lane;
+mod key_table;
 mod machine;
 mod partition;
+mod partition_client;
 mod permit;
 mod policy;
 mod queue;
 mod record;
-mod slots;
 mod token_bucket;
 mod wire;
-mod withdrawn;
+mod withdrawn_attempts;
 
 pub use self::admission_decision::{AdmissionDecision, Refusal};
 pub use self::deduplicator::{Admission, Deduplicator, Driver};
--- a/src/intent/partition.rs
+++ b/src/intent/partition.rs
@@ -1,94 +1,96 @@
-//! What the records of one stream mean: the pure state that every reader builds alike.
+//! State of the idempotency keys of one stream, derived from its records alone. Every instance
+//! that reads the same records derives the same winners.
 
 use std::rc::Rc;
 
 use derive_more::Display;
 
 use super::key::Key;
+use super::key_table::KeyTable;
 use super::policy::Policy;
 use super::record::{AttemptId, Batch, Entry, ExecutionOutcome, Intent};
-use super::slots::Slots;
 use super::wire;
-use super::withdrawn::Withdrawn;
+use super::withdrawn_attempts::WithdrawnAttempts;
 use crate::clock::Unix;
 use crate::domain;
 use crate::store::{Offset, Page};
 
 /// The keys of one stream.
 ///
-/// A key is admitted only when no record of it can be missing here. `incomplete_until` is what makes that
-/// sure: every intent that this reader does not hold, because the log dropped it, because it could
-/// not be decoded or because memory ran out, names a creation time of at most `incomplete_until`.
+/// A new key is admitted only if no record of it can be missing. `incomplete_until` guarantees
+/// that: every intent that is missing here, because the log dropped it, it could not be decoded or
+/// memory ran short, has a creation time of at most `incomplete_until`.
 #[derive(Debug)]
 pub struct Partition {
     number: u16,
     policy: Rc<Policy>,
     next_offset: Offset,
+    /// Every record below this offset was applied or is covered by `incomplete_until`.
     accounted_until: Offset,
     incomplete_until: Unix,
     latest_created: Unix,
-    slots: Slots,
-    withdrawn: Withdrawn,
+    keys: KeyTable,
+    withdrawn: WithdrawnAttempts,
 }
 
-/// The state of a key that a request has won.
+/// State of a key that a request has won.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("attempt {attempt} of {writer}: {progress}")]
 pub struct KeyState {
     /// The request that won the key.
     pub attempt: AttemptId,
-    /// Name of the instance that tried it.
+    /// Name of the instance that wrote the attempt.
     pub writer: String,
-    /// Fingerprint of its work; `None` when only its outcome was read.
+    /// Fingerprint of the work; `None` if only the outcome was read.
     pub fingerprint: Option<u64>,
     /// Failure domain that takes the job.
     pub domain: Option<domain::Name>,
-    /// How far it is known to have come.
+    /// Whether the outcome is recorded.
     pub progress: Progress,
 }
 
-/// How far a won key is known to have come.
+/// Progress of a key that a request has won.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Progress {
-    /// Its try may be under way, may have run or may never have started; no outcome is recorded.
+    /// No outcome is recorded: the work may be running, may have run or may never have started.
     #[display("outcome unknown")]
     Unknown,
-    /// Its outcome is recorded.
+    /// The outcome is recorded.
     #[display("outcome recorded")]
     Done(ExecutionOutcome),
 }
 
-/// What became of an intent at its place in the stream.
+/// Result of applying an intent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IntentResult {
     /// The attempt.
     pub attempt: AttemptId,
-    /// What became of it.
+    /// Whether it won its key.
     pub status: IntentStatus,
 }
 
-/// What became of an intent.
+/// Whether an intent won its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IntentStatus {
-    /// It is the first for its key.
+    /// It is the first intent for its key in log order.
     Won,
-    /// Another attempt holds the key, or this one was withdrawn before.
+    /// Another attempt holds the key, or this attempt was withdrawn before.
     Lost,
-    /// Records of its key may be missing.
+    /// Earlier records of the key may be missing.
     Expired,
 }
 
-/// What a page has brought.
+/// Result of applying a page.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AppliedPage {
-    /// Identities of its batches.
+    /// Identities of the page's batches.
     pub batches: Vec<AttemptId>,
-    /// What became of each intent.
+    /// Result of each intent.
     pub intents: Vec<IntentResult>,
 }
 
 impl AppliedPage {
-    /// What became of an intent of this page.
+    /// Status of an intent of this page.
     pub(super) fn status(&self, attempt: AttemptId) -> IntentStatus {
         let intent = self.intents.iter().find(|intent| intent.attempt == attempt);
         intent.map_or(IntentStatus::Lost, |intent| intent.status)
@@ -96,7 +98,7 @@
 }
 
 impl KeyState {
-    /// Whether its outcome is recorded.
+    /// Whether the key's outcome is recorded.
     pub fn is_done(&self) -> bool {
         matches!(self.progress, Progress::Done(_))
     }
@@ -105,40 +107,40 @@
 /// A page that cannot be applied.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
-    /// The page holds other records than those asked for.
+    /// The page does not start at the requested offset, or skips an offset.
     #[display("step=intent.apply cause=\"page starts at {found} instead of {expected}\"")]
     UnexpectedOffset {
-        /// Offset that was due.
+        /// Expected offset.
         expected: Offset,
-        /// Offset that came.
+        /// Offset in the page.
         found: Offset,
     },
     /// The page belongs to another stream.
     #[display("step=intent.apply cause=\"page of partition {_0}\"")]
     WrongPartition(#[error(not(source))] u16),
-    /// The log ends before a record that was read from it.
-    #[display("step=intent.apply cause=\"the log ends at {_0}, before what was read\"")]
+    /// The log ends before the offset up to which it was read, so it has lost records.
+    #[display("step=intent.apply cause=\"the log ends at {_0}, before the offset already read\"")]
     Truncated(#[error(not(source))] Offset),
 }
 
-/// One record of a page, decoded or not.
-struct Line {
+/// A record of a page; `batch` is `None` if it could not be decoded.
+struct PageRecord {
     offset: Offset,
     batch: Option<Batch>,
 }
 
 impl Partition {
-    /// Starts with nothing read.
+    /// Creates a partition that has read nothing.
     pub fn new(number: u16, policy: Rc<Policy>) -> Self {
         Self {
             number,
-            withdrawn: Withdrawn::new(policy.max_withdrawn),
+            withdrawn: WithdrawnAttempts::new(policy.max_withdrawn),
             policy,
             next_offset: 0,
             accounted_until: 0,
             incomplete_until: Unix::default(),
             latest_created: Unix::default(),
-            slots: Slots::default(),
+            keys: KeyTable::default(),
         }
     }
 
@@ -152,84 +154,90 @@
         self.next_offset
     }
 
-    /// Creation time up to which keys that are not held may have had a record.
+    /// Creation time up to which records of keys may be missing here.
     pub fn incomplete_until(&self) -> Unix {
         self.incomplete_until
     }
 
-    /// Latest creation time of any intent below [`next_offset`](Self::next_offset).
+    /// Upper bound on the creation time of every intent below [`next_offset`](Self::next_offset),
+    /// including missing ones.
     pub fn latest_created(&self) -> Unix {
         self.latest_created.max(self.incomplete_until)
     }
 
-    /// Number of keys held.
+    /// Number of keys in memory.
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.keys.len()
     }
 
-    /// Whether no key is held.
+    /// Whether no key is in memory.
     pub fn is_empty(&self) -> bool {
-        self.slots.len() == 0
+        self.keys.len() == 0
     }
 
-    /// Memory that the keys take, in bytes, as counted against the policy.
+    /// Estimated memory use of the keys in bytes, limited by [`Policy::max_partition_bytes`].
     pub fn bytes(&self) -> usize {
-        self.slots.bytes()
+        self.keys.bytes()
     }
 
-    /// Whether every record of a key of that age is known here.
+    /// Whether no record of a key created at `created` can be missing here.
     pub fn admits(&self, created: Unix) -> bool {
         created > self.incomplete_until
     }
 
     /// Whether an attempt holds `key`.
     pub fn is_held(&self, key: &Key) -> bool {
-        self.slots.holder(key).is_some()
+        self.keys.holder(key).is_some()
     }
 
-    /// The state of `key`; `None` when no attempt holds it.
+    /// State of `key`; `None` if no attempt holds it.
     pub fn state(&self, key: &Key) -> Option<KeyState> {
-        let slot = self.slots.get(key)?;
-        let attempt = slot.holder?;
-        let progress = slot.outcome.clone().map_or(Progress::Unknown, Progress::Done);
+        let record = self.keys.get(key)?;
+        let attempt = record.holder?;
+        let progress = record.outcome.clone().map_or(Progress::Unknown, Progress::Done);
         Some(KeyState {
             attempt,
-            writer: slot.writer.to_string(),
-            fingerprint: slot.fingerprint,
-            domain: slot.domain.clone(),
+            writer: record.writer.to_string(),
+            fingerprint: record.fingerprint,
+            domain: record.domain.clone(),
             progress,
         })
     }
 
-    /// Leaves out the records before `offset`, as if the log had dropped them.
+    /// Skips the records before `offset`, as if the log had dropped them.
     pub fn skip_to(&mut self, offset: Offset) {
         self.next_offset = self.next_offset.max(offset);
     }
 
-    /// Applies a page read from [`next_offset`](Self::next_offset) and tells what became of each intent in it.
+    /// Applies a page read from [`next_offset`](Self::next_offset) and returns the result of each
+    /// intent in it.
     ///
-    /// `now` bounds the creation times of records that are missing without a witness.
+    /// `now` bounds the creation times of missing records if no later record does.
     ///
     /// # Errors
     ///
-    /// Fails on a page that is not the continuation of what was read; nothing of it is applied.
+    /// Fails if the page does not continue where the last one ended; nothing of it is applied then.
     pub fn apply(&mut self, page: &Page, now: Unix) -> Result<AppliedPage, Error> {
         if page.end < self.next_offset {
-            self.rewind(now);
+            self.reset(now);
             return Err(Error::Truncated(page.end));
         }
-        let lines = self.decode(page)?;
+        let records = self.decode(page)?;
         if page.oldest > self.next_offset {
             self.next_offset = page.oldest;
         }
-        self.close_gap(self.next_offset, &lines, self.dropped_floor(page.oldest, now));
+        self.account_for_gap(self.next_offset, &records, self.dropped_until(page.oldest, now));
         let mut applied = AppliedPage::default();
-        for (index, line) in lines.iter().enumerate() {
-            self.next_offset = line.offset + 1;
-            match &line.batch {
+        for (index, record) in records.iter().enumerate() {
+            self.next_offset = record.offset + 1;
+            match &record.batch {
                 Some(batch) => self.apply_batch(batch, &mut applied),
-                // An unreadable record may hold any key, so it counts as missing.
-                None => self.close_gap(self.next_offset, &lines[index + 1..], self.latest(now)),
+                // An undecodable record may contain any key, so it counts as missing.
+                None => self.account_for_gap(
+                    self.next_offset,
+                    &records[index + 1..],
+                    self.latest_creation(now),
+                ),
             }
             self.accounted_until = self.next_offset;
         }
@@ -237,51 +245,52 @@
         Ok(applied)
     }
 
-    /// Decodes a page and checks that it continues what was read.
-    fn decode(&self, page: &Page) -> Result<Vec<Line>, Error> {
+    /// Decodes a page and checks that it continues where the last one ended.
+    fn decode(&self, page: &Page) -> Result<Vec<PageRecord>, Error> {
         let first = self.next_offset.max(page.oldest);
-        let mut lines = Vec::with_capacity(page.records.len());
+        let mut records = Vec::with_capacity(page.records.len());
         for (expected, record) in (first..).zip(&page.records) {
             if record.offset != expected {
                 return Err(Error::UnexpectedOffset { expected, found: record.offset });
             }
             let batch = wire::decode(&record.payload).ok();
-            if let Some(crossed) = batch.as_ref().filter(|batch| batch.partition != self.number) {
-                return Err(Error::WrongPartition(crossed.partition));
+            if let Some(foreign) = batch.as_ref().filter(|batch| batch.partition != self.number) {
+                return Err(Error::WrongPartition(foreign.partition));
             }
-            lines.push(Line { offset: record.offset, batch });
+            records.push(PageRecord { offset: record.offset, batch });
         }
-        Ok(lines)
+        Ok(records)
     }
 
-    /// Accounts for the records between `known` and `end` that this reader will never see.
+    /// Raises `incomplete_until` to cover the missing records between `accounted_until` and `end`.
     ///
-    /// Guards against a second run of a key whose record the log has dropped, which would show as
-    /// a fresh key. A later writer that had taken account of all of them wrote the latest creation
-    /// time among them into its record, so no missing intent is younger than that. Without such a
-    /// witness `otherwise` bounds them.
-    fn close_gap(&mut self, end: Offset, later: &[Line], otherwise: Unix) {
+    /// Otherwise a key whose record the log has dropped would look new, and its work would run
+    /// again. A later batch whose writer had read all of the missing records bounds their creation
+    /// times by its `latest_created`; if the page has no such batch, `fallback` is the bound.
+    fn account_for_gap(&mut self, end: Offset, later: &[PageRecord], fallback: Unix) {
         if end <= self.accounted_until {
             return;
         }
-        let witness = later
+        let bound = later
             .iter()
-            .filter_map(|line| line.batch.as_ref())
+            .filter_map(|record| record.batch.as_ref())
             .filter(|batch| batch.read_until >= end)
             .map(|batch| batch.latest_created)
             .min();
-        self.incomplete_until = self.incomplete_until.max(witness.unwrap_or(otherwise));
+        self.incomplete_until = self.incomplete_until.max(bound.unwrap_or(fallback));
         self.accounted_until = end;
     }
 
-    /// Latest creation time that a record written up to now can name.
-    fn latest(&self, now: Unix) -> Unix {
+    /// Latest creation time that a record written until `now` can contain, allowing for clock skew.
+    fn latest_creation(&self, now: Unix) -> Unix {
         now.after(self.policy.max_clock_skew)
     }
 
-    /// Latest creation time among records that were dropped, when no witness tells it.
-    fn dropped_floor(&self, oldest: Offset, now: Unix) -> Unix {
-        let latest = self.latest(now);
+    /// Upper bound on the creation time of dropped records, for use if no later batch bounds it.
+    ///
+    /// The log's retention limits it only if the log dropped the records, not if `skip_to` did.
+    fn dropped_until(&self, oldest: Offset, now: Unix) -> Unix {
+        let latest = self.latest_creation(now);
         if self.next_offset > oldest {
             return latest;
         }
@@ -289,11 +298,11 @@
         Unix::from_millis(latest.as_millis().saturating_sub(kept))
     }
 
-    /// Starts over on a log that lost records, keeping what was learnt from it.
-    fn rewind(&mut self, now: Unix) {
+    /// Restarts reading after the log has lost records. Keys already read are kept.
+    fn reset(&mut self, now: Unix) {
         self.next_offset = 0;
         self.accounted_until = 0;
-        self.incomplete_until = self.incomplete_until.max(self.latest(now));
+        self.incomplete_until = self.incomplete_until.max(self.latest_creation(now));
     }
 
     fn apply_batch(&mut self, batch: &Batch, applied: &mut AppliedPage) {
@@ -305,9 +314,10 @@
                     applied.intents.push(self.apply_intent(intent, &writer));
                 }
                 Entry::Withdrawal { attempt, key } => self.apply_withdrawal(*attempt, key),
-                // Only the one try of a key has an outcome, so it counts whoever is held to have won.
+                // Only the attempt that ran has an outcome, so it counts even if another attempt
+                // holds the key here.
                 Entry::Outcome { attempt, key, created, outcome } => {
-                    self.slots.conclude(*attempt, key, *created, outcome, &writer);
+                    self.keys.record_outcome(*attempt, key, *created, outcome, &writer);
                 }
             }
         }
@@ -315,18 +325,18 @@
 
     fn apply_intent(&mut self, intent: &Intent, writer: &Rc<str>) -> IntentResult {
         self.latest_created = self.latest_created.max(intent.created);
-        let status = self.judge(intent);
+        let status = self.intent_status(intent);
         match status {
-            IntentStatus::Won => self.slots.hold(intent, writer),
+            IntentStatus::Won => self.keys.hold(intent, writer),
             IntentStatus::Lost | IntentStatus::Expired => {
-                self.slots.touch(&intent.key, intent.created, writer);
+                self.keys.record_creation_time(&intent.key, intent.created, writer);
             }
         }
         IntentResult { attempt: intent.attempt, status }
     }
 
-    fn judge(&self, intent: &Intent) -> IntentStatus {
-        let held = self.slots.holder(&intent.key).is_some();
+    fn intent_status(&self, intent: &Intent) -> IntentStatus {
+        let held = self.keys.holder(&intent.key).is_some();
         if held || self.withdrawn.contains(intent.attempt) {
             IntentStatus::Lost
         } else if self.admits(intent.created) {
@@ -336,31 +346,31 @@
         }
     }
 
-    /// A withdrawal counts wherever it stands: its intent may reach the log only later, when the
-    /// append's answer was lost while the write was still on its way, and must not block the key.
+    /// Applies a withdrawal, which may precede its intent in the log: if the append timed out while
+    /// the write was delayed, the intent is written later and must not block the key.
     fn apply_withdrawal(&mut self, attempt: AttemptId, key: &Key) {
         self.withdrawn.insert(attempt);
-        self.slots.free(attempt, key);
+        self.keys.release(attempt, key);
     }
 
-    /// Forgets keys that are past their window, and the oldest ones while memory is short.
+    /// Removes keys older than `max_key_age`, and the oldest keys while memory is over its limit.
     ///
-    /// Once a key that was won is forgotten, no older key is admitted any more.
+    /// After a held key is removed, keys created up to its creation time are no longer admitted.
     fn evict(&mut self, now: Unix) {
-        while self.is_crowded() || self.is_oldest_past(now) {
-            let Some(slot) = self.slots.forget_oldest() else { return };
-            if slot.holder.is_some() {
-                self.incomplete_until = self.incomplete_until.max(slot.created);
+        while self.is_full() || self.is_oldest_expired(now) {
+            let Some(record) = self.keys.remove_oldest() else { return };
+            if record.holder.is_some() {
+                self.incomplete_until = self.incomplete_until.max(record.created);
             }
         }
     }
 
-    fn is_crowded(&self) -> bool {
-        self.slots.bytes() > self.policy.max_partition_bytes
+    fn is_full(&self) -> bool {
+        self.keys.bytes() > self.policy.max_partition_bytes
     }
 
-    fn is_oldest_past(&self, now: Unix) -> bool {
-        let window = self.policy.max_key_age + self.policy.max_clock_skew;
-        self.slots.oldest().is_some_and(|slot| now.since(slot.created) > window)
+    fn is_oldest_expired(&self, now: Unix) -> bool {
+        let max_age = self.policy.max_key_age + self.policy.max_clock_skew;
+        self.keys.oldest().is_some_and(|record| now.since(record.created) > max_age)
     }
 }
--- a/src/intent/permit.rs
+++ b/src/intent/permit.rs
@@ -1,4 +1,4 @@
-//! The right to one try, and its end.
+//! Permits to run a request once, and the recording of its outcome.
 
 use local_sync::mpsc::unbounded::Tx;
 
@@ -7,7 +7,7 @@
 use super::record::{AttemptId, Entry, ExecutionOutcome};
 use crate::clock::Unix;
 
-/// What a permit and a try stand for.
+/// A key that was won, until its withdrawal or outcome is recorded.
 #[derive(Debug)]
 struct Claim {
     attempt: AttemptId,
@@ -15,26 +15,26 @@
     created: Unix,
 }
 
-/// The right to try a key once.
+/// Permission to run the work of a key once.
 ///
-/// Dropping it unused gives the key back: the withdrawal is recorded, and a retry may win.
+/// Dropping it unused releases the key: a withdrawal is recorded, and a retry may run.
 pub struct Permit {
     attempt: AttemptId,
     claim: Option<Claim>,
-    home: Tx<Message>,
+    sender: Tx<Message>,
 }
 
-/// The one try of a key. From here on its work may have run.
+/// The only execution of a key's work, which may have run from now on.
 ///
-/// Dropping it without [`finish`](Self::finish) records that its outcome was lost.
+/// Dropping it without [`finish`](Self::finish) records [`ExecutionOutcome::ResponseLost`].
 pub struct Execution {
     claim: Option<Claim>,
-    home: Tx<Message>,
+    sender: Tx<Message>,
 }
 
 impl Permit {
-    pub(super) fn new(attempt: AttemptId, key: Key, created: Unix, home: Tx<Message>) -> Self {
-        Self { attempt, claim: Some(Claim { attempt, key, created }), home }
+    pub(super) fn new(attempt: AttemptId, key: Key, created: Unix, sender: Tx<Message>) -> Self {
+        Self { attempt, claim: Some(Claim { attempt, key, created }), sender }
     }
 
     /// Identity of the attempt, unique among all instances.
@@ -42,33 +42,33 @@
         self.attempt
     }
 
-    /// Lets the intent stand without a try here, as for a job that others may hand over as well.
-    pub(super) fn keep(mut self) {
+    /// Keeps the key claimed without an execution, for a job that other instances may submit too.
+    pub(super) fn retain_intent(mut self) {
         self.claim = None;
     }
 
-    /// Begins the try; call it before the first byte of the work may leave.
+    /// Starts the execution. Must be called before the first byte of the work may be sent.
     pub fn start(mut self) -> Execution {
-        Execution { claim: self.claim.take(), home: self.home.clone() }
+        Execution { claim: self.claim.take(), sender: self.sender.clone() }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
         let Some(Claim { attempt, key, .. }) = self.claim.take() else { return };
-        send(&self.home, Entry::Withdrawal { attempt, key });
+        send(&self.sender, Entry::Withdrawal { attempt, key });
     }
 }
 
 impl Execution {
-    /// Records how the try ended. The record is written soon; a caller need not wait for it.
+    /// Records the outcome of the execution. Does not wait until the record is written.
     pub fn finish(mut self, outcome: ExecutionOutcome) {
         self.record(outcome);
     }
 
     fn record(&mut self, outcome: ExecutionOutcome) {
         let Some(Claim { attempt, key, created }) = self.claim.take() else { return };
-        send(&self.home, Entry::Outcome { attempt, key, created, outcome });
+        send(&self.sender, Entry::Outcome { attempt, key, created, outcome });
     }
 }
 
@@ -78,9 +78,10 @@
     }
 }
 
-/// A deduplicator that has ended takes no record any more; the key then stays unknown to retries.
-fn send(home: &Tx<Message>, entry: Entry) {
-    if home.send(Message::Record(entry)).is_err() {
+/// Sends a record to the task. If the task has ended, the record is lost and the outcome of the
+/// key stays unknown to retries.
+fn send(sender: &Tx<Message>, entry: Entry) {
+    if sender.send(Message::Record(entry)).is_err() {
         log::warn!("event=intent.record_lost cause=\"the deduplicator has ended\"");
     }
 }
--- a/src/intent/policy.rs
+++ b/src/intent/policy.rs
@@ -1,50 +1,53 @@
-//! Limits and delays.
+//! Limits and delays of the deduplication.
 
 use std::time::Duration;
 
-/// Number of streams that share the keys.
+/// Number of streams over which the keys are partitioned.
 ///
-/// It is part of where a key's record lies: two instances with different numbers would not meet.
+/// It determines the stream of a key: instances with different values would use different streams
+/// for the same key.
 pub const PARTITIONS: u16 = 2;
 
-/// Limits and delays of the intents of one instance.
+/// Limits and delays of the deduplication at one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Appends a second that the instance may make for intents, on average.
+    /// Average number of appends per second.
     pub appends_per_second: u32,
-    /// Appends that a quiet instance may make at once.
+    /// Number of appends that an idle instance may make at once.
     pub burst: u32,
-    /// How long an intent waits for others to share its append.
+    /// How long an intent waits for other entries to share its append.
     pub linger: Duration,
-    /// How long outcomes wait for an intent to share its append.
+    /// How long outcomes and withdrawals wait for an intent to share its append.
     pub outcome_delay: Duration,
-    /// Size of one record in the log.
+    /// Maximum size of a batch in the log, in bytes.
     pub max_batch_bytes: usize,
-    /// Requests that may wait for their append in one partition.
+    /// Maximum number of requests that wait for an append in one partition.
     pub max_waiting: usize,
-    /// Outcomes and withdrawals that may wait for their append in one partition.
+    /// Maximum number of outcomes and withdrawals that wait for an append in one partition.
     pub max_pending_records: usize,
-    /// How long a batch whose append was answered badly is looked for.
+    /// How long after its append a batch may take to be read back from the log.
     pub confirm_timeout: Duration,
-    /// Pause before the log is read or appended to again after it failed or had nothing new.
+    /// Pause before the next call to the log after a failed call, or after a read that did not
+    /// return the batch in flight.
     pub retry_pause: Duration,
-    /// How long one call to the log may take.
+    /// Timeout of a call to the log.
     pub call_timeout: Duration,
-    /// Failed calls in a row after which requests are refused at once.
+    /// Consecutive failed calls after which requests are refused at once.
     pub max_failures: u32,
     /// Age beyond which a key is refused.
     pub max_key_age: Duration,
-    /// Time for which the log surely keeps a record; zero when that is not known.
+    /// Minimum time for which the log keeps a record; zero if unknown.
     pub retention: Duration,
-    /// How far the clocks of callers and instances may lie apart.
+    /// Maximum difference between the clocks of callers and instances.
     pub max_clock_skew: Duration,
-    /// Memory for the keys of one partition.
+    /// Memory limit for the keys of one partition, in bytes.
     pub max_partition_bytes: usize,
-    /// Newest records that an instance reads of a partition when it first needs it.
+    /// Maximum number of records, counted from the newest, in an instance's first read of a
+    /// partition.
     pub max_initial_records: u64,
-    /// Withdrawn attempts that a partition remembers.
+    /// Maximum number of withdrawn attempts that a partition keeps.
     pub max_withdrawn: usize,
-    /// Longest answer that is kept whole for retries.
+    /// Maximum length of a response body that is recorded in full for retries, in bytes.
     pub max_response_bytes: usize,
 }
 
--- a/src/intent/queue.rs
+++ b/src/intent/queue.rs
@@ -1,4 +1,4 @@
-//! What waits at one instance for the next append of a partition.
+//! Requests and records that wait at one instance for the next append to a partition.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -9,64 +9,64 @@
 use super::record::{AttemptId, Entry, Intent};
 use crate::clock::Instant;
 
-/// Identity of the process that writes.
+/// Identity of the process that writes, and the serial number of its last attempt.
 #[derive(Debug)]
-pub(super) struct Writer {
+pub(super) struct WriterId {
     pub(super) name: String,
     pub(super) run: u64,
     pub(super) serial: u64,
 }
 
-/// How much of the log a request knows to have been read.
+/// How far the log has been read since a request arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Coverage {
-    /// Nothing since it arrived.
-    None,
-    /// A read is under way that began after it arrived.
-    Begun,
-    /// All that the log held when it arrived.
-    Whole,
+pub(super) enum ReadProgress {
+    /// No read has begun since the request arrived.
+    NotStarted,
+    /// A read that began after the request arrived has not reached the log's end yet.
+    Started,
+    /// Every record that the log held when the request arrived has been read.
+    Complete,
 }
 
-/// A request that is not answered yet.
+/// An unanswered request.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct WaitingRequest {
     pub(super) request_id: RequestId,
     pub(super) request: Request,
     pub(super) arrived: Instant,
     pub(super) deadline: Instant,
-    pub(super) coverage: Coverage,
+    pub(super) read_progress: ReadProgress,
 }
 
-/// A withdrawal or outcome that must reach the log some time.
+/// A withdrawal or outcome to append to the log.
 #[derive(Debug)]
-pub(super) struct Owed {
+pub(super) struct PendingRecord {
     pub(super) entry: Entry,
     pub(super) since: Instant,
 }
 
-/// What goes into one batch.
-pub(super) struct Load {
-    pub(super) owed: Vec<Owed>,
-    pub(super) intents: Vec<(AttemptId, Waiting)>,
+/// Records and requests for one batch.
+pub(super) struct BatchContents {
+    pub(super) pending: Vec<PendingRecord>,
+    pub(super) intents: Vec<(AttemptId, WaitingRequest)>,
 }
 
-/// Requests and records in order of arrival.
+/// Waiting requests and pending records, each in order of arrival.
 #[derive(Debug)]
 pub(super) struct Queue {
-    pub(super) waiting: VecDeque<Waiting>,
-    owed: VecDeque<Owed>,
+    pub(super) waiting: VecDeque<WaitingRequest>,
+    pending: VecDeque<PendingRecord>,
     policy: Rc<Policy>,
 }
 
-impl Writer {
-    pub(super) fn next(&mut self) -> AttemptId {
+impl WriterId {
+    pub(super) fn next_attempt(&mut self) -> AttemptId {
         self.serial += 1;
         AttemptId { run: self.run, serial: self.serial }
     }
 }
 
-impl Waiting {
+impl WaitingRequest {
     fn intent(&self, attempt: AttemptId) -> Entry {
         let request = &self.request;
         Entry::Intent(Intent {
@@ -78,107 +78,110 @@
         })
     }
 
-    /// Upper estimate of its intent's size.
+    /// Upper bound on the encoded size of the request's intent, in bytes.
     fn len(&self) -> usize {
         self.intent(AttemptId { run: 0, serial: 0 }).len()
     }
 }
 
-impl Load {
-    /// The batch's entries. Withdrawals go first, so that a retry in the same batch can win.
+impl BatchContents {
+    /// Entries of the batch. Withdrawals precede intents so that a retry in the same batch can win.
     pub(super) fn entries(&self) -> Vec<Entry> {
-        let owed = self.owed.iter().map(|owed| owed.entry.clone());
+        let pending = self.pending.iter().map(|pending| pending.entry.clone());
         let intents = self.intents.iter().map(|(attempt, waiting)| waiting.intent(*attempt));
-        owed.chain(intents).collect()
+        pending.chain(intents).collect()
     }
 }
 
 impl Queue {
     pub(super) fn new(policy: Rc<Policy>) -> Self {
-        Self { waiting: VecDeque::new(), owed: VecDeque::new(), policy }
+        Self { waiting: VecDeque::new(), pending: VecDeque::new(), policy }
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.waiting.is_empty() && self.owed.is_empty()
+        self.waiting.is_empty() && self.pending.is_empty()
     }
 
-    pub(super) fn is_crowded(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.waiting.len() >= self.policy.max_waiting
     }
 
-    /// When the oldest of all began to wait.
+    /// Time at which the oldest request or record was queued.
     pub(super) fn oldest(&self) -> Option<Instant> {
         let request = self.waiting.front().map(|waiting| waiting.arrived);
-        let record = self.owed.front().map(|owed| owed.since);
+        let record = self.pending.front().map(|pending| pending.since);
         request.into_iter().chain(record).min()
     }
 
-    /// When the next batch is to be appended.
+    /// Time at which the next batch is to be appended; `None` while the queue is empty.
     pub(super) fn due(&self, now: Instant) -> Option<Instant> {
         let request = self.waiting.front().map(|waiting| waiting.arrived.after(self.policy.linger));
-        let record = self.owed.front().map(|owed| owed.since.after(self.policy.outcome_delay));
+        let record =
+            self.pending.front().map(|pending| pending.since.after(self.policy.outcome_delay));
         let due = request.into_iter().chain(record).min()?;
-        Some(if self.is_crowded() { now } else { due })
+        Some(if self.is_full() { now } else { due })
     }
 
-    /// Adds a record; when too many are owed, the oldest is given up, whose key then stays unknown
-    /// to retries.
-    pub(super) fn owe(&mut self, owed: Owed) {
-        self.owed.push_back(owed);
-        self.trim_owed();
+    /// Adds a record. Beyond `max_pending_records`, drops the oldest record; the outcome of its key
+    /// then stays unknown to retries.
+    pub(super) fn enqueue_record(&mut self, pending: PendingRecord) {
+        self.pending.push_back(pending);
+        self.trim_pending();
     }
 
-    /// Puts records back whose batch did not reach the log.
-    pub(super) fn owe_again(&mut self, owed: Vec<Owed>) {
-        for record in owed.into_iter().rev() {
-            self.owed.push_front(record);
+    /// Puts back the records of a batch that was not confirmed in the log.
+    pub(super) fn requeue(&mut self, pending: Vec<PendingRecord>) {
+        for record in pending.into_iter().rev() {
+            self.pending.push_front(record);
         }
-        self.trim_owed();
+        self.trim_pending();
     }
 
-    fn trim_owed(&mut self) {
-        let excess = self.owed.len().saturating_sub(self.policy.max_pending_records);
-        self.owed.drain(..excess);
+    fn trim_pending(&mut self) {
+        let excess = self.pending.len().saturating_sub(self.policy.max_pending_records);
+        self.pending.drain(..excess);
     }
 
-    /// Notes that a read begins.
+    /// Marks the waiting requests when a read begins.
     pub(super) fn begin_read(&mut self) {
         for waiting in &mut self.waiting {
-            if waiting.coverage == Coverage::None {
-                waiting.coverage = Coverage::Begun;
+            if waiting.read_progress == ReadProgress::NotStarted {
+                waiting.read_progress = ReadProgress::Started;
             }
         }
     }
 
-    /// Notes that the log was read to its end.
+    /// Marks the waiting requests when the log has been read to its end.
     pub(super) fn caught_up(&mut self) {
         for waiting in &mut self.waiting {
-            if waiting.coverage == Coverage::Begun {
-                waiting.coverage = Coverage::Whole;
+            if waiting.read_progress == ReadProgress::Started {
+                waiting.read_progress = ReadProgress::Complete;
             }
         }
     }
 
-    /// Takes as much as fits one batch, at least one entry.
-    pub(super) fn take(&mut self, writer: &mut Writer) -> Load {
-        let mut room = self.policy.max_batch_bytes;
-        let mut load = Load { owed: Vec::new(), intents: Vec::new() };
-        while let Some(owed) = self.owed.front() {
-            let length = owed.entry.len();
-            if length > room && !load.owed.is_empty() {
-                return load;
+    /// Takes the entries for one batch: as many as fit `max_batch_bytes`, but at least one.
+    pub(super) fn take(&mut self, writer: &mut WriterId) -> BatchContents {
+        let mut remaining = self.policy.max_batch_bytes;
+        let mut contents = BatchContents { pending: Vec::new(), intents: Vec::new() };
+        while let Some(pending) = self.pending.front() {
+            let length = pending.entry.len();
+            if length > remaining && !contents.pending.is_empty() {
+                return contents;
             }
-            room = room.saturating_sub(length);
-            load.owed.extend(self.owed.pop_front());
+            remaining = remaining.saturating_sub(length);
+            contents.pending.extend(self.pending.pop_front());
         }
         while let Some(waiting) = self.waiting.front() {
             let length = waiting.len();
-            if length > room && !(load.owed.is_empty() && load.intents.is_empty()) {
-                return load;
+            if length > remaining && !(contents.pending.is_empty() && contents.intents.is_empty()) {
+                return contents;
             }
-            room = room.saturating_sub(length);
-            load.intents.extend(self.waiting.pop_front().map(|waiting| (writer.next(), waiting)));
+            remaining = remaining.saturating_sub(length);
+            contents
+                .intents
+                .extend(self.waiting.pop_front().map(|waiting| (writer.next_attempt(), waiting)));
         }
-        load
+        contents
     }
 }
--- a/src/intent/record.rs
+++ b/src/intent/record.rs
@@ -1,4 +1,4 @@
-//! What a partition's records say.
+//! Contents of a partition's records.
 
 use bytes::Bytes;
 use derive_more::Display;
@@ -10,59 +10,59 @@
 use crate::domain;
 use crate::store::Offset;
 
-/// Longest content type that is kept of an answer, in bytes.
+/// Maximum length of a recorded content type, in bytes. Longer ones are truncated.
 const CONTENT_TYPE_BYTES: usize = 128;
 
-/// Identity of one attempt to win a key.
+/// Identity of an attempt to win a key, or of an append.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{run:016x}-{serial}")]
 pub struct AttemptId {
-    /// Random number of the writer's process.
+    /// Random identity of the writer's process.
     pub run: u64,
-    /// Count within that process.
+    /// Serial number within that process.
     pub serial: u64,
 }
 
-/// One record of a partition: everything that waited at one instance.
+/// One record of a partition: the entries that one instance appends together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// Partition it was written for.
+    /// Partition that the batch was written for.
     pub partition: u16,
-    /// Name of the writer, for people.
+    /// Name of the writing instance, for diagnostics.
     pub writer: String,
     /// Identity of the append.
     pub id: AttemptId,
-    /// The writer had taken account of every record below this offset.
+    /// The writer had read, or accounted for, every record below this offset.
     pub read_until: Offset,
-    /// No intent below `seen` has a later creation time.
+    /// No intent below `read_until` has a later creation time.
     pub latest_created: Unix,
-    /// What it says, in order.
+    /// Entries in the order in which they apply.
     pub entries: Vec<Entry>,
 }
 
-/// One statement of a batch.
+/// One entry of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
     /// An attempt to win a key.
     Intent(Intent),
-    /// The attempt has run nothing and never will, whether or not its intent is in the log.
+    /// The attempt has not run and never will, whether or not its intent is in the log.
     Withdrawal {
         /// The attempt.
         attempt: AttemptId,
         /// Its key.
         key: Key,
     },
-    /// How the one try of a key ended.
+    /// Outcome of the only execution of a key.
     Outcome {
         /// The attempt that won the key.
         attempt: AttemptId,
         /// Its key.
         key: Key,
-        /// When the caller made the key.
+        /// Creation time of the key.
         created: Unix,
-        /// How it ended.
+        /// The outcome.
         outcome: ExecutionOutcome,
     },
 }
@@ -74,7 +74,7 @@
     pub attempt: AttemptId,
     /// The key.
     pub key: Key,
-    /// When the caller made the key.
+    /// Creation time of the key.
     pub created: Unix,
     /// Fingerprint of the work.
     pub fingerprint: u64,
@@ -82,44 +82,44 @@
     pub domain: Option<domain::Name>,
 }
 
-/// How a try ended.
+/// Outcome of an execution.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExecutionOutcome {
-    /// The upstream gave a whole answer.
+    /// The upstream returned a complete response.
     Responded(RecordedResponse),
-    /// The owner of this failure domain has the job in its log.
+    /// The owner of this failure domain has recorded the job in its log.
     Accepted(domain::Name),
-    /// The upstream may have run it: no whole answer came.
+    /// The upstream may have run the work but returned no complete response.
     ResponseLost,
 }
 
-/// The answer of an upstream.
+/// Response of an upstream, as recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
-    /// Content type, cut to a bound.
+    /// Content type, truncated to 128 bytes.
     pub content_type: String,
     /// The body or its digest.
     pub body: RecordedBody,
 }
 
-/// The body of an answer, as far as it is kept.
+/// Recorded body of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordedBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// It was too long to keep.
+    /// Length and hash of a body that was too long to record.
     Digest {
-        /// Its length in bytes.
+        /// Length in bytes.
         length: u64,
-        /// Its xxh3 hash.
+        /// xxh3 hash.
         hash: u64,
     },
 }
 
 impl RecordedResponse {
-    /// Keeps `body` whole when it has at most `limit` bytes, else its digest.
+    /// Records `body` in full if it has at most `limit` bytes, or else its digest.
     ///
     /// ```
     /// use bytes::Bytes;
@@ -139,7 +139,7 @@
 }
 
 impl ExecutionOutcome {
-    /// Bytes it holds beyond its fixed size.
+    /// Size in bytes beyond the fixed fields.
     pub(super) fn len(&self) -> usize {
         match self {
             Self::Responded(answer) => answer.len(),
@@ -159,11 +159,11 @@
     }
 }
 
-/// Bytes that an entry's fixed fields take at most.
+/// Upper bound on the encoded size of an entry's fixed fields, in bytes.
 const ENTRY_BYTES: usize = 64;
 
 impl Entry {
-    /// The attempt it is about.
+    /// Attempt that the entry refers to.
     pub fn attempt(&self) -> AttemptId {
         match self {
             Self::Intent(intent) => intent.attempt,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The key it is about.
+    /// Key that the entry refers to.
     pub fn key(&self) -> &Key {
         match self {
             Self::Intent(intent) => &intent.key,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Upper estimate of its size in the log.
+    /// Upper bound on the encoded size, in bytes.
     pub(super) fn len(&self) -> usize {
         let variable = match self {
             Self::Intent(intent) => intent.len(),
--- a/src/intent/token_bucket.rs
+++ b/src/intent/token_bucket.rs
@@ -1,26 +1,25 @@
-//! The share of the log's appends that one instance may use.
+//! Limits how many appends per second one instance makes.
 
 use std::time::Duration;
 
 use crate::clock::{Instant, millis};
 
-/// Milliseconds in a second.
-const SECOND: u64 = 1000;
+const MILLIS_PER_SECOND: u64 = 1000;
 
-/// A token bucket over appends.
+/// Token bucket that limits appends.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     per_second: u64,
     capacity: u64,
-    /// Thousandths of an append.
+    /// Available tokens, in thousandths of an append.
     credit: u64,
     refilled: Instant,
 }
 
 impl TokenBucket {
-    /// Starts a full budget of `burst` appends that refills at `per_second`.
+    /// Creates a full bucket of `burst` appends that refills at `per_second`.
     pub fn new(per_second: u32, burst: u32) -> Self {
-        let capacity = u64::from(burst.max(1)) * SECOND;
+        let capacity = u64::from(burst.max(1)) * MILLIS_PER_SECOND;
         Self {
             per_second: u64::from(per_second.max(1)),
             capacity,
@@ -29,29 +28,29 @@
         }
     }
 
-    /// Takes one append; `false` when none is left.
+    /// Takes the token for one append; `false` if none is available.
     ///
     /// ```
     /// use oriolefork::clock::Instant;
     /// use oriolefork::intent::TokenBucket;
-    /// let mut budget = TokenBucket::new(10, 1);
+    /// let mut bucket = TokenBucket::new(10, 1);
     /// let start = Instant::from_millis(0);
-    /// assert!(budget.try_take(start));
-    /// assert!(!budget.try_take(start));
-    /// assert!(budget.try_take(budget.available_at(start)));
+    /// assert!(bucket.try_take(start));
+    /// assert!(!bucket.try_take(start));
+    /// assert!(bucket.try_take(bucket.available_at(start)));
     /// ```
     pub fn try_take(&mut self, now: Instant) -> bool {
         self.refill(now);
-        let enough = self.credit >= SECOND;
-        if enough {
-            self.credit -= SECOND;
+        let available = self.credit >= MILLIS_PER_SECOND;
+        if available {
+            self.credit -= MILLIS_PER_SECOND;
         }
-        enough
+        available
     }
 
-    /// When the next append may be taken.
+    /// Time at which the next token is available.
     pub fn available_at(&self, now: Instant) -> Instant {
-        let missing = SECOND.saturating_sub(self.credit);
+        let missing = MILLIS_PER_SECOND.saturating_sub(self.credit);
         let wait = missing.div_ceil(self.per_second);
         self.refilled.after(Duration::from_millis(wait)).max(now)
     }
--- a/src/intent/wire.rs
+++ b/src/intent/wire.rs
@@ -1,4 +1,4 @@
-//! The form of a batch in the log: a version byte, then bincode.
+//! Encoding of a batch in the log: a version byte followed by bincode.
 
 use bytes::Bytes;
 use derive_more::Display;
@@ -11,12 +11,12 @@
 use crate::clock::Unix;
 use crate::domain;
 
-/// Version of this form.
+/// Version of the encoding.
 const VERSION: u8 = 1;
-/// Largest record that is decoded, in bytes.
+/// Maximum size of a record that is decoded, in bytes.
 const LIMIT: usize = 4 * 1024 * 1024;
 
-/// A record that is no batch.
+/// A record that cannot be decoded as a batch.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("step=intent.decode cause={cause}")]
 pub struct Error {
@@ -65,10 +65,10 @@
 pub fn encode(batch: &Batch) -> Bytes {
     let mut payload = vec![VERSION];
     let wire = WireBatch::from(batch);
-    // Writing to memory fails only for types that bincode cannot hold, and these it can.
+    // Writing to memory fails only for types that bincode does not support; it supports these.
     let written =
         bincode::serde::encode_into_std_write(wire, &mut payload, bincode::config::standard());
-    debug_assert!(written.is_ok(), "a batch always encodes");
+    debug_assert!(written.is_ok(), "a batch can always be encoded");
     payload.into()
 }
 
@@ -76,7 +76,8 @@
 ///
 /// # Errors
 ///
-/// Fails on another version, on a truncated or lengthened payload and on keys out of bounds.
+/// Fails if the version differs, if the payload is truncated or has trailing bytes, or if a key is
+/// invalid.
 pub fn decode(payload: &[u8]) -> Result<Batch, Error> {
     let (version, rest) = payload.split_first().ok_or_else(|| Error::new("empty record"))?;
     if *version != VERSION {
@@ -86,7 +87,7 @@
     let (wire, used): (WireBatch, usize) = bincode::serde::decode_from_slice(rest, config)
         .map_err(|error| Error::new(error.to_string()))?;
     if used != rest.len() {
-        return Err(Error::new("bytes after the end"));
+        return Err(Error::new("trailing bytes after the batch"));
     }
     wire.try_into()
 }
--- a/src/intent/withdrawn.rs
+++ b/src/intent/withdrawn_attempts.rs
@@ -1,21 +1,21 @@
-//! Attempts that were given up, bounded in number.
+//! Bounded set of withdrawn attempts.
 
 use std::collections::{HashSet, VecDeque};
 
 use super::record::AttemptId;
 
-/// The newest attempts that were given up.
+/// The most recently withdrawn attempts.
 ///
-/// An attempt that is forgotten while its intent is still on its way to the log blocks its key when
-/// it lands: the key then stays unknown, which is safe.
+/// If an attempt is evicted before its delayed intent is written, that intent can win the key. The
+/// outcome of the key then stays unknown and no request runs under it, which is safe.
 #[derive(Debug)]
-pub(super) struct Withdrawn {
+pub(super) struct WithdrawnAttempts {
     attempts: HashSet<AttemptId>,
     order: VecDeque<AttemptId>,
     limit: usize,
 }
 
-impl Withdrawn {
+impl WithdrawnAttempts {
     pub(super) fn new(limit: usize) -> Self {
         Self { attempts: HashSet::new(), order: VecDeque::new(), limit }
     }
--- a/src/store/failover.rs
+++ b/src/store/failover.rs
@@ -1,4 +1,4 @@
-//! A log that is reached at several addresses.
+//! Failover between several addresses of one log.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,19 +10,18 @@
 
 use super::{AppendOutcome, Error, Offset, Page, Store};
 
-/// One log behind several addresses, of which the one that answered last is used.
+/// Client of one log at several endpoints. Uses one endpoint until a call to it fails.
 ///
-/// Guards against an address of the log that goes down while the log itself goes on: without it,
-/// the failure domain would take that for an outage of the log. An append is tried at the next
-/// address only when it surely was not written; else the same record could be written twice, and
-/// only its writer knows how to tell.
+/// Without it, a failure domain would treat the failure of one address as an outage of the log. An
+/// append is retried at the next endpoint only if the record was not written. Otherwise the record
+/// could be written twice, which only its writer can detect.
 pub struct Failover {
     endpoints: Vec<Rc<dyn Store>>,
     current: Cell<usize>,
 }
 
 impl Failover {
-    /// A log reached by any of `endpoints`, at least one, tried in order.
+    /// Creates a client for `endpoints`, which must not be empty. They are tried in order.
     pub const fn new(endpoints: Vec<Rc<dyn Store>>) -> Self {
         Self { endpoints, current: Cell::new(0) }
     }
@@ -31,7 +30,7 @@
         &*self.endpoints[self.current.get()]
     }
 
-    /// Uses the next way from here on, unless another call has moved on from `failed` already.
+    /// Switches to the endpoint after `failed`, unless another call has already done so.
     fn move_on_from(&self, failed: usize) {
         if self.current.get() == failed {
             self.current.set((failed + 1) % self.endpoints.len());
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -1,4 +1,4 @@
-//! The log over HTTP/1.1 and JSON.
+//! Client of the log over HTTP/1.1 and JSON.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,10 +13,10 @@
 use crate::clock::millis;
 use crate::http;
 
-/// Records asked for at once.
+/// Maximum number of records in a page.
 const PAGE_RECORDS: u32 = 1_000;
 
-/// Reaches the log at one address.
+/// Client of the log at one address.
 pub struct Client {
     peer: SocketAddr,
     http: Rc<http::Client>,
@@ -24,7 +24,8 @@
 }
 
 impl Client {
-    /// Reaches the log at `peer`, giving each call `timeout` on top of the time it asks to wait.
+    /// Creates a client of the log at `peer`. A call may take `timeout` plus the time that it asks
+    /// the log to wait.
     pub fn new(peer: SocketAddr, http: Rc<http::Client>, timeout: Duration) -> Self {
         Self { peer, http, timeout }
     }
@@ -88,14 +89,15 @@
     }
 }
 
+/// Whether a record may have been written if its append got no response.
 fn unanswered_outcome(error: &http::Error) -> AppendOutcome {
     if error.sent { AppendOutcome::Unknown } else { AppendOutcome::NotWritten }
 }
 
-/// What an answer other than success tells of the record.
+/// Whether a record may have been written if the log answered its append with an error status.
 ///
-/// The log refuses with 4xx or 503 before it writes. Any other status may come from something that
-/// failed after the write.
+/// The log refuses with 4xx or 503 before it writes. Any other status may report a failure after
+/// the write.
 fn refused_outcome(status: StatusCode) -> AppendOutcome {
     if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE {
         AppendOutcome::NotWritten
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The border to the platform's append-only log, the only place where anything lasts.
+//! Interface to the platform's append-only log, which is the only durable storage.
 
 use std::time::Duration;
 
@@ -18,24 +18,24 @@
 /// A record read from a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its position.
+    /// Offset of the record.
     pub offset: Offset,
-    /// Its content.
+    /// Content of the record.
     pub payload: Bytes,
 }
 
-/// A run of records.
+/// Consecutive records of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
-    /// Records from the offset asked for, or from `oldest` when that lies later; may be empty.
+    /// Records from the requested offset, or from `oldest` if that is higher; may be empty.
     pub records: Vec<Record>,
-    /// Oldest offset still kept.
+    /// Oldest offset that the log still has.
     pub oldest: Offset,
-    /// Offset that the next append will get.
+    /// Offset of the next append.
     pub end: Offset,
 }
 
-/// Where in a call the failure arose.
+/// Operation of a failed call.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Operation {
     /// Appending a record.
@@ -49,10 +49,10 @@
 /// Whether a failed append may have been written.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// The record was surely not written.
+    /// The record was not written.
     #[display("not written")]
     NotWritten,
-    /// The record may have been written: the answer was lost, late or broken.
+    /// The record may have been written: the response was lost, late or malformed.
     #[display("unknown")]
     Unknown,
 }
@@ -61,34 +61,35 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("step={operation} peer={peer} outcome={outcome} cause={cause}")]
 pub struct Error {
-    /// Where it arose.
+    /// Failed operation.
     pub operation: Operation,
     /// Address of the log.
     pub peer: std::net::SocketAddr,
-    /// What is known of the effect.
+    /// Whether the record may have been written.
     pub outcome: AppendOutcome,
-    /// Cause as text.
+    /// Cause, as text.
     pub cause: String,
 }
 
-/// Way to reach the log.
+/// Client of the log.
 pub trait Store {
     /// Appends one record and returns its offset.
     ///
     /// # Errors
     ///
-    /// The error tells whether the record may have been written.
+    /// Fails if the log refuses the record or does not answer in time. The error's `outcome` states
+    /// whether the record may have been written.
     fn append<'a>(
         &'a self,
         stream: &'a str,
         payload: Bytes,
     ) -> LocalBoxFuture<'a, Result<Offset, Error>>;
 
-    /// Reads records from `from` on, waiting up to `wait` for the first one.
+    /// Reads records starting at `from`. Waits up to `wait` for the first one.
     ///
     /// # Errors
     ///
-    /// Fails when the log does not answer in time or answers with something else than a page.
+    /// Fails if the log does not answer in time or its response is not a valid page.
     fn read<'a>(
         &'a self,
         stream: &'a str,
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -1,4 +1,4 @@
-//! JSON forms of the log's answers.
+//! JSON encoding of the log's responses.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -8,43 +8,43 @@
 
 use super::Offset;
 
-/// Answer to an append.
+/// Response to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Appended {
-    /// Offset that the record got.
+    /// Offset of the record.
     pub offset: Offset,
 }
 
 /// A record with its payload in base64.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its position.
+    /// Offset of the record.
     pub offset: Offset,
-    /// Its content in base64.
+    /// Content of the record, in base64.
     pub payload: String,
 }
 
-/// Answer to a read.
+/// Response to a read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// Oldest offset still kept.
+    /// Oldest offset that the log still has.
     pub oldest: Offset,
-    /// Offset that the next append will get.
+    /// Offset of the next append.
     pub end: Offset,
     /// Records in order.
     pub records: Vec<Record>,
 }
 
-/// Why an answer is no page of a stream.
+/// Why a response is not a valid page.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
     /// A payload is not base64.
     #[display("record {_0} is not base64")]
     Payload(#[error(not(source))] Offset),
-    /// A record does not follow the one before it.
+    /// A record's offset does not follow the previous one.
     #[display("record {_0} is out of order")]
     Order(#[error(not(source))] Offset),
-    /// A record lies outside the range that the answer names.
+    /// A record's offset is outside the range from `oldest` to `end`.
     #[display("record {_0} lies outside the stream")]
     Range(#[error(not(source))] Offset),
 }
