--- a/benches/intent.rs
+++ b/benches/intent.rs
@@ -1,7 +1,7 @@
-//! Latency and appends of at-most-once requests at 1, 3 and 9 instances, and what keys cost.
+//! Latency and appends of at-most-once requests at 1, 3 and 9 instances, and the cost of keys.
 //!
-//! `cargo bench --bench intent` prints one table for the requests, over a log in memory that takes
-//! [`APPEND`] and [`READ`] for its answers, and one for reading a stream for the first time.
+//! `cargo bench --bench intent` prints one table for the requests, over an in-memory log that
+//! answers after [`APPEND`] and [`READ`], and one for the first read of a stream.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,11 +20,11 @@
 };
 use oriolefork::store::{Error, Offset, Page, Record, Store};
 
-/// Time that the log takes for an append.
+/// Latency of an append to the log.
 const APPEND: Duration = Duration::from_millis(3);
-/// Time that the log takes for a read.
+/// Latency of a read of the log.
 const READ: Duration = Duration::from_millis(1);
-/// Time that the work takes.
+/// Run time of the work.
 const WORK: Duration = Duration::from_millis(5);
 const RUN: Duration = Duration::from_secs(4);
 const TIMEOUT: Duration = Duration::from_secs(10);
@@ -34,7 +34,7 @@
 const KEYS: [u64; 3] = [10_000, 20_000, 40_000];
 const KEYS_PER_BATCH: u64 = 4;
 
-/// A log in memory.
+/// An in-memory log.
 #[derive(Default)]
 struct Memory {
     streams: RefCell<HashMap<String, Vec<Bytes>>>,
@@ -86,16 +86,16 @@
     Page { records: records_of.collect(), oldest: 0, end: records.len() as Offset }
 }
 
-/// How intents share appends.
+/// How often an instance may append.
 #[derive(Clone, Copy)]
-enum Way {
-    /// An append as soon as the one before has ended.
+enum Pacing {
+    /// An append as soon as the previous one has ended.
     Eager,
-    /// The default: an append only as the instance's budget allows.
-    Budget,
+    /// The default policy: appends limited by the instance's token bucket.
+    Limited,
 }
 
-impl Way {
+impl Pacing {
     fn policy(self) -> Policy {
         match self {
             Self::Eager => Policy {
@@ -105,19 +105,19 @@
                 outcome_delay: Duration::ZERO,
                 ..Policy::default()
             },
-            Self::Budget => Policy::default(),
+            Self::Limited => Policy::default(),
         }
     }
 
     fn name(self) -> &'static str {
         match self {
             Self::Eager => "eager",
-            Self::Budget => "budget",
+            Self::Limited => "budget",
         }
     }
 }
 
-/// What one run gave.
+/// Results of one run.
 struct Run {
     latency: Histogram<u64>,
     won: u64,
@@ -128,7 +128,7 @@
     busy: Duration,
 }
 
-async fn measure(way: Way, instances: u32, rate: u32) -> Run {
+async fn measure(pacing: Pacing, instances: u32, rate: u32) -> Run {
     let store: Rc<dyn Store> = Rc::new(Memory::default());
     let clock = Rc::new(System::start());
     let deduplicators: Vec<Deduplicator> = (0..instances)
@@ -137,7 +137,7 @@
             let (deduplicator, driver) = Deduplicator::new(
                 &name,
                 u64::from(number),
-                way.policy(),
+                pacing.policy(),
                 Rc::clone(&store),
                 Rc::clone(&clock) as Rc<dyn Clock>,
             );
@@ -157,7 +157,7 @@
         asked.push(monoio::spawn(ask(deduplicator, Rc::clone(&clock), number)));
     }
     let answers = join_all(asked).await;
-    monoio::time::sleep(Way::Budget.policy().outcome_delay * 2).await;
+    monoio::time::sleep(Pacing::Limited.policy().outcome_delay * 2).await;
     let mut run = Run {
         latency: Histogram::new(3).expect("three digits"),
         won: 0,
@@ -185,7 +185,7 @@
     run
 }
 
-/// Runs one request; its time to win, or nothing when it was refused.
+/// Runs one request and returns the time until it won its key; `None` if it was refused.
 async fn ask(deduplicator: Deduplicator, clock: Rc<System>, number: u32) -> Option<Duration> {
     let key = Key::new(Kind::Request, "portal", &format!("request-{number}")).expect("valid");
     let request = Request { key, created: clock.unix(), fingerprint: 0, domain: None };
@@ -201,7 +201,7 @@
     Some(latency)
 }
 
-/// User and system time of this process, from the kernel's count of clock ticks.
+/// User and system time of this process, which the kernel counts in clock ticks.
 fn processor_time() -> Duration {
     const TICK: Duration = Duration::from_millis(10);
     let stat = std::fs::read_to_string("/proc/self/stat").expect("the kernel's process status");
@@ -212,26 +212,26 @@
 }
 
 fn requests() {
-    println!("| way | instances | requests/s | p50 ms | p99 ms | appends/s | appends/request |");
-    println!("| reads/request | nothing in between | processor us/request | not run |");
-    for way in [Way::Eager, Way::Budget] {
+    println!("| pacing | instances | requests/s | p50 ms | p99 ms | appends/s | appends/request |");
+    println!("| reads/request | contiguous | processor us/request | not run |");
+    for pacing in [Pacing::Eager, Pacing::Limited] {
         for instances in INSTANCES {
             for rate in RATES {
                 let builder = RuntimeBuilder::<LegacyDriver>::new();
                 let mut runtime = builder.enable_timer().build().expect("a runtime");
-                let run = runtime.block_on(measure(way, instances, rate));
-                row(way, instances, rate, &run);
+                let run = runtime.block_on(measure(pacing, instances, rate));
+                row(pacing, instances, rate, &run);
             }
         }
     }
 }
 
-fn row(way: Way, instances: u32, rate: u32, run: &Run) {
+fn row(pacing: Pacing, instances: u32, rate: u32, run: &Run) {
     let asked = (run.won + run.refused) as f64;
     let millis = |quantile| run.latency.value_at_quantile(quantile) as f64 / 1000.0;
     println!(
         "| {} | {instances} | {rate} | {:.1} | {:.1} | {:.0} | {:.2} | {:.2} | {:.0} % | {:.0} | {} |",
-        way.name(),
+        pacing.name(),
         millis(0.5),
         millis(0.99),
         run.appends as f64 / RUN.as_secs_f64(),
@@ -243,7 +243,7 @@
     );
 }
 
-/// Reads a stream of `keys` won keys with their outcomes for the first time.
+/// Measures the first read of a stream with `keys` keys and their outcomes.
 fn first_read(keys: u64) {
     let now = Unix::from_millis(1_800_000_000_000);
     let records: Vec<Bytes> = (0..keys / KEYS_PER_BATCH).map(|number| batch(number, now)).collect();
--- a/tests/logic/intent/history.rs
+++ b/tests/logic/intent/history.rs
@@ -1,4 +1,4 @@
-//! Drawn histories of several instances, a log with faults, crashes and retention.
+//! Randomized histories of several instances over a log, with faults, crashes and dropped records.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use proptest::prelude::{Just, Strategy, any, prop_oneof};
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
 
-use super::world::{End, World, is_won};
+use super::simulation::{CallEnding, Simulation, is_won};
 
 const INSTANCES: usize = 3;
 const KEYS: usize = 3;
@@ -16,25 +16,25 @@
 #[derive(Clone, Debug)]
 enum Step {
     Submit { instance: usize, key: usize },
-    Deliver { instance: usize, end: End },
-    Land,
+    Deliver { instance: usize, ending: CallEnding },
+    CompleteLateAppend,
     Advance(u64),
     Crash(usize),
     Execution(usize),
-    Finish(usize),
+    FinishExecution(usize),
     Withdraw(usize),
-    Cut(usize),
+    DropOldRecords(usize),
 }
 
-fn end() -> impl Strategy<Value = End> {
+fn call_ending() -> impl Strategy<Value = CallEnding> {
     prop_oneof![
-        10 => Just(End::Whole),
-        2 => Just(End::AnswerLost),
-        1 => Just(End::Refused),
-        2 => Just(End::Late),
-        1 => Just(End::Vanished),
-        1 => Just(End::Crossed),
-        1 => Just(End::Stale),
+        10 => Just(CallEnding::Success),
+        2 => Just(CallEnding::AnswerLost),
+        1 => Just(CallEnding::Refused),
+        2 => Just(CallEnding::Late),
+        1 => Just(CallEnding::Dropped),
+        1 => Just(CallEnding::Misdelivered),
+        1 => Just(CallEnding::Stale),
     ]
 }
 
@@ -42,18 +42,19 @@
     let instance = 0..INSTANCES;
     prop_oneof![
         4 => (instance.clone(), 0..KEYS).prop_map(|(instance, key)| Step::Submit { instance, key }),
-        12 => (instance.clone(), end()).prop_map(|(instance, end)| Step::Deliver { instance, end }),
-        1 => Just(Step::Land),
+        12 => (instance.clone(), call_ending())
+            .prop_map(|(instance, ending)| Step::Deliver { instance, ending }),
+        1 => Just(Step::CompleteLateAppend),
         4 => prop_oneof![1_u64..30, 200_u64..3000].prop_map(Step::Advance),
         1 => instance.clone().prop_map(Step::Crash),
         3 => instance.clone().prop_map(Step::Execution),
-        2 => instance.clone().prop_map(Step::Finish),
+        2 => instance.clone().prop_map(Step::FinishExecution),
         1 => instance.prop_map(Step::Withdraw),
-        1 => (0_usize..6).prop_map(Step::Cut),
+        1 => (0_usize..6).prop_map(Step::DropOldRecords),
     ]
 }
 
-/// Limits so small that every bound is met within a short history.
+/// Limits small enough to be reached within a short history.
 fn policy() -> Policy {
     Policy {
         appends_per_second: 200,
@@ -68,10 +69,10 @@
 
 #[test]
 fn history_tries_once() {
-    // Whatever is lost, late, crossed, cut off, dropped or restarted, in whichever order: no key is
-    // tried twice, no request told "not run" was tried, and outcomes told are the true one. The
-    // world checks this on every answer. Afterwards, once the instances have read the healthy log, a
-    // fresh key can be won.
+    // For any order of lost, late and misdelivered calls, dropped records and restarts: no key is
+    // executed twice, no request answered with NotRun was executed, and every reported outcome is
+    // the actual one. The simulation checks this on every answer. Afterwards, once the instances
+    // have read the healthy log, a new key can be won.
     let config = Config {
         cases: HISTORIES,
         failure_persistence: None,
@@ -82,7 +83,7 @@
     let history = (proptest::collection::vec(step(), 1..150), any::<bool>());
     let mut runner = TestRunner::new(config);
     let outcome = runner.run(&history, |(steps, skewed)| {
-        play(&steps, skewed);
+        run_history(&steps, skewed);
         Ok(())
     });
     if let Err(failure) = outcome {
@@ -90,8 +91,8 @@
     }
 }
 
-/// Keys that share a partition, so that they meet.
-fn neighbours() -> Vec<String> {
+/// Names of keys in the first partition, so that their records share a stream.
+fn keys_in_one_partition() -> Vec<String> {
     let names = (0..).map(|number| format!("key-{number}"));
     let is_first = |name: &String| {
         Key::new(Kind::Request, "portal", name).is_ok_and(|key| key.partition() == 0)
@@ -99,39 +100,48 @@
     names.filter(is_first).take(KEYS).collect()
 }
 
-fn play(steps: &[Step], skewed: bool) {
-    let mut world = World::new(INSTANCES, policy());
+fn run_history(steps: &[Step], skewed: bool) {
+    let mut simulation = Simulation::new(INSTANCES, policy());
     if skewed {
-        world.instances[1].ahead = Duration::from_secs(1);
+        simulation.instances[1].clock_offset = Duration::from_secs(1);
     }
-    let names = neighbours();
+    let names = keys_in_one_partition();
     let mut requests: Vec<Option<Request>> = vec![None; KEYS];
     for step in steps {
-        take(&mut world, &names, &mut requests, step);
+        run_step(&mut simulation, &names, &mut requests, step);
     }
     for instance in 0..INSTANCES {
-        world.input(instance, Input::Preload);
+        simulation.input(instance, Input::Preload);
     }
-    world.calm();
-    world.advance(10_000);
-    let fresh = world.request("fresh");
-    assert!(is_won(&world.ask(0, &fresh)), "a fresh key can be won: {:?}", world.decisions);
+    simulation.run_until_idle();
+    simulation.advance(10_000);
+    let fresh = simulation.request("fresh");
+    assert!(
+        is_won(&simulation.submit_and_wait(0, &fresh)),
+        "a new key can be won: {:?}",
+        simulation.decisions
+    );
 }
 
-fn take(world: &mut World, names: &[String], requests: &mut [Option<Request>], step: &Step) {
+fn run_step(
+    simulation: &mut Simulation,
+    names: &[String],
+    requests: &mut [Option<Request>],
+    step: &Step,
+) {
     match step {
         Step::Submit { instance, key } => {
-            let made = world.request(&names[*key]);
+            let made = simulation.request(&names[*key]);
             let request = requests[*key].get_or_insert(made).clone();
-            world.submit(*instance, &request);
+            simulation.submit(*instance, &request);
         }
-        Step::Deliver { instance, end } => world.deliver(*instance, *end),
-        Step::Land => world.land(),
-        Step::Advance(millis) => world.advance(*millis),
-        Step::Crash(instance) => world.restart(*instance),
-        Step::Execution(instance) => world.begin_try(*instance),
-        Step::Finish(instance) => world.finish_try(*instance),
-        Step::Withdraw(instance) => world.withdraw(*instance),
-        Step::Cut(kept) => world.cut(*kept),
+        Step::Deliver { instance, ending } => simulation.deliver(*instance, *ending),
+        Step::CompleteLateAppend => simulation.complete_late_append(),
+        Step::Advance(millis) => simulation.advance(*millis),
+        Step::Crash(instance) => simulation.restart(*instance),
+        Step::Execution(instance) => simulation.begin_execution(*instance),
+        Step::FinishExecution(instance) => simulation.finish_execution(*instance),
+        Step::Withdraw(instance) => simulation.withdraw(*instance),
+        Step::DropOldRecords(kept) => simulation.drop_old_records(*kept),
     }
 }
--- a/tests/logic/intent/partition.rs
+++ b/tests/logic/intent/partition.rs
@@ -1,4 +1,4 @@
-//! Records applied in order, page by page.
+//! State of a partition after pages are applied.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -55,7 +55,8 @@
 #[test_case(10, Some(ago(3)) ; "who_had_read_all_dropped")]
 #[test_case(9, None ; "who_had_missed_one")]
 fn apply_witness(seen: Offset, expected: Option<Unix>) {
-    // Ten records were dropped. Only a writer that had read all ten can vouch for them.
+    // Ten records were dropped. A later batch bounds their creation times only if its writer had
+    // read all ten.
     let mut partition = partition(Duration::ZERO);
     let kept = vec![batch(1, seen, ago(3), vec![])];
     partition.apply(&page(10, 10, kept), NOW).expect("a page");
@@ -64,7 +65,8 @@
 
 #[test]
 fn apply_earliest_witness() {
-    // Each witness is right; the one that had seen fewest later keys refuses fewest callers.
+    // Two batches bound the dropped records' creation times. The lower bound is used, since it
+    // refuses fewer keys.
     let mut partition = partition(Duration::ZERO);
     let kept = vec![batch(1, 10, ago(5), vec![]), batch(2, 11, ago(1), vec![])];
     partition.apply(&page(10, 10, kept), NOW).expect("a page");
@@ -73,8 +75,8 @@
 
 #[test]
 fn apply_skipped() {
-    // An instance that leaves out old records that the log still keeps cannot take the log's
-    // retention as their age.
+    // The log's retention does not bound the age of records that the instance itself skipped, since
+    // the log still has them.
     let mut partition = partition(24 * HOUR);
     partition.skip_to(10);
     partition.apply(&page(0, 10, vec![batch(1, 3, ago(3), vec![])]), NOW).expect("a page");
@@ -91,7 +93,7 @@
 
 #[test]
 fn horizon_covers_floor() {
-    // A writer that missed records itself must not vouch for less than it missed.
+    // The bound that a writer puts into its batches includes the records that it missed itself.
     let mut partition = partition(Duration::ZERO);
     partition.apply(&page(10, 10, vec![batch(1, 10, ago(3), vec![])]), NOW).expect("a page");
     assert_eq!(partition.latest_created(), ago(3));
@@ -99,7 +101,7 @@
 
 #[test]
 fn apply_misplaced() {
-    // A page that does not start where it was asked to would hide records.
+    // A page that does not start at the requested offset hides records, so it is refused.
     let mut partition = partition(Duration::ZERO);
     let payloads = vec![batch(1, 0, ago(1), vec![intent(1, "renew-7", ago(1))])];
     assert!(partition.apply(&page(0, 1, payloads.clone()), NOW).is_err());
@@ -110,7 +112,7 @@
 
 #[test]
 fn apply_withdrawal_of_other() {
-    // A loser's withdrawal leaves the winner's hold alone.
+    // The withdrawal of an attempt that lost does not release the winner's key.
     let mut partition = partition(Duration::ZERO);
     let first = intent(1, "renew-7", ago(1));
     let second = intent(2, "renew-7", ago(1));
@@ -118,14 +120,14 @@
     let entries = vec![first.clone(), second, withdrawal, intent(3, "renew-7", ago(1))];
     let applied =
         partition.apply(&page(0, 0, vec![batch(1, 0, ago(1), entries)]), NOW).expect("a page");
-    let statuses: Vec<_> = applied.intents.iter().map(|judged| judged.status).collect();
+    let statuses: Vec<_> = applied.intents.iter().map(|intent| intent.status).collect();
     assert_eq!(statuses, [IntentStatus::Won, IntentStatus::Lost, IntentStatus::Lost]);
     assert_eq!(partition.state(first.key()).map(|state| state.attempt), Some(first.attempt()));
 }
 
 #[test]
 fn apply_withdrawal_after_outcome() {
-    // A key whose outcome is recorded has run, whatever comes later.
+    // A withdrawal after the outcome does not release the key: its work has run.
     let mut partition = partition(Duration::ZERO);
     let first = intent(1, "renew-7", ago(1));
     let (attempt, key) = (first.attempt(), first.key().clone());
--- a/tests/logic/intent/world.rs
+++ b/tests/logic/intent/simulation.rs
@@ -1,4 +1,4 @@
-//! Several instances over one log, stepped by hand: every call to the log waits until the test says
+//! Simulates several instances over one log. Each call to the log stays open until the test decides
 //! how it ends.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -20,20 +20,21 @@
 
 /// How a call to the log ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// As it should.
-    Whole,
-    /// An append is written and its answer lost; a read gets no answer.
+pub enum CallEnding {
+    /// It succeeds.
+    Success,
+    /// An append is written but its response is lost; a read gets no response.
     AnswerLost,
-    /// Surely nothing happened.
+    /// The log refuses the call: an append is not written.
     Refused,
-    /// An append seems lost and is written only later; a read gets no answer.
+    /// An append gets no response and is written later; a read gets no response.
     Late,
-    /// An append seems lost and is never written; a read gets no answer.
-    Vanished,
-    /// The answer of another call arrives.
-    Crossed,
-    /// A read misses the newest record; an append ends as it should.
+    /// An append gets no response and is never written; a read gets no response.
+    Dropped,
+    /// The response to another call arrives: an append is not written but gets an offset, and a
+    /// read gets a page of another partition.
+    Misdelivered,
+    /// A read misses the newest record; an append succeeds.
     Stale,
 }
 
@@ -43,12 +44,12 @@
     pub oldest: usize,
 }
 
-/// A request that an instance knows of.
+/// A request submitted at an instance.
 #[derive(Clone, Debug)]
-struct Asked {
+struct Submitted {
     key: Key,
     created: Unix,
-    tried: bool,
+    executed: bool,
 }
 
 pub struct Instance {
@@ -56,47 +57,47 @@
     name: String,
     run: u64,
     /// How far its wall clock is ahead of the true time.
-    pub ahead: Duration,
+    pub clock_offset: Duration,
     calls: VecDeque<Effect>,
-    asked: BTreeMap<RequestId, Asked>,
+    submitted: BTreeMap<RequestId, Submitted>,
     permits: VecDeque<(RequestId, AttemptId)>,
-    tries: VecDeque<(RequestId, AttemptId, ExecutionOutcome)>,
+    executions: VecDeque<(RequestId, AttemptId, ExecutionOutcome)>,
 }
 
-pub struct World {
+pub struct Simulation {
     pub policy: Policy,
     pub streams: Vec<Stream>,
     late: VecDeque<(u16, Bytes)>,
     pub instances: Vec<Instance>,
     pub now: Instant,
-    /// The outcomes of the tries of each key as they truly happened.
-    pub tried: BTreeMap<Key, Vec<ExecutionOutcome>>,
+    /// Actual outcomes of all executions of each key.
+    pub executed: BTreeMap<Key, Vec<ExecutionOutcome>>,
     pub decisions: BTreeMap<RequestId, AdmissionDecision>,
     last_request_id: RequestId,
     runs: u64,
 }
 
-impl World {
+impl Simulation {
     pub fn new(instances: usize, policy: Policy) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             policy,
             streams: (0..PARTITIONS).map(|_| Stream::default()).collect(),
             late: VecDeque::new(),
             instances: Vec::new(),
             now: Instant::from_millis(1),
-            tried: BTreeMap::new(),
+            executed: BTreeMap::new(),
             decisions: BTreeMap::new(),
             last_request_id: 0,
             runs: 0,
         };
         for number in 0..instances {
-            world.instances.push(Instance::new(format!("erie-{number}")));
-            world.restart(number);
+            simulation.instances.push(Instance::new(format!("erie-{number}")));
+            simulation.restart(number);
         }
-        world
+        simulation
     }
 
-    /// The true wall-clock time.
+    /// True wall-clock time.
     pub fn unix(&self) -> Unix {
         Unix::from_millis(START + self.now.as_millis())
     }
@@ -108,15 +109,16 @@
         instance.machine = Some(Machine::new(&instance.name, self.runs, self.policy.clone()));
         instance.calls.clear();
         instance.permits.clear();
-        instance.tries.clear();
-        instance.asked.clear();
+        instance.executions.clear();
+        instance.submitted.clear();
     }
 
     pub fn submit(&mut self, number: usize, request: &Request) -> RequestId {
         self.last_request_id += 1;
         let request_id = self.last_request_id;
-        let asked = Asked { key: request.key.clone(), created: request.created, tried: false };
-        self.instances[number].asked.insert(request_id, asked);
+        let submitted =
+            Submitted { key: request.key.clone(), created: request.created, executed: false };
+        self.instances[number].submitted.insert(request_id, submitted);
         self.input(
             number,
             Input::Submit { request_id, request: request.clone(), timeout: TIMEOUT },
@@ -126,7 +128,7 @@
 
     pub fn input(&mut self, number: usize, input: Input) {
         let instance = &mut self.instances[number];
-        let wall = Unix::from_millis(START + self.now.as_millis()).after(instance.ahead);
+        let wall = Unix::from_millis(START + self.now.as_millis()).after(instance.clock_offset);
         let now = Now { instant: self.now, unix: wall };
         let Some(machine) = instance.machine.as_mut() else { return };
         for effect in machine.handle(input, now) {
@@ -137,73 +139,74 @@
         }
     }
 
-    /// Checks each answer against what truly happened.
+    /// Checks an answer against the executions that actually happened.
     fn reply(&mut self, number: usize, request_id: RequestId, decision: AdmissionDecision) {
         let instance = &mut self.instances[number];
-        let asked = instance.asked[&request_id].clone();
-        let tries = self.tried.get(&asked.key).map_or(&[][..], Vec::as_slice);
+        let submitted = instance.submitted[&request_id].clone();
+        let executions = self.executed.get(&submitted.key).map_or(&[][..], Vec::as_slice);
         match &decision {
             AdmissionDecision::Granted(attempt) => {
                 instance.permits.push_back((request_id, *attempt))
             }
             AdmissionDecision::Duplicate(state) => {
-                if let Progress::Done(told) = &state.progress {
+                if let Progress::Done(reported) = &state.progress {
                     assert_eq!(
-                        tries,
-                        std::slice::from_ref(told),
-                        "the outcome told is that of the one try"
+                        executions,
+                        std::slice::from_ref(reported),
+                        "the reported outcome is that of the only execution"
                     );
                 }
             }
             AdmissionDecision::NotRun(_) => {
-                assert!(!asked.tried, "a request told not run was tried")
+                assert!(!submitted.executed, "a request answered with NotRun was executed")
             }
         }
         let repeated = self.decisions.insert(request_id, decision);
-        assert!(repeated.is_none(), "request_id {request_id} was answered twice");
+        assert!(repeated.is_none(), "request {request_id} was answered twice");
     }
 
-    /// Begins the try of the oldest permit of an instance.
-    pub fn begin_try(&mut self, number: usize) {
+    /// Begins the execution of an instance's oldest permit.
+    pub fn begin_execution(&mut self, number: usize) {
         let Some((request_id, attempt)) = self.instances[number].permits.pop_front() else {
             return;
         };
-        let asked = self.instances[number].asked.get_mut(&request_id).expect("asked here");
-        asked.tried = true;
+        let submitted =
+            self.instances[number].submitted.get_mut(&request_id).expect("submitted here");
+        submitted.executed = true;
         let body = Bytes::from(attempt.to_string());
         let outcome =
             ExecutionOutcome::Responded(RecordedResponse::new(200, "text/plain", &body, 8));
-        let tried = self.tried.entry(asked.key.clone()).or_default();
-        tried.push(outcome.clone());
-        assert_eq!(tried.len(), 1, "{} was tried twice", asked.key);
-        self.instances[number].tries.push_back((request_id, attempt, outcome));
+        let executed = self.executed.entry(submitted.key.clone()).or_default();
+        executed.push(outcome.clone());
+        assert_eq!(executed.len(), 1, "{} was executed twice", submitted.key);
+        self.instances[number].executions.push_back((request_id, attempt, outcome));
     }
 
-    /// Records the outcome of the oldest try of an instance.
-    pub fn finish_try(&mut self, number: usize) {
+    /// Records the outcome of an instance's oldest execution.
+    pub fn finish_execution(&mut self, number: usize) {
         let instance = &mut self.instances[number];
-        let Some((request_id, attempt, outcome)) = instance.tries.pop_front() else { return };
-        let Asked { key, created, .. } = instance.asked[&request_id].clone();
+        let Some((request_id, attempt, outcome)) = instance.executions.pop_front() else { return };
+        let Submitted { key, created, .. } = instance.submitted[&request_id].clone();
         self.input(number, Input::Record(Entry::Outcome { attempt, key, created, outcome }));
     }
 
-    /// Gives the oldest permit of an instance back unused.
+    /// Releases an instance's oldest permit unused.
     pub fn withdraw(&mut self, number: usize) {
         let instance = &mut self.instances[number];
         let Some((request_id, attempt)) = instance.permits.pop_front() else { return };
-        let key = instance.asked[&request_id].key.clone();
+        let key = instance.submitted[&request_id].key.clone();
         self.input(number, Input::Record(Entry::Withdrawal { attempt, key }));
     }
 
-    /// Ends the oldest call of an instance to the log.
-    pub fn deliver(&mut self, number: usize, end: End) {
+    /// Ends an instance's oldest call to the log.
+    pub fn deliver(&mut self, number: usize, ending: CallEnding) {
         let Some(effect) = self.instances[number].calls.pop_front() else { return };
         let (partition, call) = match effect {
             Effect::Append { partition, payload } => {
-                (partition, CallResult::Append(self.append(partition, payload, end)))
+                (partition, CallResult::Append(self.append(partition, payload, ending)))
             }
             Effect::Read { partition, from } => {
-                (partition, CallResult::Read(self.read(partition, from, end)))
+                (partition, CallResult::Read(self.read(partition, from, ending)))
             }
             Effect::Reply { .. } => unreachable!("replies are taken at once"),
         };
@@ -214,35 +217,36 @@
         &mut self,
         partition: u16,
         payload: Bytes,
-        end: End,
+        ending: CallEnding,
     ) -> Result<Offset, store::AppendOutcome> {
         let stream = &mut self.streams[usize::from(partition)];
         let next = stream.records.len() as Offset;
-        match end {
-            End::Whole | End::Stale => stream.records.push(payload),
-            End::AnswerLost => {
+        match ending {
+            CallEnding::Success | CallEnding::Stale => stream.records.push(payload),
+            CallEnding::AnswerLost => {
                 stream.records.push(payload);
                 return Err(store::AppendOutcome::Unknown);
             }
-            End::Refused => return Err(store::AppendOutcome::NotWritten),
-            End::Late => {
+            CallEnding::Refused => return Err(store::AppendOutcome::NotWritten),
+            CallEnding::Late => {
                 self.late.push_back((partition, payload));
                 return Err(store::AppendOutcome::Unknown);
             }
-            End::Vanished => return Err(store::AppendOutcome::Unknown),
-            End::Crossed => {}
+            CallEnding::Dropped => return Err(store::AppendOutcome::Unknown),
+            CallEnding::Misdelivered => {}
         }
         Ok(next)
     }
 
-    fn read(&self, partition: u16, from: Offset, end: End) -> Option<Page> {
-        let partition = match end {
-            End::Whole | End::Stale => partition,
-            End::Crossed => (partition + 1) % PARTITIONS,
+    fn read(&self, partition: u16, from: Offset, ending: CallEnding) -> Option<Page> {
+        let partition = match ending {
+            CallEnding::Success | CallEnding::Stale => partition,
+            CallEnding::Misdelivered => (partition + 1) % PARTITIONS,
             _ => return None,
         };
         let stream = &self.streams[usize::from(partition)];
-        let missing = usize::from(end == End::Stale && stream.records.len() > stream.oldest);
+        let missing =
+            usize::from(ending == CallEnding::Stale && stream.records.len() > stream.oldest);
         let length = stream.records.len() - missing;
         let start = usize::try_from(from).expect("small").max(stream.oldest);
         let records = (start..length.min(start + PAGE)).map(|offset| Record {
@@ -256,15 +260,15 @@
         })
     }
 
-    /// Lets the oldest late write take effect.
-    pub fn land(&mut self) {
+    /// Writes the oldest late append to the log.
+    pub fn complete_late_append(&mut self) {
         if let Some((partition, payload)) = self.late.pop_front() {
             self.streams[usize::from(partition)].records.push(payload);
         }
     }
 
-    /// Drops the oldest records of every stream but the newest `kept`.
-    pub fn cut(&mut self, kept: usize) {
+    /// Drops all but the newest `kept` records of every stream.
+    pub fn drop_old_records(&mut self, kept: usize) {
         for stream in &mut self.streams {
             stream.oldest = stream.oldest.max(stream.records.len().saturating_sub(kept));
         }
@@ -277,31 +281,32 @@
         }
     }
 
-    /// Lets time pass with a healthy log until nothing waits for it.
-    pub fn calm(&mut self) {
+    /// Advances time with a healthy log until no instance waits for it.
+    pub fn run_until_idle(&mut self) {
         for _ in 0..2000 {
             for number in 0..self.instances.len() {
                 while !self.instances[number].calls.is_empty() {
-                    self.deliver(number, End::Whole);
+                    self.deliver(number, CallEnding::Success);
                 }
             }
             self.advance(10);
             let now = self.now;
-            let rests = |machine: &Machine| machine.is_idle() && machine.next_wakeup(now).is_none();
-            let quiet = |instance: &Instance| {
-                instance.calls.is_empty() && instance.machine.as_ref().is_none_or(rests)
+            let is_idle =
+                |machine: &Machine| machine.is_idle() && machine.next_wakeup(now).is_none();
+            let is_done = |instance: &Instance| {
+                instance.calls.is_empty() && instance.machine.as_ref().is_none_or(is_idle)
             };
-            if self.instances.iter().all(quiet) {
+            if self.instances.iter().all(is_done) {
                 return;
             }
         }
-        panic!("the instances never came to rest");
+        panic!("the instances did not become idle");
     }
 
-    /// Submits and waits with a healthy log for the answer.
-    pub fn ask(&mut self, number: usize, request: &Request) -> AdmissionDecision {
+    /// Submits a request and waits with a healthy log for the answer.
+    pub fn submit_and_wait(&mut self, number: usize, request: &Request) -> AdmissionDecision {
         let request_id = self.submit(number, request);
-        self.calm();
+        self.run_until_idle();
         self.decisions[&request_id].clone()
     }
 
@@ -333,21 +338,21 @@
             machine: None,
             name,
             run: 0,
-            ahead: Duration::ZERO,
+            clock_offset: Duration::ZERO,
             calls: VecDeque::new(),
-            asked: BTreeMap::new(),
+            submitted: BTreeMap::new(),
             permits: VecDeque::new(),
-            tries: VecDeque::new(),
+            executions: VecDeque::new(),
         }
     }
 
-    /// Whether a call to the log waits for its end.
+    /// Number of open calls to the log.
     pub fn calls(&self) -> usize {
         self.calls.len()
     }
 }
 
-/// The refusal in a decision; panics on any other.
+/// The refusal in a decision; panics on any other decision.
 pub fn refusal(decision: &AdmissionDecision) -> Refusal {
     match decision {
         AdmissionDecision::NotRun(refusal) => *refusal,
--- a/tests/logic/store.rs
+++ b/tests/logic/store.rs
@@ -1,4 +1,4 @@
-//! A log behind several addresses.
+//! Failover between the endpoints of a log.
 
 use std::cell::RefCell;
 use std::future::ready;
@@ -13,7 +13,7 @@
 
 const WAIT: Duration = Duration::ZERO;
 
-/// A way to the log that fails until it is mended, and notes its calls in a shared list.
+/// An endpoint whose calls all fail if `fails` is set; it adds its name to `calls` at each call.
 struct Endpoint {
     name: &'static str,
     fails: Option<AppendOutcome>,
@@ -73,43 +73,43 @@
 }
 
 #[test]
-fn append_uses_first_way_while_it_works() {
+fn append_uses_first_endpoint_while_it_works() {
     let log = Log::new([("a", None), ("b", None)]);
     assert_eq!((log.append(), log.append()), (Ok(7), Ok(7)));
     assert_eq!(log.calls(), ["a", "a"]);
 }
 
 #[test]
-fn append_not_written_goes_to_next_way() {
+fn append_not_written_goes_to_next_endpoint() {
     let log = Log::new([("a", Some(AppendOutcome::NotWritten)), ("b", None)]);
     assert_eq!((log.append(), log.append()), (Ok(7), Ok(7)));
-    assert_eq!(log.calls(), ["a", "b", "b"], "the dead way is left for good");
+    assert_eq!(log.calls(), ["a", "b", "b"], "the failed endpoint is not used again");
 }
 
-// A caller submits a job. The log writes the record, but the answer is lost on the way back.
-// Appending the record again at the log's next address would write it twice; the writer has to
-// hear that it does not know, and settles it by reading.
+// The log writes a record, but its response is lost. Appending the record again at the next
+// endpoint would write it twice. The writer gets the outcome Unknown and reads the stream to find
+// out.
 #[test]
 fn append_unknown_is_not_repeated() {
     let log = Log::new([("a", Some(AppendOutcome::Unknown)), ("b", None)]);
     assert_eq!(log.append().map_err(|error| error.outcome), Err(AppendOutcome::Unknown));
     assert_eq!(log.calls(), ["a"]);
     assert_eq!(log.append(), Ok(7));
-    assert_eq!(log.calls(), ["b"], "the next call goes to the next address");
+    assert_eq!(log.calls(), ["b"], "the next call uses the next endpoint");
 }
 
 #[test_case(AppendOutcome::NotWritten; "not_written")]
 #[test_case(AppendOutcome::Unknown; "unknown")]
-fn append_all_ways_down(outcome: AppendOutcome) {
+fn append_all_endpoints_down(outcome: AppendOutcome) {
     let log = Log::new([("a", Some(AppendOutcome::NotWritten)), ("b", Some(outcome))]);
     assert_eq!(log.append().map_err(|error| error.outcome), Err(outcome));
     assert_eq!(log.calls(), ["a", "b"]);
     assert!(log.append().is_err());
-    assert_eq!(log.calls()[0], "a", "it comes round to the first again");
+    assert_eq!(log.calls()[0], "a", "the first endpoint follows the last");
 }
 
 #[test]
-fn read_failed_goes_to_next_way() {
+fn read_failed_goes_to_next_endpoint() {
     let log = Log::new([("a", Some(AppendOutcome::Unknown)), ("b", None)]);
     assert!(log.read().is_err());
     assert!(log.read().is_ok());
--- a/tests/process/intent.rs
+++ b/tests/process/intent.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys over the log as a process, with a faulty network between it and the instances.
+//! Idempotency keys over a log in its own process, with a faulty network between it and the
+//! instances.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,13 +26,13 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 const KEYS: usize = 40;
 
-/// A log, and a proxy with one route to it for each instance.
+/// A log, and a proxy with a route to it for each instance.
 struct Platform {
     log: Standin,
     proxy: Standin,
 }
 
-/// The intents of one instance.
+/// The deduplication of one instance.
 struct Instance {
     name: String,
     deduplicator: Deduplicator,
@@ -93,7 +94,7 @@
         self.deduplicator.begin(request.clone(), TIMEOUT).await
     }
 
-    /// Asks again until the answer satisfies `wanted`.
+    /// Repeats a request until its answer satisfies `wanted`.
     async fn until(&self, request: &Request, wanted: impl Fn(&Admission) -> bool) -> Admission {
         let start = std::time::Instant::now();
         loop {
@@ -101,12 +102,12 @@
             if wanted(&admission) {
                 return admission;
             }
-            assert!(start.elapsed() < LIMIT, "the answer never came");
+            assert!(start.elapsed() < LIMIT, "the expected answer did not arrive");
             monoio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Ends the instance as a kill would: nothing it still owed is written.
+    /// Ends the instance without writing its pending records, as if it were killed.
     async fn kill(self) {
         let Self { deduplicator, task, .. } = self;
         drop(deduplicator);
@@ -142,8 +143,8 @@
     ))
 }
 
-// Two halls get each renewal at the same moment, because the client gave up on the first. Each
-// renewal may be tried by one of them only, and the other is told of it.
+// Two instances get each request at the same moment, as after a client's timeout. Only one of them
+// may run it.
 #[test]
 fn begin_race_has_one_winner() {
     block_on(async {
@@ -161,8 +162,8 @@
     });
 }
 
-// The log writes the intent and never answers. The instance finds its own record there and runs
-// the renewal; a retry through another hall is told the outcome.
+// The log writes the intent but never answers. The instance reads its own record back and runs the
+// request. A retry through another instance is answered with the outcome.
 #[test]
 fn begin_lost_answer_is_settled() {
     block_on(async {
@@ -172,14 +173,14 @@
         let request = erie.request("renew-7");
         let Admission::Granted(permit) = erie.begin(&request).await else { panic!("not won") };
         permit.start().finish(answered());
-        let told = huron.until(&request, |told| !is_unknown(told)).await;
-        assert!(is_done(&told));
+        let answer = huron.until(&request, |answer| !is_unknown(answer)).await;
+        assert!(is_done(&answer));
     });
 }
 
-// The way to the log breaks one way while the intent is on it: it is held in the network. The
-// instance answers "not run". The network heals and the held record reaches the log, late. It must
-// never be run from, and another hall's retry must be able to run, once.
+// The network stops forwarding to the log while an intent is in transit, and the instance answers
+// NotRun. After the network recovers, the delayed record reaches the log. The request must never
+// run from it, and a retry through another instance must run once.
 #[test]
 fn begin_late_write_is_withdrawn() {
     block_on(async {
@@ -193,12 +194,13 @@
         let won = huron.until(&request, is_won).await;
         let Admission::Granted(permit) = won else { unreachable!() };
         permit.start().finish(answered());
-        let told = erie.until(&request, |told| !is_unknown(told) && refusal(told).is_none()).await;
-        assert!(is_done(&told));
+        let answer =
+            erie.until(&request, |answer| !is_unknown(answer) && refusal(answer).is_none()).await;
+        assert!(is_done(&answer));
     });
 }
 
-// The log is away. Each renewal is refused as "not run" and leaves no trace there; when the log is
+// The log is unavailable. Each request is answered NotRun and nothing is appended. When the log is
 // back, the retry runs.
 #[test]
 fn begin_outage_is_not_run() {
@@ -216,8 +218,9 @@
     });
 }
 
-// The instance wins the key and dies; nobody can tell whether the renewal left it. Retries through
-// another hall and through its own replacement are told "unknown", and nothing is tried.
+// The instance wins the key and crashes, so it is unknown whether it sent the request. Retries
+// through another instance and through its own replacement are answered that the outcome is
+// unknown, and nothing runs.
 #[test]
 fn begin_after_death_is_unknown() {
     block_on(async {
@@ -232,8 +235,9 @@
     });
 }
 
-// The log's answer breaks off in the middle. A half page must not pass for a whole one: the
-// instance settles its intent once whole answers come again, or refuses, but never runs on it.
+// The log's response is truncated. The instance must not take it for a complete page: it confirms
+// its intent when complete responses arrive again, or refuses the request, but never runs it on a
+// truncated page.
 #[test]
 fn begin_truncated_answers() {
     block_on(async {
@@ -245,13 +249,14 @@
         assert!(!is_won(&erie.begin(&request).await));
         permit.start().finish(answered());
         platform.switch(&erie, Mode::Pass);
-        let told = erie.until(&request, |told| !is_unknown(told) && refusal(told).is_none()).await;
-        assert!(is_done(&told));
+        let answer =
+            erie.until(&request, |answer| !is_unknown(answer) && refusal(answer).is_none()).await;
+        assert!(is_done(&answer));
     });
 }
 
-// The log has dropped the record of a renewal that ran, and the instance was replaced since. The
-// old key is refused; one made now runs.
+// The log has dropped the record of a request that ran, and the instance was replaced since. The
+// old key is refused; a key created now runs.
 #[test]
 fn begin_dropped_key_is_refused() {
     block_on(async {
@@ -273,7 +278,7 @@
     });
 }
 
-// A backup is submitted through two halls with one key. Both must hand it to one failure domain,
+// A job is submitted through two instances with one key. Both must bind it to one failure domain,
 // also after that domain's owner has recorded it.
 #[test]
 fn place_job_fixes_one_domain() {
@@ -297,21 +302,21 @@
         let start = std::time::Instant::now();
         loop {
             let again = huron.deduplicator.bind_job(second.clone(), TIMEOUT).await;
-            let DomainBinding::Bound { domain: told, duplicate, accepted, .. } = again else {
+            let DomainBinding::Bound { domain: bound, duplicate, accepted, .. } = again else {
                 panic!("{again:?}")
             };
             assert!(duplicate);
-            assert_eq!(told, domain);
+            assert_eq!(bound, domain);
             if accepted {
                 break;
             }
-            assert!(start.elapsed() < LIMIT, "the acceptance was never read");
+            assert!(start.elapsed() < LIMIT, "the acceptance was not read in time");
         }
     });
 }
 
-// A client submits a backup in one hall, hears nothing in time, and submits it in two others with the
-// same key at the same moment. All answers mean one job, and it runs once in one hall.
+// A client submits a job in three failure domains with the same key at the same moment. All answers
+// refer to one job, and it runs once in one domain.
 #[test]
 fn submit_in_three_domains_is_one_job() {
     let domains = vec!["oamaru-hall", "kurow-hall", "palmerston-hall"];
