--- a/src/intent/key.rs
+++ b/src/intent/key.rs
@@ -7,16 +7,16 @@
 use crate::clock::Unix;
 use crate::domain;
 
-/// Longest name of a service or team, in bytes.
-const OWNER_BYTES: usize = 128;
-/// Longest idempotency key, in bytes.
-const NAME_BYTES: usize = 256;
-/// Hexadecimal digits of a UUID.
+/// Maximum length of a service's or team's name, in bytes.
+const MAX_SCOPE_BYTES: usize = 128;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_NAME_BYTES: usize = 256;
+/// Number of hexadecimal digits in a UUID.
 const UUID_DIGITS: usize = 32;
-/// Leading hexadecimal digits of a version 7 UUID that hold its creation time.
+/// Number of leading hexadecimal digits in a version 7 UUID that encode its creation time.
 const UUID_TIME_DIGITS: usize = 12;
 
-/// What a key protects.
+/// Kind of work that a key protects.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// A quick request of a service to a runner.
@@ -27,38 +27,38 @@
     Job,
 }
 
-/// An idempotency key with the service or team that named it.
+/// An idempotency key within the scope of a service or team.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
-#[display("{kind}/{owner}/{name}")]
+#[display("{kind}/{scope}/{name}")]
 pub struct Key {
     kind: Kind,
-    owner: String,
+    scope: String,
     name: String,
 }
 
-/// A key that cannot be used.
+/// Why a key is invalid.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
-    /// No service or team was named.
+    /// The service or team is empty.
     #[display("the service or team is empty")]
-    NoOwner,
+    EmptyScope,
     /// The service's or team's name is too long.
-    #[display("the service or team is longer than {OWNER_BYTES} bytes")]
-    LongOwner,
-    /// No key was given.
+    #[display("the service or team is longer than {MAX_SCOPE_BYTES} bytes")]
+    ScopeTooLong,
+    /// The key is empty.
     #[display("the idempotency key is empty")]
-    NoName,
+    EmptyName,
     /// The key is too long.
-    #[display("the idempotency key is longer than {NAME_BYTES} bytes")]
-    LongName,
+    #[display("the idempotency key is longer than {MAX_NAME_BYTES} bytes")]
+    NameTooLong,
 }
 
 impl Key {
-    /// Builds a key of `kind` from the name of the service or team and its idempotency key.
+    /// Creates a key from the name of the service or team and the caller's idempotency key.
     ///
     /// # Errors
     ///
-    /// Fails when one of the names is empty or too long.
+    /// Fails if one of them is empty or too long.
     ///
     /// ```
     /// use oriolefork::intent::{Key, Kind};
@@ -66,24 +66,24 @@
     /// assert_eq!(key.to_string(), "request/portal/renew-7");
     /// assert!(Key::new(Kind::Request, "portal", "").is_err());
     /// ```
-    pub fn new(kind: Kind, owner: &str, name: &str) -> Result<Self, Error> {
-        match (owner.len(), name.len()) {
-            (0, _) => Err(Error::NoOwner),
-            (_, 0) => Err(Error::NoName),
-            (length, _) if length > OWNER_BYTES => Err(Error::LongOwner),
-            (_, length) if length > NAME_BYTES => Err(Error::LongName),
-            _ => Ok(Self { kind, owner: owner.to_owned(), name: name.to_owned() }),
+    pub fn new(kind: Kind, scope: &str, name: &str) -> Result<Self, Error> {
+        match (scope.len(), name.len()) {
+            (0, _) => Err(Error::EmptyScope),
+            (_, 0) => Err(Error::EmptyName),
+            (length, _) if length > MAX_SCOPE_BYTES => Err(Error::ScopeTooLong),
+            (_, length) if length > MAX_NAME_BYTES => Err(Error::NameTooLong),
+            _ => Ok(Self { kind, scope: scope.to_owned(), name: name.to_owned() }),
         }
     }
 
-    /// What the key protects.
+    /// Kind of work that the key protects.
     pub fn kind(&self) -> Kind {
         self.kind
     }
 
-    /// The service or team that named it.
-    pub fn owner(&self) -> &str {
-        &self.owner
+    /// The service or team that the key belongs to.
+    pub fn scope(&self) -> &str {
+        &self.scope
     }
 
     /// The caller's idempotency key.
@@ -91,20 +91,20 @@
         &self.name
     }
 
-    /// Number of the partition that holds the key's records, the same at every instance.
+    /// Number of the partition with the key's records; the same at every instance.
     pub fn partition(&self) -> u16 {
         let mut hasher = Xxh3::new();
         hasher.update(&[self.kind as u8]);
-        hasher.update(&(self.owner.len() as u64).to_le_bytes());
-        hasher.update(self.owner.as_bytes());
+        hasher.update(&(self.scope.len() as u64).to_le_bytes());
+        hasher.update(self.scope.as_bytes());
         hasher.update(self.name.as_bytes());
         let partition = hasher.digest() % u64::from(PARTITIONS);
         partition as u16
     }
 
-    /// Bytes of its names.
+    /// Length of the scope and name, in bytes.
     pub(super) fn len(&self) -> usize {
-        self.owner.len() + self.name.len()
+        self.scope.len() + self.name.len()
     }
 }
 
@@ -113,25 +113,25 @@
 pub struct Request {
     /// The key.
     pub key: Key,
-    /// When the caller made the key; the same in each retry. See [`created_of`].
+    /// Creation time of the key; the same in each retry. See [`creation_time`].
     pub created: Unix,
-    /// Fingerprint of the work, so that a key used for other work is noticed. See [`fingerprint`].
+    /// Fingerprint of the work, which reveals a key that is reused for other work. See
+    /// [`fingerprint`].
     pub fingerprint: u64,
-    /// Failure domain that takes the job, for a key of [`Kind::Job`].
+    /// Failure domain that is to take the job, for a key of [`Kind::Job`].
     pub domain: Option<domain::Name>,
 }
 
-/// Reads the creation time out of an idempotency key that is a version 7 UUID; `None` when it is
-/// something else.
+/// Creation time of an idempotency key that is a version 7 UUID; `None` for any other key.
 ///
 /// ```
 /// use oriolefork::clock::Unix;
-/// use oriolefork::intent::created_of;
-/// let created = created_of("01890a5d-ac96-774b-bcce-b302099a8057");
+/// use oriolefork::intent::creation_time;
+/// let created = creation_time("01890a5d-ac96-774b-bcce-b302099a8057");
 /// assert_eq!(created, Some(Unix::from_millis(0x0189_0a5d_ac96)));
-/// assert_eq!(created_of("renew-7"), None);
+/// assert_eq!(creation_time("renew-7"), None);
 /// ```
-pub fn created_of(name: &str) -> Option<Unix> {
+pub fn creation_time(name: &str) -> Option<Unix> {
     let digits: String = name.chars().filter(|symbol| *symbol != '-').collect();
     let is_uuid = digits.len() == UUID_DIGITS && digits.bytes().all(|b| b.is_ascii_hexdigit());
     if !is_uuid || digits.as_bytes()[UUID_TIME_DIGITS] != b'7' {
@@ -140,7 +140,7 @@
     u64::from_str_radix(&digits[..UUID_TIME_DIGITS], 16).ok().map(Unix::from_millis)
 }
 
-/// Fingerprint of the work that a key stands for.
+/// Fingerprint of the work that is submitted under a key.
 pub fn fingerprint(work: &[u8]) -> u64 {
     xxh3_64(work)
 }
--- a/src/intent/permit.rs
+++ b/src/intent/permit.rs
@@ -1,86 +1,87 @@
-//! The right to one try, and its end.
+//! Permits to run a request once, and the recording of its outcome.
 
 use local_sync::mpsc::unbounded::Tx;
 
-use super::guard::Message;
+use super::deduplicator::Message;
 use super::key::Key;
-use super::record::{Attempt, Entry, Outcome};
+use super::record::{AttemptId, Entry, ExecutionOutcome};
 use crate::clock::Unix;
 
-/// What a permit and a try stand for.
+/// A key that was won, until its withdrawal or outcome is recorded.
 #[derive(Debug)]
 struct Claim {
-    attempt: Attempt,
+    attempt: AttemptId,
     key: Key,
     created: Unix,
 }
 
-/// The right to try a key once.
+/// Permission to run the work of a key once.
 ///
-/// Dropping it unused gives the key back: the withdrawal is recorded, and a retry may win.
+/// Dropping it unused releases the key: a withdrawal is recorded, and a retry may run.
 pub struct Permit {
-    attempt: Attempt,
+    attempt: AttemptId,
     claim: Option<Claim>,
-    home: Tx<Message>,
+    sender: Tx<Message>,
 }
 
-/// The one try of a key. From here on its work may have run.
+/// The only execution of a key's work, which may have run from now on.
 ///
-/// Dropping it without [`finish`](Self::finish) records that its outcome was lost.
-pub struct Try {
+/// Dropping it without [`finish`](Self::finish) records [`ExecutionOutcome::ResponseLost`].
+pub struct Execution {
     claim: Option<Claim>,
-    home: Tx<Message>,
+    sender: Tx<Message>,
 }
 
 impl Permit {
-    pub(super) fn new(attempt: Attempt, key: Key, created: Unix, home: Tx<Message>) -> Self {
-        Self { attempt, claim: Some(Claim { attempt, key, created }), home }
+    pub(super) fn new(attempt: AttemptId, key: Key, created: Unix, sender: Tx<Message>) -> Self {
+        Self { attempt, claim: Some(Claim { attempt, key, created }), sender }
     }
 
     /// Identity of the attempt, unique among all instances.
-    pub fn attempt(&self) -> Attempt {
+    pub fn attempt(&self) -> AttemptId {
         self.attempt
     }
 
-    /// Lets the intent stand without a try here, as for a job that others may hand over as well.
-    pub(super) fn keep(mut self) {
+    /// Keeps the key claimed without an execution, for a job that other instances may submit too.
+    pub(super) fn retain_intent(mut self) {
         self.claim = None;
     }
 
-    /// Begins the try; call it before the first byte of the work may leave.
-    pub fn start(mut self) -> Try {
-        Try { claim: self.claim.take(), home: self.home.clone() }
+    /// Starts the execution. Must be called before the first byte of the work may be sent.
+    pub fn start(mut self) -> Execution {
+        Execution { claim: self.claim.take(), sender: self.sender.clone() }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
         let Some(Claim { attempt, key, .. }) = self.claim.take() else { return };
-        send(&self.home, Entry::Withdrawal { attempt, key });
+        send(&self.sender, Entry::Withdrawal { attempt, key });
     }
 }
 
-impl Try {
-    /// Records how the try ended. The record is written soon; a caller need not wait for it.
-    pub fn finish(mut self, outcome: Outcome) {
+impl Execution {
+    /// Records the outcome of the execution. Does not wait until the record is written.
+    pub fn finish(mut self, outcome: ExecutionOutcome) {
         self.record(outcome);
     }
 
-    fn record(&mut self, outcome: Outcome) {
+    fn record(&mut self, outcome: ExecutionOutcome) {
         let Some(Claim { attempt, key, created }) = self.claim.take() else { return };
-        send(&self.home, Entry::Outcome { attempt, key, created, outcome });
+        send(&self.sender, Entry::Outcome { attempt, key, created, outcome });
     }
 }
 
-impl Drop for Try {
+impl Drop for Execution {
     fn drop(&mut self) {
-        self.record(Outcome::Lost);
+        self.record(ExecutionOutcome::ResponseLost);
     }
 }
 
-/// A guard that has ended takes no record any more; the key then stays unknown to retries.
-fn send(home: &Tx<Message>, entry: Entry) {
-    if home.send(Message::Owe(entry)).is_err() {
-        log::warn!("event=intent.record_lost cause=\"the guard has ended\"");
+/// Sends a record to the task. If the task has ended, the record is lost and the outcome of the
+/// key stays unknown to retries.
+fn send(sender: &Tx<Message>, entry: Entry) {
+    if sender.send(Message::Record(entry)).is_err() {
+        log::warn!("event=intent.record_lost cause=\"the deduplicator has ended\"");
     }
 }
--- a/src/intent/record.rs
+++ b/src/intent/record.rs
@@ -1,4 +1,4 @@
-//! What a partition's records say.
+//! Contents of a partition's records.
 
 use bytes::Bytes;
 use derive_more::Display;
@@ -10,60 +10,60 @@
 use crate::domain;
 use crate::store::Offset;
 
-/// Longest content type that is kept of an answer, in bytes.
+/// Maximum length of a recorded content type, in bytes. Longer ones are truncated.
 const CONTENT_TYPE_BYTES: usize = 128;
 
-/// Identity of one attempt to win a key.
+/// Identity of an attempt to win a key, or of an append.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{run:016x}-{serial}")]
-pub struct Attempt {
-    /// Random number of the writer's process.
+pub struct AttemptId {
+    /// Random identity of the writer's process.
     pub run: u64,
-    /// Count within that process.
+    /// Serial number within that process.
     pub serial: u64,
 }
 
-/// One record of a partition: everything that waited at one instance.
+/// One record of a partition: the entries that one instance appends together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// Partition it was written for.
+    /// Partition that the batch was written for.
     pub partition: u16,
-    /// Name of the writer, for people.
+    /// Name of the writing instance, for diagnostics.
     pub writer: String,
     /// Identity of the append.
-    pub id: Attempt,
-    /// The writer had taken account of every record below this offset.
-    pub seen: Offset,
-    /// No intent below `seen` has a later creation time.
-    pub horizon: Unix,
-    /// What it says, in order.
+    pub id: AttemptId,
+    /// The writer had read, or accounted for, every record below this offset.
+    pub read_until: Offset,
+    /// No intent below `read_until` has a later creation time.
+    pub latest_created: Unix,
+    /// Entries in the order in which they apply.
     pub entries: Vec<Entry>,
 }
 
-/// One statement of a batch.
+/// One entry of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
     /// An attempt to win a key.
     Intent(Intent),
-    /// The attempt has run nothing and never will, whether or not its intent is in the log.
+    /// The attempt has not run and never will, whether or not its intent is in the log.
     Withdrawal {
         /// The attempt.
-        attempt: Attempt,
+        attempt: AttemptId,
         /// Its key.
         key: Key,
     },
-    /// How the one try of a key ended.
+    /// Outcome of the only execution of a key.
     Outcome {
         /// The attempt that won the key.
-        attempt: Attempt,
+        attempt: AttemptId,
         /// Its key.
         key: Key,
-        /// When the caller made the key.
+        /// Creation time of the key.
         created: Unix,
-        /// How it ended.
-        outcome: Outcome,
+        /// The outcome.
+        outcome: ExecutionOutcome,
     },
 }
 
@@ -71,10 +71,10 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Intent {
     /// The attempt.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// The key.
     pub key: Key,
-    /// When the caller made the key.
+    /// Creation time of the key.
     pub created: Unix,
     /// Fingerprint of the work.
     pub fingerprint: u64,
@@ -82,96 +82,96 @@
     pub domain: Option<domain::Name>,
 }
 
-/// How a try ended.
+/// Outcome of an execution.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// The upstream gave a whole answer.
-    Answered(Answer),
-    /// The owner of this failure domain has the job in its log.
+pub enum ExecutionOutcome {
+    /// The upstream returned a complete response.
+    Responded(RecordedResponse),
+    /// The owner of this failure domain has recorded the job in its log.
     Accepted(domain::Name),
-    /// The upstream may have run it: no whole answer came.
-    Lost,
+    /// The upstream may have run the work but returned no complete response.
+    ResponseLost,
 }
 
-/// The answer of an upstream.
+/// Response of an upstream, as recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
-    /// Content type, cut to a bound.
+    /// Content type, truncated to 128 bytes.
     pub content_type: String,
     /// The body or its digest.
-    pub body: Body,
+    pub body: RecordedBody,
 }
 
-/// The body of an answer, as far as it is kept.
+/// Recorded body of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Body {
-    /// All of it.
-    Whole(Bytes),
-    /// It was too long to keep.
+pub enum RecordedBody {
+    /// The complete body.
+    Complete(Bytes),
+    /// Length and hash of a body that was too long to record.
     Digest {
-        /// Its length in bytes.
+        /// Length in bytes.
         length: u64,
-        /// Its xxh3 hash.
+        /// xxh3 hash.
         hash: u64,
     },
 }
 
-impl Answer {
-    /// Keeps `body` whole when it has at most `limit` bytes, else its digest.
+impl RecordedResponse {
+    /// Records `body` in full if it has at most `limit` bytes, or else its digest.
     ///
     /// ```
     /// use bytes::Bytes;
-    /// use oriolefork::intent::{Answer, Body};
-    /// let long = Answer::new(200, "text/plain", &Bytes::from_static(b"renewed"), 4);
-    /// assert!(matches!(long.body, Body::Digest { length: 7, .. }));
+    /// use oriolefork::intent::{RecordedResponse, RecordedBody};
+    /// let long = RecordedResponse::new(200, "text/plain", &Bytes::from_static(b"renewed"), 4);
+    /// assert!(matches!(long.body, RecordedBody::Digest { length: 7, .. }));
     /// ```
     pub fn new(status: u16, content_type: &str, body: &Bytes, limit: usize) -> Self {
         let kept = if body.len() <= limit {
-            Body::Whole(body.clone())
+            RecordedBody::Complete(body.clone())
         } else {
-            Body::Digest { length: body.len() as u64, hash: xxh3_64(body) }
+            RecordedBody::Digest { length: body.len() as u64, hash: xxh3_64(body) }
         };
         let end = content_type.floor_char_boundary(CONTENT_TYPE_BYTES);
         Self { status, content_type: content_type[..end].to_owned(), body: kept }
     }
 }
 
-impl Outcome {
-    /// Bytes it holds beyond its fixed size.
+impl ExecutionOutcome {
+    /// Size in bytes beyond the fixed fields.
     pub(super) fn len(&self) -> usize {
         match self {
-            Self::Answered(answer) => answer.len(),
+            Self::Responded(answer) => answer.len(),
             Self::Accepted(domain) => domain.as_str().len(),
-            Self::Lost => 0,
+            Self::ResponseLost => 0,
         }
     }
 }
 
-impl Answer {
+impl RecordedResponse {
     fn len(&self) -> usize {
         let body = match &self.body {
-            Body::Whole(bytes) => bytes.len(),
-            Body::Digest { .. } => 0,
+            RecordedBody::Complete(bytes) => bytes.len(),
+            RecordedBody::Digest { .. } => 0,
         };
         body + self.content_type.len()
     }
 }
 
-/// Bytes that an entry's fixed fields take at most.
+/// Upper bound on the encoded size of an entry's fixed fields, in bytes.
 const ENTRY_BYTES: usize = 64;
 
 impl Entry {
-    /// The attempt it is about.
-    pub fn attempt(&self) -> Attempt {
+    /// Attempt that the entry refers to.
+    pub fn attempt(&self) -> AttemptId {
         match self {
             Self::Intent(intent) => intent.attempt,
             Self::Withdrawal { attempt, .. } | Self::Outcome { attempt, .. } => *attempt,
         }
     }
 
-    /// The key it is about.
+    /// Key that the entry refers to.
     pub fn key(&self) -> &Key {
         match self {
             Self::Intent(intent) => &intent.key,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Upper estimate of its size in the log.
+    /// Upper bound on the encoded size, in bytes.
     pub(super) fn len(&self) -> usize {
         let variable = match self {
             Self::Intent(intent) => intent.len(),
--- a/src/intent/wire.rs
+++ b/src/intent/wire.rs
@@ -1,20 +1,22 @@
-//! The form of a batch in the log: a version byte, then bincode.
+//! Encoding of a batch in the log: a version byte followed by bincode.
 
 use bytes::Bytes;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use super::key::{Key, Kind};
-use super::record::{Answer, Attempt, Batch, Body, Entry, Intent, Outcome};
+use super::record::{
+    AttemptId, Batch, Entry, ExecutionOutcome, Intent, RecordedBody, RecordedResponse,
+};
 use crate::clock::Unix;
 use crate::domain;
 
-/// Version of this form.
+/// Version of the encoding.
 const VERSION: u8 = 1;
-/// Largest record that is decoded, in bytes.
+/// Maximum size of a record that is decoded, in bytes.
 const LIMIT: usize = 4 * 1024 * 1024;
 
-/// A record that is no batch.
+/// A record that cannot be decoded as a batch.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("step=intent.decode cause={cause}")]
 pub struct Error {
@@ -31,7 +33,7 @@
 struct WireBatch {
     partition: u16,
     writer: String,
-    id: Attempt,
+    id: AttemptId,
     seen: u64,
     horizon: Unix,
     entries: Vec<WireEntry>,
@@ -39,9 +41,9 @@
 
 #[derive(Serialize, Deserialize)]
 enum WireEntry {
-    Intent { attempt: Attempt, key: WireKey, created: Unix, fingerprint: u64, domain: String },
-    Withdrawal { attempt: Attempt, key: WireKey },
-    Outcome { attempt: Attempt, key: WireKey, created: Unix, outcome: WireOutcome },
+    Intent { attempt: AttemptId, key: WireKey, created: Unix, fingerprint: u64, domain: String },
+    Withdrawal { attempt: AttemptId, key: WireKey },
+    Outcome { attempt: AttemptId, key: WireKey, created: Unix, outcome: WireOutcome },
 }
 
 #[derive(Serialize, Deserialize)]
@@ -63,10 +65,10 @@
 pub fn encode(batch: &Batch) -> Bytes {
     let mut payload = vec![VERSION];
     let wire = WireBatch::from(batch);
-    // Writing to memory fails only for types that bincode cannot hold, and these it can.
+    // Writing to memory fails only for types that bincode does not support; it supports these.
     let written =
         bincode::serde::encode_into_std_write(wire, &mut payload, bincode::config::standard());
-    debug_assert!(written.is_ok(), "a batch always encodes");
+    debug_assert!(written.is_ok(), "a batch can always be encoded");
     payload.into()
 }
 
@@ -74,7 +76,8 @@
 ///
 /// # Errors
 ///
-/// Fails on another version, on a truncated or lengthened payload and on keys out of bounds.
+/// Fails if the version differs, if the payload is truncated or has trailing bytes, or if a key is
+/// invalid.
 pub fn decode(payload: &[u8]) -> Result<Batch, Error> {
     let (version, rest) = payload.split_first().ok_or_else(|| Error::new("empty record"))?;
     if *version != VERSION {
@@ -84,7 +87,7 @@
     let (wire, used): (WireBatch, usize) = bincode::serde::decode_from_slice(rest, config)
         .map_err(|error| Error::new(error.to_string()))?;
     if used != rest.len() {
-        return Err(Error::new("bytes after the end"));
+        return Err(Error::new("trailing bytes after the batch"));
     }
     wire.try_into()
 }
@@ -95,8 +98,8 @@
             partition: batch.partition,
             writer: batch.writer.clone(),
             id: batch.id,
-            seen: batch.seen,
-            horizon: batch.horizon,
+            seen: batch.read_until,
+            horizon: batch.latest_created,
             entries: batch.entries.iter().map(WireEntry::from).collect(),
         }
     }
@@ -111,8 +114,8 @@
             partition: wire.partition,
             writer: wire.writer,
             id: wire.id,
-            seen: wire.seen,
-            horizon: wire.horizon,
+            read_until: wire.seen,
+            latest_created: wire.horizon,
             entries,
         })
     }
@@ -156,7 +159,12 @@
             }
             WireEntry::Outcome { attempt, key, created, outcome } => {
                 let key = Key::try_from(key)?;
-                Ok(Self::Outcome { attempt, key, created, outcome: Outcome::from(outcome) })
+                Ok(Self::Outcome {
+                    attempt,
+                    key,
+                    created,
+                    outcome: ExecutionOutcome::from(outcome),
+                })
             }
         }
     }
@@ -166,7 +174,7 @@
     fn from(key: &Key) -> Self {
         Self {
             job: key.kind() == Kind::Job,
-            owner: key.owner().to_owned(),
+            owner: key.scope().to_owned(),
             name: key.name().to_owned(),
         }
     }
@@ -181,42 +189,46 @@
     }
 }
 
-impl From<&Outcome> for WireOutcome {
-    fn from(outcome: &Outcome) -> Self {
+impl From<&ExecutionOutcome> for WireOutcome {
+    fn from(outcome: &ExecutionOutcome) -> Self {
         match outcome {
-            Outcome::Answered(answer) => Self::from(answer),
-            Outcome::Accepted(domain) => Self::Accepted { domain: domain.clone() },
-            Outcome::Lost => Self::Lost,
+            ExecutionOutcome::Responded(answer) => Self::from(answer),
+            ExecutionOutcome::Accepted(domain) => Self::Accepted { domain: domain.clone() },
+            ExecutionOutcome::ResponseLost => Self::Lost,
         }
     }
 }
 
-impl From<&Answer> for WireOutcome {
-    fn from(answer: &Answer) -> Self {
+impl From<&RecordedResponse> for WireOutcome {
+    fn from(answer: &RecordedResponse) -> Self {
         let content_type = answer.content_type.clone();
         match &answer.body {
-            Body::Whole(body) => {
+            RecordedBody::Complete(body) => {
                 Self::Whole { status: answer.status, content_type, body: body.to_vec() }
             }
-            Body::Digest { length, hash } => {
+            RecordedBody::Digest { length, hash } => {
                 Self::Digest { status: answer.status, content_type, length: *length, hash: *hash }
             }
         }
     }
 }
 
-impl From<WireOutcome> for Outcome {
+impl From<WireOutcome> for ExecutionOutcome {
     fn from(wire: WireOutcome) -> Self {
         match wire {
             WireOutcome::Whole { status, content_type, body } => {
-                Self::Answered(Answer { status, content_type, body: Body::Whole(body.into()) })
+                Self::Responded(RecordedResponse {
+                    status,
+                    content_type,
+                    body: RecordedBody::Complete(body.into()),
+                })
             }
             WireOutcome::Digest { status, content_type, length, hash } => {
-                let body = Body::Digest { length, hash };
-                Self::Answered(Answer { status, content_type, body })
+                let body = RecordedBody::Digest { length, hash };
+                Self::Responded(RecordedResponse { status, content_type, body })
             }
             WireOutcome::Accepted { domain } => Self::Accepted(domain),
-            WireOutcome::Lost => Self::Lost,
+            WireOutcome::Lost => Self::ResponseLost,
         }
     }
 }
--- a/src/owner/election/claim.rs
+++ b/src/owner/election/claim.rs
@@ -8,7 +8,7 @@
 use crate::owner::journal::{AppendRequest, Tag};
 use crate::owner::machine::{Effect, Machine, Role};
 use crate::owner::record::Record;
-use crate::store::{self, Offset, Outcome};
+use crate::store::{self, AppendOutcome, Offset};
 
 /// The claim timeout divided by this is the additional delay of each rank.
 const RANK_DELAY_DIVISOR: u32 = 3;
@@ -130,7 +130,7 @@
                     active.journal.on_append_failed(tag, now);
                     active.on_append_failed(tag, now);
                 }
-                if error.outcome == Outcome::Unknown {
+                if error.outcome == AppendOutcome::Unknown {
                     self.read_soon(now);
                 }
             }
--- a/tests/process/intent.rs
+++ b/tests/process/intent.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys over the log as a process, with a faulty network between it and the instances.
+//! Idempotency keys over a log in its own process, with a faulty network between it and the
+//! instances.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,8 +9,8 @@
 use monoio::task::JoinHandle;
 use oriolefork::clock::{Clock, System};
 use oriolefork::intent::{
-    Admission, Answer, Guard, Key, Kind, Outcome, Placement, Policy, Progress, Refusal, Request,
-    fingerprint,
+    Admission, Deduplicator, DomainBinding, ExecutionOutcome, Key, Kind, Policy, Progress,
+    RecordedResponse, Refusal, Request, fingerprint,
 };
 use oriolefork::standin::log;
 use oriolefork::standin::proxy::{self, Mode};
@@ -19,22 +20,22 @@
 
 use crate::harness::{Entry, LIMIT, Plan, Standin, block_on, eventually, get_json, post_json};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-const SETTLE: Duration = Duration::from_secs(2);
-const PAUSE: Duration = Duration::from_millis(20);
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(2);
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 const KEYS: usize = 40;
 
-/// A log, and a proxy with one route to it for each instance.
+/// A log, and a proxy with a route to it for each instance.
 struct Platform {
     log: Standin,
     proxy: Standin,
 }
 
-/// The intents of one instance.
+/// The deduplication of one instance.
 struct Instance {
     name: String,
-    guard: Guard,
+    deduplicator: Deduplicator,
     task: JoinHandle<()>,
     clock: System,
 }
@@ -70,11 +71,12 @@
         let store = store::http::Client::new(self.route(name), http, CALL_TIMEOUT);
         let clock = System::start();
         let call_timeout = CALL_TIMEOUT * 2;
-        let policy = Policy { call_timeout, settle: SETTLE, ..Policy::default() };
-        let (guard, driver) = Guard::new(name, run, policy, Rc::new(store), Rc::new(clock.clone()));
-        guard.warm();
+        let policy = Policy { call_timeout, confirm_timeout: CONFIRM_TIMEOUT, ..Policy::default() };
+        let (deduplicator, driver) =
+            Deduplicator::new(name, run, policy, Rc::new(store), Rc::new(clock.clone()));
+        deduplicator.preload();
         let task = monoio::spawn(driver.run(Duration::ZERO));
-        Instance { name: name.to_owned(), guard, task, clock }
+        Instance { name: name.to_owned(), deduplicator, task, clock }
     }
 }
 
@@ -89,10 +91,10 @@
     }
 
     async fn begin(&self, request: &Request) -> Admission {
-        self.guard.begin(request.clone(), PATIENCE).await
+        self.deduplicator.begin(request.clone(), TIMEOUT).await
     }
 
-    /// Asks again until the answer satisfies `wanted`.
+    /// Repeats a request until its answer satisfies `wanted`.
     async fn until(&self, request: &Request, wanted: impl Fn(&Admission) -> bool) -> Admission {
         let start = std::time::Instant::now();
         loop {
@@ -100,21 +102,21 @@
             if wanted(&admission) {
                 return admission;
             }
-            assert!(start.elapsed() < LIMIT, "the answer never came");
-            monoio::time::sleep(PAUSE).await;
+            assert!(start.elapsed() < LIMIT, "the expected answer did not arrive");
+            monoio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Ends the instance as a kill would: nothing it still owed is written.
+    /// Ends the instance without writing its pending records, as if it were killed.
     async fn kill(self) {
-        let Self { guard, task, .. } = self;
-        drop(guard);
+        let Self { deduplicator, task, .. } = self;
+        drop(deduplicator);
         task.await;
     }
 }
 
 fn is_won(admission: &Admission) -> bool {
-    matches!(admission, Admission::Won(_))
+    matches!(admission, Admission::Granted(_))
 }
 
 fn is_unknown(admission: &Admission) -> bool {
@@ -132,12 +134,17 @@
     }
 }
 
-fn answered() -> Outcome {
-    Outcome::Answered(Answer::new(200, "text/plain", &Bytes::from_static(b"renewed"), 4096))
+fn answered() -> ExecutionOutcome {
+    ExecutionOutcome::Responded(RecordedResponse::new(
+        200,
+        "text/plain",
+        &Bytes::from_static(b"renewed"),
+        4096,
+    ))
 }
 
-// Two halls get each renewal at the same moment, because the client gave up on the first. Each
-// renewal may be tried by one of them only, and the other is told of it.
+// Two instances get each request at the same moment, as after a client's timeout. Only one of them
+// may run it.
 #[test]
 fn begin_race_has_one_winner() {
     block_on(async {
@@ -155,8 +162,8 @@
     });
 }
 
-// The log writes the intent and never answers. The instance finds its own record there and runs
-// the renewal; a retry through another hall is told the outcome.
+// The log writes the intent but never answers. The instance reads its own record back and runs the
+// request. A retry through another instance is answered with the outcome.
 #[test]
 fn begin_lost_answer_is_settled() {
     block_on(async {
@@ -164,16 +171,16 @@
         let (erie, huron) = (platform.instance("erie", 1), platform.instance("huron", 2));
         platform.control(log::Control { drop_answers: Some(1), ..log::Control::default() });
         let request = erie.request("renew-7");
-        let Admission::Won(permit) = erie.begin(&request).await else { panic!("not won") };
+        let Admission::Granted(permit) = erie.begin(&request).await else { panic!("not won") };
         permit.start().finish(answered());
-        let told = huron.until(&request, |told| !is_unknown(told)).await;
-        assert!(is_done(&told));
+        let answer = huron.until(&request, |answer| !is_unknown(answer)).await;
+        assert!(is_done(&answer));
     });
 }
 
-// The way to the log breaks one way while the intent is on it: it is held in the network. The
-// instance answers "not run". The network heals and the held record reaches the log, late. It must
-// never be run from, and another hall's retry must be able to run, once.
+// The network stops forwarding to the log while an intent is in transit, and the instance answers
+// NotRun. After the network recovers, the delayed record reaches the log. The request must never
+// run from it, and a retry through another instance must run once.
 #[test]
 fn begin_late_write_is_withdrawn() {
     block_on(async {
@@ -185,14 +192,15 @@
         assert!(refusal(&erie.begin(&request).await).is_some());
         platform.switch(&erie, Mode::Pass);
         let won = huron.until(&request, is_won).await;
-        let Admission::Won(permit) = won else { unreachable!() };
+        let Admission::Granted(permit) = won else { unreachable!() };
         permit.start().finish(answered());
-        let told = erie.until(&request, |told| !is_unknown(told) && refusal(told).is_none()).await;
-        assert!(is_done(&told));
+        let answer =
+            erie.until(&request, |answer| !is_unknown(answer) && refusal(answer).is_none()).await;
+        assert!(is_done(&answer));
     });
 }
 
-// The log is away. Each renewal is refused as "not run" and leaves no trace there; when the log is
+// The log is unavailable. Each request is answered NotRun and nothing is appended. When the log is
 // back, the retry runs.
 #[test]
 fn begin_outage_is_not_run() {
@@ -202,7 +210,7 @@
         platform.control(log::Control { outage: Some(true), ..log::Control::default() });
         let request = erie.request("renew-7");
         for _ in 0..5 {
-            assert_eq!(refusal(&erie.begin(&request).await), Some(Refusal::NoLog));
+            assert_eq!(refusal(&erie.begin(&request).await), Some(Refusal::LogUnavailable));
         }
         platform.control(log::Control { outage: Some(false), ..log::Control::default() });
         assert_eq!(platform.appends(), 0);
@@ -210,15 +218,16 @@
     });
 }
 
-// The instance wins the key and dies; nobody can tell whether the renewal left it. Retries through
-// another hall and through its own replacement are told "unknown", and nothing is tried.
+// The instance wins the key and crashes, so it is unknown whether it sent the request. Retries
+// through another instance and through its own replacement are answered that the outcome is
+// unknown, and nothing runs.
 #[test]
 fn begin_after_death_is_unknown() {
     block_on(async {
         let platform = Platform::start();
         let (erie, huron) = (platform.instance("erie", 1), platform.instance("huron", 2));
         let request = erie.request("renew-7");
-        let Admission::Won(permit) = erie.begin(&request).await else { panic!("not won") };
+        let Admission::Granted(permit) = erie.begin(&request).await else { panic!("not won") };
         std::mem::forget(permit.start());
         drop(erie);
         assert!(is_unknown(&huron.begin(&request).await));
@@ -226,33 +235,35 @@
     });
 }
 
-// The log's answer breaks off in the middle. A half page must not pass for a whole one: the
-// instance settles its intent once whole answers come again, or refuses, but never runs on it.
+// The log's response is truncated. The instance must not take it for a complete page: it confirms
+// its intent when complete responses arrive again, or refuses the request, but never runs it on a
+// truncated page.
 #[test]
 fn begin_truncated_answers() {
     block_on(async {
         let platform = Platform::start();
         let (erie, huron) = (platform.instance("erie", 1), platform.instance("huron", 2));
         let request = erie.request("renew-7");
-        let Admission::Won(permit) = huron.begin(&request).await else { panic!("not won") };
+        let Admission::Granted(permit) = huron.begin(&request).await else { panic!("not won") };
         platform.switch(&erie, Mode::Truncate(120));
         assert!(!is_won(&erie.begin(&request).await));
         permit.start().finish(answered());
         platform.switch(&erie, Mode::Pass);
-        let told = erie.until(&request, |told| !is_unknown(told) && refusal(told).is_none()).await;
-        assert!(is_done(&told));
+        let answer =
+            erie.until(&request, |answer| !is_unknown(answer) && refusal(answer).is_none()).await;
+        assert!(is_done(&answer));
     });
 }
 
-// The log has dropped the record of a renewal that ran, and the instance was replaced since. The
-// old key is refused; one made now runs.
+// The log has dropped the record of a request that ran, and the instance was replaced since. The
+// old key is refused; a key created now runs.
 #[test]
 fn begin_dropped_key_is_refused() {
     block_on(async {
         let platform = Platform::start();
         let erie = platform.instance("erie", 1);
         let request = erie.request("renew-7");
-        let Admission::Won(permit) = erie.begin(&request).await else { panic!("not won") };
+        let Admission::Granted(permit) = erie.begin(&request).await else { panic!("not won") };
         permit.start().finish(answered());
         erie.kill().await;
         platform.control(log::Control { retention: Some(1), ..log::Control::default() });
@@ -267,7 +278,7 @@
     });
 }
 
-// A backup is submitted through two halls with one key. Both must hand it to one failure domain,
+// A job is submitted through two instances with one key. Both must bind it to one failure domain,
 // also after that domain's owner has recorded it.
 #[test]
 fn place_job_fixes_one_domain() {
@@ -281,31 +292,31 @@
         };
         let (first, second) = (job(&erie, "erie-hall"), job(&huron, "huron-hall"));
         let (here, there) = futures_util::join!(
-            erie.guard.place_job(first.clone(), PATIENCE),
-            huron.guard.place_job(second.clone(), PATIENCE)
+            erie.deduplicator.bind_job(first.clone(), TIMEOUT),
+            huron.deduplicator.bind_job(second.clone(), TIMEOUT)
         );
-        let Placement::Placed { domain, attempt, .. } = here else { panic!("{here:?}") };
-        let Placement::Placed { domain: other, .. } = there else { panic!("{there:?}") };
+        let DomainBinding::Bound { domain, attempt, .. } = here else { panic!("{here:?}") };
+        let DomainBinding::Bound { domain: other, .. } = there else { panic!("{there:?}") };
         assert_eq!(domain, other);
-        erie.guard.accept_job(&first, attempt, domain.clone());
+        erie.deduplicator.record_acceptance(&first, attempt, domain.clone());
         let start = std::time::Instant::now();
         loop {
-            let again = huron.guard.place_job(second.clone(), PATIENCE).await;
-            let Placement::Placed { domain: told, duplicate, accepted, .. } = again else {
+            let again = huron.deduplicator.bind_job(second.clone(), TIMEOUT).await;
+            let DomainBinding::Bound { domain: bound, duplicate, accepted, .. } = again else {
                 panic!("{again:?}")
             };
             assert!(duplicate);
-            assert_eq!(told, domain);
+            assert_eq!(bound, domain);
             if accepted {
                 break;
             }
-            assert!(start.elapsed() < LIMIT, "the acceptance was never read");
+            assert!(start.elapsed() < LIMIT, "the acceptance was not read in time");
         }
     });
 }
 
-// A client submits a backup in one hall, hears nothing in time, and submits it in two others with the
-// same key at the same moment. All answers mean one job, and it runs once in one hall.
+// A client submits a job in three failure domains with the same key at the same moment. All answers
+// refer to one job, and it runs once in one domain.
 #[test]
 fn submit_in_three_domains_is_one_job() {
     let domains = vec!["oamaru-hall", "kurow-hall", "palmerston-hall"];
