--- a/benches/config_in_force.rs
+++ b/benches/config_in_force.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 use monoio::{LegacyDriver, RuntimeBuilder};
-use oriolefork::config::{Change, Outcome, Preset, Value};
+use oriolefork::config::{Change, Preset, PublishOutcome, Value};
 use oriolefork::http::{Client, Limits};
 use oriolefork::shutdown::Shutdown;
 use oriolefork::standin::proxy::{self, Mode};
@@ -127,7 +127,7 @@
         let start = Instant::now();
         let outcome = self.nodes[0].publish("bench", Change::Preset(preset)).await;
         let accepted = Instant::now();
-        let Outcome::Accepted(version) = outcome else { panic!("{outcome}") };
+        let PublishOutcome::Accepted(version) = outcome else { panic!("{outcome}") };
         self.wait_for(version.raw()).await;
         let seen = self.seen.borrow();
         let instants = seen[&version.raw()].iter().flatten();
--- a/src/api/configuration.rs
+++ b/src/api/configuration.rs
@@ -8,7 +8,7 @@
 use crate::api::view::{Cut, Page, preset, quota};
 use crate::clock::Clock;
 use crate::config::publish::Id;
-use crate::config::{self, Handle, Outcome, Proposal, Value, Version};
+use crate::config::{self, Handle, Proposal, PublishOutcome, Value, Version};
 use crate::placement::Objective;
 use crate::{domain, worker};
 
@@ -77,11 +77,11 @@
         cut: &Cut<u64>,
     ) -> Result<Page<preset::InForce, u64>, Refusal> {
         let value = self.value().await?;
-        let newest_first = value.tenures.iter().rev().map(preset::InForce::from);
-        let mut older =
-            newest_first.filter(|tenure| cut.after.is_none_or(|after| tenure.version < after));
+        let newest_first = value.preset_history.iter().rev().map(preset::InForce::from);
+        let mut older = newest_first
+            .filter(|activation| cut.after.is_none_or(|after| activation.version < after));
         let items: Vec<_> = older.by_ref().take(cut.limit).collect();
-        let next = older.next().and(items.last().map(|tenure| tenure.version));
+        let next = older.next().and(items.last().map(|activation| activation.version));
         Ok(Page { items, next })
     }
 
@@ -126,7 +126,7 @@
         is_drained: bool,
     ) -> Result<(), Refusal> {
         let by = call.by.clone().unwrap_or_default();
-        let drain = config::Drain::Worker { domain: domain.clone(), worker: worker.clone() };
+        let drain = config::DrainTarget::Worker { domain: domain.clone(), worker: worker.clone() };
         let mut tries = 0;
         loop {
             let value = self.value().await?;
@@ -168,18 +168,20 @@
 /// # Errors
 ///
 /// Refuses all but an accepted change.
-pub fn settle(outcome: &Outcome) -> Result<Version, Refusal> {
+pub fn settle(outcome: &PublishOutcome) -> Result<Version, Refusal> {
     let message = outcome.to_string();
     match outcome {
-        Outcome::Accepted(version) => Ok(*version),
-        Outcome::Superseded { .. } | Outcome::Base { .. } => {
+        PublishOutcome::Accepted(version) => Ok(*version),
+        PublishOutcome::Superseded { .. } | PublishOutcome::BaseMismatch { .. } => {
             Err(Refusal::not_run(Reason::StaleVersion, message))
         }
-        Outcome::Invalid(_) => Err(Refusal::not_run(Reason::Invalid, message)),
-        Outcome::NotWritten => Err(Refusal::not_run(Reason::LogUnavailable, message).after(PAUSE)),
-        Outcome::NotReady => Err(unread()),
-        Outcome::Busy => Err(Refusal::not_run(Reason::Overloaded, message).after(PAUSE)),
-        Outcome::Unknown(_) => {
+        PublishOutcome::Invalid(_) => Err(Refusal::not_run(Reason::Invalid, message)),
+        PublishOutcome::NotWritten => {
+            Err(Refusal::not_run(Reason::LogUnavailable, message).after(PAUSE))
+        }
+        PublishOutcome::NotReady => Err(unread()),
+        PublishOutcome::Busy => Err(Refusal::not_run(Reason::Overloaded, message).after(PAUSE)),
+        PublishOutcome::Unknown(_) => {
             let message = "the log did not answer in time; read the settings to see whether the \
                            change is in force, or repeat it on the same version";
             Err(Refusal::unknown(Reason::LogUnavailable, message).after(PAUSE))
--- a/src/api/view/preset.rs
+++ b/src/api/view/preset.rs
@@ -66,20 +66,23 @@
 impl From<&config::Value> for InForce {
     fn from(value: &config::Value) -> Self {
         let preset = value.preset.to_string();
-        match &value.preset_set {
-            Some(stamp) => {
-                Self { preset, version: stamp.version.raw(), by: stamp.by.clone(), at: stamp.at }
-            }
+        match &value.preset_revision {
+            Some(revision) => Self {
+                preset,
+                version: revision.version.raw(),
+                by: revision.by.clone(),
+                at: revision.at,
+            },
             None => Self { preset, version: 0, by: NOBODY.to_owned(), at: Unix::default() },
         }
     }
 }
 
-impl From<&config::value::Tenure> for InForce {
-    fn from(tenure: &config::value::Tenure) -> Self {
-        let config::value::Tenure { preset, stamp } = tenure;
-        let (version, by) = (stamp.version.raw(), stamp.by.clone());
-        Self { preset: preset.to_string(), version, by, at: stamp.at }
+impl From<&config::value::PresetActivation> for InForce {
+    fn from(activation: &config::value::PresetActivation) -> Self {
+        let config::value::PresetActivation { preset, revision } = activation;
+        let (version, by) = (revision.version.raw(), revision.by.clone());
+        Self { preset: preset.to_string(), version, by, at: revision.at }
     }
 }
 
--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -2,15 +2,15 @@
 
 use derive_more::Display;
 
-use super::value::{Drain, Preset, Stamp, Value};
+use super::value::{DrainTarget, Preset, Revision, Value};
 use crate::resource::Amount;
 
 /// Longest name of an operator, team, rack or worker, in bytes.
-pub const NAME_BYTES: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Most teams with a quota.
-pub const QUOTAS: usize = 512;
+pub const MAX_QUOTAS: usize = 512;
 /// Most drained workers and racks.
-pub const DRAINED: usize = 1_024;
+pub const MAX_DRAINED: usize = 1_024;
 
 /// One change of the settings.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
@@ -28,10 +28,10 @@
     },
     /// Stop placing tasks on a worker or rack.
     #[display("drain {_0}")]
-    Drain(Drain),
+    Drain(DrainTarget),
     /// Place tasks there again.
     #[display("undrain {_0}")]
-    Undrain(Drain),
+    Undrain(DrainTarget),
     /// Set the log level of every instance, or leave each its own with `None`.
     #[display("log level")]
     LogLevel(Option<log::LevelFilter>),
@@ -39,16 +39,16 @@
 
 /// Why a change cannot be applied whatever its base.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, derive_more::Error)]
-pub enum Invalid {
+pub enum InvalidChange {
     /// A name is empty or too long.
-    #[display("a name must have 1 to {NAME_BYTES} bytes")]
-    Name,
+    #[display("a name must have 1 to {MAX_NAME_BYTES} bytes")]
+    NameLength,
     /// There are too many quotas.
-    #[display("at most {QUOTAS} teams can have a quota")]
-    Quotas,
+    #[display("at most {MAX_QUOTAS} teams can have a quota")]
+    TooManyQuotas,
     /// There are too many drained workers and racks.
-    #[display("at most {DRAINED} workers and racks can be drained")]
-    Drained,
+    #[display("at most {MAX_DRAINED} workers and racks can be drained")]
+    TooManyDrained,
 }
 
 impl Change {
@@ -57,21 +57,21 @@
     /// # Errors
     ///
     /// Names the bound that the change breaks.
-    pub fn check(&self, value: &Value) -> Result<(), Invalid> {
+    pub fn check(&self, value: &Value) -> Result<(), InvalidChange> {
         match self {
             Self::Preset(_) | Self::LogLevel(_) => Ok(()),
             Self::Quota { team, limit } => {
                 check_name(team)?;
                 let grows = limit.is_some() && !value.quotas.contains_key(team);
-                if grows && value.quotas.len() >= QUOTAS {
-                    return Err(Invalid::Quotas);
+                if grows && value.quotas.len() >= MAX_QUOTAS {
+                    return Err(InvalidChange::TooManyQuotas);
                 }
                 Ok(())
             }
             Self::Drain(drain) => {
                 check_drain(drain)?;
-                if !value.drained.contains(drain) && value.drained.len() >= DRAINED {
-                    return Err(Invalid::Drained);
+                if !value.drained.contains(drain) && value.drained.len() >= MAX_DRAINED {
+                    return Err(InvalidChange::TooManyDrained);
                 }
                 Ok(())
             }
@@ -80,9 +80,9 @@
     }
 
     /// Carries the change out on `value`.
-    pub(super) fn carry_out(&self, value: &mut Value, stamp: &Stamp) {
+    pub(super) fn carry_out(&self, value: &mut Value, revision: &Revision) {
         match self {
-            Self::Preset(preset) => value.set_preset(*preset, stamp),
+            Self::Preset(preset) => value.set_preset(*preset, revision),
             Self::Quota { team, limit: Some(limit) } => {
                 value.quotas.insert(team.clone(), *limit);
             }
@@ -101,20 +101,20 @@
 }
 
 /// Checks the length of a name.
-pub(super) fn check_name(name: &str) -> Result<(), Invalid> {
-    if name.is_empty() || name.len() > NAME_BYTES {
-        return Err(Invalid::Name);
+pub(super) fn check_name(name: &str) -> Result<(), InvalidChange> {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES {
+        return Err(InvalidChange::NameLength);
     }
     Ok(())
 }
 
-fn check_drain(drain: &Drain) -> Result<(), Invalid> {
+fn check_drain(drain: &DrainTarget) -> Result<(), InvalidChange> {
     match drain {
-        Drain::Worker { domain, worker } => {
+        DrainTarget::Worker { domain, worker } => {
             check_name(domain.as_str())?;
             check_name(worker.as_str())
         }
-        Drain::Rack { domain, rack } => {
+        DrainTarget::Rack { domain, rack } => {
             check_name(domain.as_str())?;
             check_name(rack)
         }
--- a/src/config/compaction.rs
+++ b/src/config/compaction.rs
@@ -71,7 +71,7 @@
     // Retention by time: whatever its length, it is far longer than the interval.
     let written = match reader.mark() {
         Some(mark) => Some(mark.at),
-        None => state.history.front().map(|entry| entry.stamp.at),
+        None => state.history.front().map(|entry| entry.revision.at),
     };
     written.is_some_and(|at| unix.since(at) >= interval)
 }
--- a/src/config/follow.rs
+++ b/src/config/follow.rs
@@ -14,7 +14,7 @@
 use super::gossip::Digest;
 use super::handle::{Ask, Handle, Proposal};
 use super::machine::Timing;
-use super::publish::{Id, Outcome, Publication};
+use super::publish::{Id, Publication, PublishOutcome};
 use super::value::Value;
 use super::{Effect, Machine, Message, STREAM, wire};
 use crate::clock::Clock;
@@ -141,7 +141,7 @@
     peers: Rc<peer::Client>,
     clock: Rc<dyn Clock>,
     asks: unbounded::Tx<Ask>,
-    waiting: BTreeMap<Id, oneshot::Sender<Outcome>>,
+    waiting: BTreeMap<Id, oneshot::Sender<PublishOutcome>>,
     subscribers: Vec<unbounded::Tx<Rc<Value>>>,
 }
 
@@ -169,10 +169,10 @@
             }
             Ask::Subscribe(sender) => self.subscribe(sender),
             Ask::Standings(sender) => {
-                let _ = sender.send(self.machine.standings(self.clock.now()));
+                let _ = sender.send(self.machine.sync_statuses(self.clock.now()));
             }
             Ask::Digest(digest, sender) => {
-                self.tell(Message::Heard(digest));
+                self.tell(Message::DigestReceived(digest));
                 let _ = sender.send(self.machine.digest(self.clock.now()));
             }
             Ask::State(sender) => {
@@ -188,10 +188,10 @@
         }
     }
 
-    fn publish(&mut self, proposal: Proposal, sender: oneshot::Sender<Outcome>) {
+    fn publish(&mut self, proposal: Proposal, sender: oneshot::Sender<PublishOutcome>) {
         let Proposal { id, base, by, change } = proposal;
         if self.waiting.contains_key(&id) {
-            let _ = sender.send(Outcome::Unknown(id));
+            let _ = sender.send(PublishOutcome::Unknown(id));
             return;
         }
         let current = self.machine.value().map(|value| value.version).unwrap_or_default();
@@ -226,8 +226,8 @@
                 );
                 self.subscribers.retain(|subscriber| subscriber.send(Rc::clone(&value)).is_ok());
             }
-            Effect::Exchange(peer, digest) => self.exchange(peer, &digest),
-            Effect::Fetch(peer) => self.fetch(peer),
+            Effect::SendDigest(peer, digest) => self.exchange(peer, &digest),
+            Effect::FetchState(peer) => self.fetch(peer),
         }
     }
 
@@ -266,7 +266,7 @@
                 peers.call(address, wire::DIGEST, &ask, PEER_TIMEOUT).await;
             match answer.map(Digest::try_from) {
                 Ok(Ok(digest)) => {
-                    let _ = asks.send(Ask::Tell(Message::Heard(digest)));
+                    let _ = asks.send(Ask::Tell(Message::DigestReceived(digest)));
                 }
                 Ok(Err(error)) => log::warn!("event=config.digest_invalid peer={address} {error}"),
                 Err(error) => log::debug!("event=config.digest_failed {error}"),
@@ -285,8 +285,8 @@
 }
 
 async fn fetch_state(peers: &peer::Client, address: SocketAddr) -> Message {
-    let ask = wire::Fetch {};
-    let fetched: Result<wire::Fetched, _> =
+    let ask = wire::FetchRequest {};
+    let fetched: Result<wire::FetchResponse, _> =
         peers.call(address, wire::FETCH, &ask, PEER_TIMEOUT).await;
     let state = match fetched {
         Ok(fetched) => fetched.state,
@@ -296,7 +296,7 @@
         }
     };
     match state.map(super::State::try_from) {
-        Some(Ok(state)) => Message::Offered(state),
+        Some(Ok(state)) => Message::StateReceived(state),
         Some(Err(error)) => {
             log::warn!("event=config.fetch_invalid peer={address} {error}");
             Message::FetchFailed
--- a/src/config/gossip.rs
+++ b/src/config/gossip.rs
@@ -11,7 +11,7 @@
 use crate::store::Offset;
 
 /// Rows about other instances in one digest.
-pub const ROWS: usize = 4;
+pub const MAX_ROWS: usize = 4;
 /// Most instances that the roster keeps.
 const ROSTER: usize = 1_024;
 /// How long an instance that nobody hears of stays on the roster.
@@ -30,7 +30,7 @@
 
 /// How current the settings are at one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct SyncStatus {
     /// Name of the instance.
     pub instance: String,
     /// Its failure domain.
@@ -50,10 +50,10 @@
 /// A message between peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Digest {
-    /// The sender's own standing.
-    pub from: Standing,
+    /// The sender's own status.
+    pub from: SyncStatus,
     /// Some of what the sender knows of others.
-    pub rows: Vec<Standing>,
+    pub rows: Vec<SyncStatus>,
 }
 
 #[derive(Clone, Debug)]
@@ -97,20 +97,20 @@
 }
 
 impl Roster {
-    /// Takes one instance's standing if it is newer than what is known.
-    pub(super) fn note(&mut self, now: Instant, standing: &Standing) {
-        let key = (standing.domain.clone(), standing.instance.clone());
+    /// Takes one instance's status if it is newer than what is known.
+    pub(super) fn note(&mut self, now: Instant, status: &SyncStatus) {
+        let key = (status.domain.clone(), status.instance.clone());
         let known = self.seen.get(&key);
-        let newer = known.is_none_or(|seen| standing.heard < seen.heard.at(now));
+        let newer = known.is_none_or(|seen| status.heard < seen.heard.at(now));
         if !newer || known.is_none() && self.seen.len() >= ROSTER {
             return;
         }
         let seen = Seen {
-            version: standing.version,
-            next: standing.next,
-            in_force: standing.in_force,
-            confirmed: standing.confirmed.map(|age| Age::new(age, now)),
-            heard: Age::new(standing.heard, now),
+            version: status.version,
+            next: status.next,
+            in_force: status.in_force,
+            confirmed: status.confirmed.map(|age| Age::new(age, now)),
+            heard: Age::new(status.heard, now),
         };
         self.seen.insert(key, seen);
     }
@@ -120,18 +120,18 @@
         self.seen.retain(|_, seen| seen.heard.at(now) < FORGET);
     }
 
-    /// Every standing known.
-    pub(super) fn standings(&self, now: Instant) -> impl Iterator<Item = Standing> + '_ {
-        self.seen.iter().map(move |(key, seen)| standing(now, key, seen))
+    /// Every status known.
+    pub(super) fn sync_statuses(&self, now: Instant) -> impl Iterator<Item = SyncStatus> + '_ {
+        self.seen.iter().map(move |(key, seen)| status(now, key, seen))
     }
 
-    /// The next few standings for a digest; successive calls go round the roster.
-    pub(super) fn rows(&mut self, now: Instant) -> Vec<Standing> {
-        let count = self.seen.len().min(ROWS);
+    /// The next few statuses for a digest; successive calls go round the roster.
+    pub(super) fn rows(&mut self, now: Instant) -> Vec<SyncStatus> {
+        let count = self.seen.len().min(MAX_ROWS);
         let start = self.cursor;
         self.cursor = (start + count) % self.seen.len().max(1);
         let turn = self.seen.iter().cycle().skip(start).take(count);
-        turn.map(|(key, seen)| standing(now, key, seen)).collect()
+        turn.map(|(key, seen)| status(now, key, seen)).collect()
     }
 
     /// The version at a peer when it was last heard of.
@@ -141,36 +141,36 @@
     }
 }
 
-/// Domains' standings, each the worst of its instances that were heard of within `recent`.
+/// Domains' statuses, each the worst of its instances that were heard of within `recent`.
 ///
 /// A domain of which nobody was heard lately keeps its last known instances, so that its age shows.
 pub fn worst_by_domain(
-    standings: &[Standing],
+    statuses: &[SyncStatus],
     recent: Duration,
-) -> BTreeMap<domain::Name, Standing> {
-    let mut worst: BTreeMap<domain::Name, Standing> = BTreeMap::new();
-    for standing in standings {
-        let Some(known) = worst.get_mut(&standing.domain) else {
-            worst.insert(standing.domain.clone(), standing.clone());
+) -> BTreeMap<domain::Name, SyncStatus> {
+    let mut worst: BTreeMap<domain::Name, SyncStatus> = BTreeMap::new();
+    for status in statuses {
+        let Some(known) = worst.get_mut(&status.domain) else {
+            worst.insert(status.domain.clone(), status.clone());
             continue;
         };
         let known_recent = known.heard <= recent;
-        let this_recent = standing.heard <= recent;
-        let worse = badness(standing) > badness(known);
+        let this_recent = status.heard <= recent;
+        let worse = badness(status) > badness(known);
         if this_recent && !known_recent || this_recent == known_recent && worse {
-            *known = standing.clone();
+            *known = status.clone();
         }
     }
     worst
 }
 
 /// Grows with how far an instance is behind.
-fn badness(standing: &Standing) -> (Reverse<Version>, Duration) {
-    (Reverse(standing.version), standing.confirmed.unwrap_or(Duration::MAX))
+fn badness(status: &SyncStatus) -> (Reverse<Version>, Duration) {
+    (Reverse(status.version), status.confirmed.unwrap_or(Duration::MAX))
 }
 
-fn standing(now: Instant, (domain, instance): &Key, seen: &Seen) -> Standing {
-    Standing {
+fn status(now: Instant, (domain, instance): &Key, seen: &Seen) -> SyncStatus {
+    SyncStatus {
         instance: instance.clone(),
         domain: domain.clone(),
         version: seen.version,
--- a/src/config/handle.rs
+++ b/src/config/handle.rs
@@ -6,8 +6,8 @@
 use local_sync::mpsc::unbounded;
 use local_sync::oneshot;
 
-use super::gossip::{Digest, Peer, Standing};
-use super::publish::{Id, Outcome};
+use super::gossip::{Digest, Peer, SyncStatus};
+use super::publish::{Id, PublishOutcome};
 use super::state::State;
 use super::value::{Value, Version};
 use super::{Change, Message, wire};
@@ -25,15 +25,15 @@
     /// Pass a message to the machine, then tell the next offset to read.
     Read(Message, oneshot::Sender<Offset>),
     /// Publish a change.
-    Publish(Proposal, oneshot::Sender<Outcome>),
+    Publish(Proposal, oneshot::Sender<PublishOutcome>),
     /// Tell what became of a change.
-    Outcome(Id, oneshot::Sender<Option<Outcome>>),
+    Outcome(Id, oneshot::Sender<Option<PublishOutcome>>),
     /// Tell the value in force.
     Value(oneshot::Sender<Option<Rc<Value>>>),
     /// Send every value in force from now on.
     Subscribe(unbounded::Tx<Rc<Value>>),
-    /// Tell the standing of every instance.
-    Standings(oneshot::Sender<Vec<Standing>>),
+    /// Tell the status of every instance.
+    Standings(oneshot::Sender<Vec<SyncStatus>>),
     /// Take a peer's digest and tell an own one.
     Digest(Digest, oneshot::Sender<Digest>),
     /// Tell the state in force.
@@ -78,25 +78,25 @@
     }
 
     /// Publishes a change and answers once its place in the log is known, or after a bounded wait
-    /// with [`Outcome::Unknown`].
+    /// with [`PublishOutcome::Unknown`].
     ///
     /// Dropping the future does not withdraw the change.
-    pub async fn publish(&self, proposal: Proposal) -> Outcome {
+    pub async fn publish(&self, proposal: Proposal) -> PublishOutcome {
         let id = proposal.id;
         let (sender, receiver) = oneshot::channel();
         if self.asks.send(Ask::Publish(proposal, sender)).is_err() {
-            return Outcome::NotReady;
+            return PublishOutcome::NotReady;
         }
-        receiver.await.unwrap_or(Outcome::Unknown(id))
+        receiver.await.unwrap_or(PublishOutcome::Unknown(id))
     }
 
     /// What became of a change; `None` when this instance cannot tell.
-    pub async fn outcome(&self, id: Id) -> Option<Outcome> {
+    pub async fn outcome(&self, id: Id) -> Option<PublishOutcome> {
         self.ask(|sender| Ask::Outcome(id, sender)).await.flatten()
     }
 
-    /// The standing of this instance, which comes first, and of all that it has heard of.
-    pub async fn standings(&self) -> Vec<Standing> {
+    /// The status of this instance, which comes first, and of all that it has heard of.
+    pub async fn sync_statuses(&self) -> Vec<SyncStatus> {
         self.ask(Ask::Standings).await.unwrap_or_default()
     }
 
@@ -124,7 +124,7 @@
 
     async fn fetched(&self) -> Result<Bytes, Refusal> {
         let state = self.ask(Ask::State).await.ok_or_else(stopped)?;
-        let fetched = wire::Fetched { state: state.as_ref().map(wire::State::from) };
+        let fetched = wire::FetchResponse { state: state.as_ref().map(wire::State::from) };
         codec::encode(&fetched).map_err(|error| malformed(&error))
     }
 
--- a/src/config/herald.rs
+++ b/src/config/herald.rs
@@ -7,7 +7,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-use super::gossip::{Digest, Peer, Roster, Standing};
+use super::gossip::{Digest, Peer, Roster, SyncStatus};
 use super::value::Version;
 use crate::clock::Instant;
 use crate::domain;
@@ -57,13 +57,13 @@
         self.peers = peers;
     }
 
-    /// The standings of others.
-    pub(super) fn standings(&self, now: Instant) -> impl Iterator<Item = Standing> + '_ {
-        self.roster.standings(now)
+    /// The statuses of others.
+    pub(super) fn sync_statuses(&self, now: Instant) -> impl Iterator<Item = SyncStatus> + '_ {
+        self.roster.sync_statuses(now)
     }
 
-    /// A digest that begins with the own standing.
-    pub(super) fn digest(&mut self, now: Instant, from: Standing) -> Digest {
+    /// A digest that begins with the own status.
+    pub(super) fn digest(&mut self, now: Instant, from: SyncStatus) -> Digest {
         Digest { from, rows: self.roster.rows(now) }
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Remembers a peer that has something in force which this instance lacks.
-    pub(super) fn note_ahead(&mut self, now: Instant, peer: &Standing) {
+    pub(super) fn note_ahead(&mut self, now: Instant, peer: &SyncStatus) {
         if self.ahead.is_some() {
             return;
         }
--- a/src/config/machine.rs
+++ b/src/config/machine.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use super::compaction::Compaction;
-use super::gossip::{Age, Digest, Peer, Standing};
+use super::gossip::{Age, Digest, Peer, SyncStatus};
 use super::herald::Herald;
-use super::publish::{self, Outcome, Publication, Queue};
+use super::publish::{self, Publication, PublishOutcome, Queue};
 use super::reader::{Reader, Record};
-use super::state::{State, Verdict};
+use super::state::{ApplyResult, State};
 use super::value::{Value, Version};
 use super::wire;
 use crate::clock::{Instant, Unix};
@@ -20,32 +20,32 @@
 /// Spans that the machine goes by.
 #[derive(Clone, Debug)]
 pub struct Timing {
-    /// How long a publisher waits for its record before the answer is [`Outcome::Unknown`].
-    pub publish: Duration,
+    /// How long a publisher waits for its record before the answer is [`PublishOutcome::Unknown`].
+    pub publish_timeout: Duration,
     /// Pause before a failed append is tried again.
-    pub retry: Duration,
+    pub append_retry: Duration,
     /// Pause between two digests that an instance sends.
-    pub gossip: Duration,
+    pub gossip_interval: Duration,
     /// How long an instance whose log works waits for the log before it asks a peer.
-    pub patience: Duration,
+    pub fetch_delay: Duration,
     /// How long the log may be silent before it counts as lost.
-    pub silence: Duration,
+    pub log_timeout: Duration,
     /// Longest age of the newest snapshot in the stream; well below the log's retention.
-    pub snapshot: Duration,
+    pub snapshot_interval: Duration,
     /// Longest random delay before an instance writes a snapshot.
-    pub spread: Duration,
+    pub snapshot_jitter: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            publish: Duration::from_secs(5),
-            retry: Duration::from_millis(400),
-            gossip: Duration::from_secs(1),
-            patience: Duration::from_millis(500),
-            silence: Duration::from_secs(4),
-            snapshot: Duration::from_secs(30 * 60),
-            spread: Duration::from_secs(2),
+            publish_timeout: Duration::from_secs(5),
+            append_retry: Duration::from_millis(400),
+            gossip_interval: Duration::from_secs(1),
+            fetch_delay: Duration::from_millis(500),
+            log_timeout: Duration::from_secs(4),
+            snapshot_interval: Duration::from_secs(30 * 60),
+            snapshot_jitter: Duration::from_secs(2),
         }
     }
 }
@@ -66,9 +66,9 @@
     /// The peers to exchange digests with, this instance not among them.
     Peers(Vec<Peer>),
     /// A digest arrived, as a call or as an answer.
-    Heard(Digest),
+    DigestReceived(Digest),
     /// A peer sent the state in force there.
-    Offered(State),
+    StateReceived(State),
     /// A fetch from a peer failed.
     FetchFailed,
     /// Time has passed.
@@ -83,13 +83,13 @@
     /// Append a snapshot; nobody waits for it.
     Snapshot(Bytes),
     /// Answer the operator.
-    Answer(publish::Id, Outcome),
+    Answer(publish::Id, PublishOutcome),
     /// A newer value is in force.
     InForce(Rc<Value>),
-    /// Send a digest to a peer; its answer comes back as [`Message::Heard`].
-    Exchange(SocketAddr, Digest),
-    /// Fetch the state from a peer; it comes back as [`Message::Offered`].
-    Fetch(SocketAddr),
+    /// Send a digest to a peer; its answer comes back as [`Message::DigestReceived`].
+    SendDigest(SocketAddr, Digest),
+    /// Fetch the state from a peer; it comes back as [`Message::StateReceived`].
+    FetchState(SocketAddr),
 }
 
 /// The settings at one instance.
@@ -147,23 +147,23 @@
     }
 
     /// What became of a change, as far as this instance can tell.
-    pub fn outcome(&self, id: publish::Id) -> Option<Outcome> {
+    pub fn outcome(&self, id: publish::Id) -> Option<PublishOutcome> {
         let accepted = self.reader.state().and_then(|state| state.accepted(id));
         accepted
-            .map(|entry| Outcome::Accepted(entry.stamp.version))
+            .map(|entry| PublishOutcome::Accepted(entry.revision.version))
             .or_else(|| self.queue.settled(id).cloned())
     }
 
-    /// The standing of this instance and of all that it has heard of.
-    pub fn standings(&self, now: Instant) -> Vec<Standing> {
-        let mut standings = vec![self.standing(now)];
-        standings.extend(self.herald.standings(now));
-        standings
+    /// The status of this instance and of all that it has heard of.
+    pub fn sync_statuses(&self, now: Instant) -> Vec<SyncStatus> {
+        let mut statuses = vec![self.sync_status(now)];
+        statuses.extend(self.herald.sync_statuses(now));
+        statuses
     }
 
     /// A digest for a peer.
     pub fn digest(&mut self, now: Instant) -> Digest {
-        let from = self.standing(now);
+        let from = self.sync_status(now);
         self.herald.digest(now, from)
     }
 
@@ -176,12 +176,12 @@
             Message::Publish(publication) => self.publish(now, publication, &mut effects),
             Message::Appended(id) => self.queue.appended(id),
             Message::AppendFailed(id, outcome) => {
-                let retry = now.after(self.timing.retry);
+                let retry = now.after(self.timing.append_retry);
                 self.queue.failed(id, outcome, retry);
             }
             Message::Peers(peers) => self.herald.set_peers(peers),
-            Message::Heard(digest) => self.hear(now, &digest),
-            Message::Offered(state) => self.accept_offer(state, &mut effects),
+            Message::DigestReceived(digest) => self.hear(now, &digest),
+            Message::StateReceived(state) => self.accept_offer(state, &mut effects),
             Message::FetchFailed => self.herald.drop_ahead(),
             Message::Tick => self.tick(now, unix, &mut effects),
         }
@@ -195,8 +195,8 @@
         self.failing = false;
         self.answered = now;
         self.start_end.get_or_insert(page.end);
-        let verdicts = self.reader.read(page);
-        self.answer(&verdicts, effects);
+        let results = self.reader.read(page);
+        self.answer(&results, effects);
         if self.reader.covers(page.end) {
             self.confirmed = Some(Age::new(Duration::ZERO, now));
         }
@@ -209,27 +209,27 @@
             return;
         }
         let payload = wire::encode(&Record::Change(publication.clone()));
-        self.queue.push(publication, now.after(self.timing.publish));
+        self.queue.push(publication, now.after(self.timing.publish_timeout));
         effects.push(Effect::Append(id, payload));
     }
 
     /// Refuses what cannot be accepted before anything is sent.
-    fn admit(&self, publication: &Publication) -> Result<(), Outcome> {
+    fn admit(&self, publication: &Publication) -> Result<(), PublishOutcome> {
         if let Some(outcome) = self.outcome(publication.id) {
             return Err(outcome);
         }
-        let Some(state) = self.state() else { return Err(Outcome::NotReady) };
+        let Some(state) = self.state() else { return Err(PublishOutcome::NotReady) };
         if self.queue.is_full() || self.queue.is_waiting(publication.id) {
-            return Err(Outcome::Busy);
+            return Err(PublishOutcome::Busy);
         }
-        if let Some(fate) = publish::fate(state, publication.id, publication.base) {
-            return Err(fate);
+        if let Some(outcome) = publish::known_outcome(state, publication.id, publication.base) {
+            return Err(outcome);
         }
         let current = state.value.version;
         if publication.base != current {
-            return Err(Outcome::Base { current });
+            return Err(PublishOutcome::BaseMismatch { current });
         }
-        state.check(publication).map_err(Outcome::Invalid)
+        state.check(publication).map_err(PublishOutcome::Invalid)
     }
 
     fn hear(&mut self, now: Instant, digest: &Digest) {
@@ -243,7 +243,7 @@
     }
 
     /// A peer with our version that lately knew of no newer one vouches for ours too.
-    fn confirm(&mut self, now: Instant, peer: &Standing) {
+    fn confirm(&mut self, now: Instant, peer: &SyncStatus) {
         let Some(age) = peer.confirmed else { return };
         let same = self.shown.is_some() && peer.version == self.reader.version();
         let fresher = self.confirmed.is_none_or(|own| age < own.at(now));
@@ -255,9 +255,9 @@
     fn accept_offer(&mut self, state: State, effects: &mut Vec<Effect>) {
         self.herald.drop_ahead();
         self.offered = true;
-        let mut verdicts = Vec::new();
-        self.reader.adopt(state, &mut verdicts);
-        self.answer(&verdicts, effects);
+        let mut results = Vec::new();
+        self.reader.adopt(state, &mut results);
+        self.answer(&results, effects);
     }
 
     fn tick(&mut self, now: Instant, unix: Unix, effects: &mut Vec<Effect>) {
@@ -267,7 +267,7 @@
         }
         self.snapshot(now, unix, effects);
         let cut_off = self.is_cut_off(now);
-        let peer = self.herald.turn(now, self.timing.gossip, cut_off);
+        let peer = self.herald.turn(now, self.timing.gossip_interval, cut_off);
         self.exchange(now, peer, effects);
     }
 
@@ -275,8 +275,8 @@
         if self.shown.is_none() {
             return;
         }
-        let delay = self.herald.part(self.timing.spread);
-        let interval = self.timing.snapshot;
+        let delay = self.herald.part(self.timing.snapshot_jitter);
+        let interval = self.timing.snapshot_interval;
         if !self.compaction.is_due(now, unix, &self.reader, interval, delay) {
             return;
         }
@@ -289,7 +289,7 @@
     fn exchange(&mut self, now: Instant, peer: Option<SocketAddr>, effects: &mut Vec<Effect>) {
         if let Some(peer) = peer {
             let digest = self.digest(now);
-            effects.push(Effect::Exchange(peer, digest));
+            effects.push(Effect::SendDigest(peer, digest));
         }
     }
 
@@ -328,9 +328,9 @@
     /// Asks a peer for a newer state when the log does not bring it.
     fn fetch(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let lost = self.failing || self.is_cut_off(now);
-        let patience = if lost { Duration::ZERO } else { self.timing.patience };
+        let patience = if lost { Duration::ZERO } else { self.timing.fetch_delay };
         let own = self.shown.as_ref().map(|_| self.reader.version());
-        effects.extend(self.herald.fetch(now, own, patience).map(Effect::Fetch));
+        effects.extend(self.herald.fetch(now, own, patience).map(Effect::FetchState));
     }
 
     fn settle(&mut self, now: Instant, effects: &mut Vec<Effect>) {
@@ -339,22 +339,22 @@
         }
     }
 
-    fn answer(&mut self, verdicts: &[(publish::Id, Verdict)], effects: &mut Vec<Effect>) {
+    fn answer(&mut self, results: &[(publish::Id, ApplyResult)], effects: &mut Vec<Effect>) {
         let Some(state) = self.reader.state() else { return };
-        for (id, verdict) in verdicts {
-            if let Some((id, outcome)) = self.queue.read_back(*id, verdict, state) {
+        for (id, result) in results {
+            if let Some((id, outcome)) = self.queue.read_back(*id, result, state) {
                 effects.push(Effect::Answer(id, outcome));
             }
         }
     }
 
     fn is_cut_off(&self, now: Instant) -> bool {
-        now.since(self.answered) >= self.timing.silence
+        now.since(self.answered) >= self.timing.log_timeout
     }
 
-    fn standing(&self, now: Instant) -> Standing {
+    fn sync_status(&self, now: Instant) -> SyncStatus {
         let (name, domain) = self.herald.identity();
-        Standing {
+        SyncStatus {
             instance: name.to_owned(),
             domain: domain.clone(),
             version: self.shown.as_ref().map_or(Version::ZERO, |value| value.version),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -22,9 +22,9 @@
 pub use change::Change;
 pub use handle::{Handle, Proposal, Values};
 pub use machine::{Effect, Machine, Message};
-pub use publish::{Outcome, Publication};
+pub use publish::{Publication, PublishOutcome};
 pub use state::State;
-pub use value::{Drain, Preset, Stamp, Value, Version};
+pub use value::{DrainTarget, Preset, Revision, Value, Version};
 
 /// Name of the stream that holds the settings.
 pub const STREAM: &str = "settings";
--- a/src/config/publish.rs
+++ b/src/config/publish.rs
@@ -4,9 +4,9 @@
 
 use derive_more::Display;
 
-use super::change::{Change, Invalid};
-use super::state::{Entry, State, Verdict};
-use super::value::{Stamp, Version};
+use super::change::{Change, InvalidChange};
+use super::state::{ApplyResult, HistoryEntry, State};
+use super::value::{Revision, Version};
 use crate::clock::{Instant, Unix};
 use crate::store;
 
@@ -66,7 +66,7 @@
 
 /// What became of a change.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-pub enum Outcome {
+pub enum PublishOutcome {
     /// It is accepted: its place in the log is known and nothing can undo it.
     #[display("accepted as version {_0}")]
     Accepted(Version),
@@ -74,17 +74,17 @@
     #[display("not applied: {} came first", describe(winner.as_ref()))]
     Superseded {
         /// Who came first, unless that was too long ago.
-        winner: Option<Stamp>,
+        winner: Option<Revision>,
     },
     /// The base given is not a version that this instance knows; nothing was sent.
     #[display("not applied: the settings are at version {current}")]
-    Base {
+    BaseMismatch {
         /// The current version.
         current: Version,
     },
     /// It breaks a bound; it has no effect.
     #[display("not applied: {_0}")]
-    Invalid(Invalid),
+    Invalid(InvalidChange),
     /// It surely was not written; it has no effect.
     #[display("not applied: the log could not be written")]
     NotWritten,
@@ -114,7 +114,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     waits: Vec<Wait>,
-    settled: VecDeque<(Id, Outcome)>,
+    settled: VecDeque<(Id, PublishOutcome)>,
 }
 
 impl Queue {
@@ -163,29 +163,33 @@
         due
     }
 
-    /// Takes the verdict on a change of ours that was read back.
+    /// Takes the result on a change of ours that was read back.
     pub(super) fn read_back(
         &mut self,
         id: Id,
-        verdict: &Verdict,
+        result: &ApplyResult,
         state: &State,
-    ) -> Option<(Id, Outcome)> {
+    ) -> Option<(Id, PublishOutcome)> {
         let index = self.waits.iter().position(|wait| wait.publication.id == id)?;
         let base = self.waits[index].publication.base;
-        let outcome = match verdict {
-            Verdict::Accepted(version) => Outcome::Accepted(*version),
-            Verdict::Superseded { winner } => {
+        let outcome = match result {
+            ApplyResult::Accepted(version) => PublishOutcome::Accepted(*version),
+            ApplyResult::Superseded { winner } => {
                 // The first of two copies may have been accepted.
-                let superseded = Outcome::Superseded { winner: winner.clone() };
-                fate(state, id, base).unwrap_or(superseded)
+                let superseded = PublishOutcome::Superseded { winner: winner.clone() };
+                known_outcome(state, id, base).unwrap_or(superseded)
             }
-            Verdict::Invalid(invalid) => Outcome::Invalid(*invalid),
+            ApplyResult::Invalid(invalid) => PublishOutcome::Invalid(*invalid),
         };
         Some(self.settle(index, outcome))
     }
 
     /// Settles every change whose fate follows from `state`, and gives up on those overdue.
-    pub(super) fn sweep(&mut self, now: Instant, state: Option<&State>) -> Vec<(Id, Outcome)> {
+    pub(super) fn sweep(
+        &mut self,
+        now: Instant,
+        state: Option<&State>,
+    ) -> Vec<(Id, PublishOutcome)> {
         let mut answers = Vec::new();
         let mut index = 0;
         while index < self.waits.len() {
@@ -198,7 +202,7 @@
     }
 
     /// The fate of a change settled here lately.
-    pub(super) fn settled(&self, id: Id) -> Option<&Outcome> {
+    pub(super) fn settled(&self, id: Id) -> Option<&PublishOutcome> {
         self.settled.iter().rev().find(|(settled, _)| *settled == id).map(|(_, outcome)| outcome)
     }
 
@@ -206,7 +210,7 @@
         self.waits.iter_mut().find(|wait| wait.publication.id == id)
     }
 
-    fn settle(&mut self, index: usize, outcome: Outcome) -> (Id, Outcome) {
+    fn settle(&mut self, index: usize, outcome: PublishOutcome) -> (Id, PublishOutcome) {
         let id = self.waits.swap_remove(index).publication.id;
         if self.settled.len() == SETTLED {
             self.settled.pop_front();
@@ -217,9 +221,9 @@
 }
 
 impl Wait {
-    fn outcome(&self, now: Instant, state: Option<&State>) -> Option<Outcome> {
+    fn outcome(&self, now: Instant, state: Option<&State>) -> Option<PublishOutcome> {
         let Publication { id, base, .. } = self.publication;
-        if let Some(outcome) = state.and_then(|state| fate(state, id, base)) {
+        if let Some(outcome) = state.and_then(|state| known_outcome(state, id, base)) {
             return Some(outcome);
         }
         if now < self.deadline {
@@ -227,7 +231,7 @@
         }
         let in_flight = self.retry.is_none();
         let unknown = self.maybe_written || in_flight;
-        Some(if unknown { Outcome::Unknown(id) } else { Outcome::NotWritten })
+        Some(if unknown { PublishOutcome::Unknown(id) } else { PublishOutcome::NotWritten })
     }
 }
 
@@ -235,14 +239,14 @@
 ///
 /// A copy that is written after `state` has passed the base can have no effect any more, so the
 /// answer is final even while an append is still under way.
-pub(super) fn fate(state: &State, id: Id, base: Version) -> Option<Outcome> {
-    if let Some(Entry { stamp, .. }) = state.accepted(id) {
-        return Some(Outcome::Accepted(stamp.version));
+pub(super) fn known_outcome(state: &State, id: Id, base: Version) -> Option<PublishOutcome> {
+    if let Some(HistoryEntry { revision, .. }) = state.accepted(id) {
+        return Some(PublishOutcome::Accepted(revision.version));
     }
-    let winner = state.maker(base.next())?.stamp.clone();
-    Some(Outcome::Superseded { winner: Some(winner) })
+    let winner = state.entry_for_version(base.next())?.revision.clone();
+    Some(PublishOutcome::Superseded { winner: Some(winner) })
 }
 
-fn describe(winner: Option<&Stamp>) -> String {
+fn describe(winner: Option<&Revision>) -> String {
     winner.map_or_else(|| "another change".to_owned(), ToString::to_string)
 }
--- a/src/config/reader.rs
+++ b/src/config/reader.rs
@@ -4,7 +4,7 @@
 
 use super::compaction::Mark;
 use super::publish::{Id, Publication};
-use super::state::{State, Verdict};
+use super::state::{ApplyResult, State};
 use super::value::Version;
 use super::wire;
 use crate::clock::Unix;
@@ -53,7 +53,7 @@
 }
 
 /// What was read back of one change.
-pub(super) type ReadBack = (Id, Verdict);
+pub(super) type ReadBack = (Id, ApplyResult);
 
 /// The state applied so far and the place in the stream.
 #[derive(Debug, Default)]
@@ -102,12 +102,12 @@
         self.tail.is_none() && self.state.as_ref().is_some_and(|state| state.next >= offset)
     }
 
-    /// Applies a page and returns the verdicts on the changes in it.
+    /// Applies a page and returns the results on the changes in it.
     pub(super) fn read(&mut self, page: &Page) -> Vec<ReadBack> {
         self.oldest = self.oldest.max(page.oldest);
         self.end = page.end;
         self.find_gap(page.oldest);
-        let mut verdicts = Vec::new();
+        let mut results = Vec::new();
         for record in &page.records {
             // A page that was asked for before a peer's state moved us on repeats old records.
             if record.offset < self.position() {
@@ -117,23 +117,23 @@
                 break;
             }
             let decoded = wire::decode(&record.payload).ok();
-            self.take(record.offset, decoded, &mut verdicts);
+            self.take(record.offset, decoded, &mut results);
         }
-        verdicts
+        results
     }
 
     /// Takes a state from a peer or a snapshot if it is further on than ours.
     ///
     /// A state with a smaller version is never taken, whatever prefix it claims: the value shown
     /// must not go back.
-    pub(super) fn adopt(&mut self, state: State, verdicts: &mut Vec<ReadBack>) -> bool {
+    pub(super) fn adopt(&mut self, state: State, results: &mut Vec<ReadBack>) -> bool {
         let further = match &self.state {
             Some(own) => state.next > own.next && state.value.version >= own.value.version,
             None => true,
         };
         if further {
             self.state = Some(state);
-            self.close_gap(verdicts);
+            self.close_gap(results);
         }
         further
     }
@@ -152,7 +152,7 @@
         }
     }
 
-    fn take(&mut self, offset: Offset, record: Option<Record>, verdicts: &mut Vec<ReadBack>) {
+    fn take(&mut self, offset: Offset, record: Option<Record>, results: &mut Vec<ReadBack>) {
         self.note_mark(offset, record.as_ref());
         if let Some(tail) = &mut self.tail {
             let snapshot = match &record {
@@ -163,22 +163,22 @@
             };
             tail.push(record);
             if let Some(state) = snapshot {
-                self.adopt(state, verdicts);
+                self.adopt(state, results);
             }
             return;
         }
         if let Some(state) = &mut self.state {
-            apply(state, record, verdicts);
+            apply(state, record, results);
         }
     }
 
     /// Applies the tail once the state reaches up to it.
-    fn close_gap(&mut self, verdicts: &mut Vec<ReadBack>) {
+    fn close_gap(&mut self, results: &mut Vec<ReadBack>) {
         let Some(state) = &mut self.state else { return };
         let Some(tail) = self.tail.take_if(|tail| state.next >= tail.from) else { return };
         let known = usize::try_from(state.next - tail.from).unwrap_or(usize::MAX);
         for record in tail.records.into_iter().skip(known) {
-            apply(state, record, verdicts);
+            apply(state, record, results);
         }
     }
 
@@ -191,11 +191,11 @@
     }
 }
 
-fn apply(state: &mut State, record: Option<Record>, verdicts: &mut Vec<ReadBack>) {
+fn apply(state: &mut State, record: Option<Record>, results: &mut Vec<ReadBack>) {
     match record {
         Some(Record::Change(publication)) => {
-            let verdict = state.apply(&publication);
-            verdicts.push((publication.id, verdict));
+            let result = state.apply(&publication);
+            results.push((publication.id, result));
         }
         // A record that cannot be read is passed over by every instance alike.
         Some(Record::Snapshot { .. }) | None => state.skip(),
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -2,21 +2,21 @@
 
 use std::collections::VecDeque;
 
-use super::change::{self, Invalid};
+use super::change::{self, InvalidChange};
 use super::publish::{self, Publication};
-use super::value::{Stamp, Value, Version};
+use super::value::{Revision, Value, Version};
 use crate::store::Offset;
 
 /// How many accepted changes a state remembers by id.
-pub const HISTORY: usize = 32;
+pub const MAX_HISTORY: usize = 32;
 
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct HistoryEntry {
     /// Identity that its publisher drew.
     pub id: publish::Id,
     /// Who, when and which version.
-    pub stamp: Stamp,
+    pub revision: Revision,
 }
 
 /// The settings after a prefix of the stream: a pure function of that prefix.
@@ -30,21 +30,21 @@
     ///
     /// They travel with the state, so that an instance which received the state from a peer can
     /// still tell whether a change in that prefix was accepted.
-    pub history: VecDeque<Entry>,
+    pub history: VecDeque<HistoryEntry>,
 }
 
 /// What became of a change at its place in the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ApplyResult {
     /// It made this version.
     Accepted(Version),
     /// Its base was not the current version.
     Superseded {
         /// Who made the version that it wanted to make, unless that was too long ago.
-        winner: Option<Stamp>,
+        winner: Option<Revision>,
     },
     /// It breaks a bound.
-    Invalid(Invalid),
+    Invalid(InvalidChange),
 }
 
 impl State {
@@ -53,21 +53,22 @@
     /// A change is accepted when its base is the current version. Two operators who start from the
     /// same version thus get one winner, the first in the stream, at every instance alike. The
     /// same holds for one change appended twice by a publisher that lost the first answer.
-    pub fn apply(&mut self, publication: &Publication) -> Verdict {
+    pub fn apply(&mut self, publication: &Publication) -> ApplyResult {
         self.next += 1;
         if publication.base != self.value.version {
-            let winner = self.maker(publication.base.next()).map(|entry| entry.stamp.clone());
-            return Verdict::Superseded { winner };
+            let winner =
+                self.entry_for_version(publication.base.next()).map(|entry| entry.revision.clone());
+            return ApplyResult::Superseded { winner };
         }
         if let Err(invalid) = self.check(publication) {
-            return Verdict::Invalid(invalid);
+            return ApplyResult::Invalid(invalid);
         }
         let version = self.value.version.next();
-        let stamp = Stamp { by: publication.by.clone(), at: publication.at, version };
-        publication.change.carry_out(&mut self.value, &stamp);
+        let revision = Revision { by: publication.by.clone(), at: publication.at, version };
+        publication.change.carry_out(&mut self.value, &revision);
         self.value.version = version;
-        self.remember(Entry { id: publication.id, stamp });
-        Verdict::Accepted(version)
+        self.remember(HistoryEntry { id: publication.id, revision });
+        ApplyResult::Accepted(version)
     }
 
     /// Passes over the record at offset `next`, which is no change.
@@ -80,23 +81,23 @@
     /// # Errors
     ///
     /// Names the bound that the change breaks.
-    pub fn check(&self, publication: &Publication) -> Result<(), Invalid> {
+    pub fn check(&self, publication: &Publication) -> Result<(), InvalidChange> {
         change::check_name(&publication.by)?;
         publication.change.check(&self.value)
     }
 
     /// The accepted change with this identity, if it is among the latest.
-    pub fn accepted(&self, id: publish::Id) -> Option<&Entry> {
+    pub fn accepted(&self, id: publish::Id) -> Option<&HistoryEntry> {
         self.history.iter().find(|entry| entry.id == id)
     }
 
     /// The change that made `version`, if it is among the latest.
-    pub fn maker(&self, version: Version) -> Option<&Entry> {
-        self.history.iter().find(|entry| entry.stamp.version == version)
+    pub fn entry_for_version(&self, version: Version) -> Option<&HistoryEntry> {
+        self.history.iter().find(|entry| entry.revision.version == version)
     }
 
-    fn remember(&mut self, entry: Entry) {
-        if self.history.len() == HISTORY {
+    fn remember(&mut self, entry: HistoryEntry) {
+        if self.history.len() == MAX_HISTORY {
             self.history.pop_front();
         }
         self.history.push_back(entry);
--- a/src/config/value.rs
+++ b/src/config/value.rs
@@ -91,7 +91,7 @@
 
 /// Upstreams that take no new tasks.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Drain {
+pub enum DrainTarget {
     /// One worker.
     #[display("worker {domain}/{worker}")]
     Worker {
@@ -113,7 +113,7 @@
 /// Who made a change, when, and the version it made.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("version {version} by {by}")]
-pub struct Stamp {
+pub struct Revision {
     /// The operator.
     pub by: String,
     /// When the operator's instance took the change.
@@ -124,11 +124,11 @@
 
 /// A preset that was put in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Tenure {
+pub struct PresetActivation {
     /// The preset.
     pub preset: Preset,
     /// Who put it in force, when, and with which version.
-    pub stamp: Stamp,
+    pub revision: Revision,
 }
 
 /// All settings as of one version.
@@ -139,52 +139,52 @@
     /// The one preset in force.
     pub preset: Preset,
     /// Who set the preset; `None` while it is the default.
-    pub preset_set: Option<Stamp>,
+    pub preset_revision: Option<Revision>,
     /// The presets put in force last, oldest first; the one in force is among them.
-    pub tenures: VecDeque<Tenure>,
+    pub preset_history: VecDeque<PresetActivation>,
     /// Quota of each team that has one.
     pub quotas: BTreeMap<String, Amount>,
     /// Workers and racks that take no new tasks.
-    pub drained: BTreeSet<Drain>,
+    pub drained: BTreeSet<DrainTarget>,
     /// Log level for every instance; `None` leaves each its own.
     pub log_level: Option<log::LevelFilter>,
 }
 
 /// How many presets put in force are remembered.
-pub const TENURES: usize = 16;
+pub const MAX_PRESET_HISTORY: usize = 16;
 
 impl Value {
     /// Puts a preset in force.
-    pub(super) fn set_preset(&mut self, preset: Preset, stamp: &Stamp) {
+    pub(super) fn set_preset(&mut self, preset: Preset, revision: &Revision) {
         self.preset = preset;
-        self.preset_set = Some(stamp.clone());
-        if self.tenures.len() == TENURES {
-            self.tenures.pop_front();
+        self.preset_revision = Some(revision.clone());
+        if self.preset_history.len() == MAX_PRESET_HISTORY {
+            self.preset_history.pop_front();
         }
-        self.tenures.push_back(Tenure { preset, stamp: stamp.clone() });
+        self.preset_history.push_back(PresetActivation { preset, revision: revision.clone() });
     }
 
     /// The preset that was in force at `version`; `None` when that is not remembered.
-    pub fn tenure_at(&self, version: Version) -> Option<&Tenure> {
+    pub fn activation_at(&self, version: Version) -> Option<&PresetActivation> {
         if version > self.version {
             return None;
         }
-        self.tenures.iter().rev().find(|tenure| tenure.stamp.version <= version)
+        self.preset_history.iter().rev().find(|activation| activation.revision.version <= version)
     }
 
     /// Whether a worker takes no new tasks, by itself or because of its rack.
     ///
     /// ```
-    /// use oriolefork::config::{Drain, Value};
+    /// use oriolefork::config::{DrainTarget, Value};
     /// let mut value = Value::default();
-    /// value.drained.insert(Drain::Rack { domain: "kurow-hall".into(), rack: "r1".to_owned() });
+    /// value.drained.insert(DrainTarget::Rack { domain: "kurow-hall".into(), rack: "r1".to_owned() });
     /// assert!(value.is_drained(&"kurow-hall".into(), &"w7".into(), "r1"));
     /// assert!(!value.is_drained(&"oamaru-hall".into(), &"w7".into(), "r1"));
     /// ```
     pub fn is_drained(&self, domain: &domain::Name, worker: &worker::Name, rack: &str) -> bool {
         self.drained.iter().any(|drain| match drain {
-            Drain::Worker { domain: at, worker: name } => at == domain && name == worker,
-            Drain::Rack { domain: at, rack: name } => at == domain && name == rack,
+            DrainTarget::Worker { domain: at, worker: name } => at == domain && name == worker,
+            DrainTarget::Rack { domain: at, rack: name } => at == domain && name == rack,
         })
     }
 }
--- a/src/config/wire/gossip.rs
+++ b/src/config/wire/gossip.rs
@@ -10,9 +10,9 @@
 use crate::config::{change, gossip};
 use crate::domain;
 
-/// An instance's standing.
+/// An instance's status.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Standing {
+pub struct SyncStatus {
     instance: String,
     domain: domain::Name,
     version: u64,
@@ -25,52 +25,55 @@
 /// What peers exchange.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Digest {
-    from: Standing,
-    rows: Vec<Standing>,
+    from: SyncStatus,
+    rows: Vec<SyncStatus>,
 }
 
 /// The question of [`FETCH`](super::FETCH).
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Fetch {}
+pub struct FetchRequest {}
 
 /// The answer of [`FETCH`](super::FETCH); empty while nothing is in force.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Fetched {
+pub struct FetchResponse {
     /// The state in force.
     pub state: Option<State>,
 }
 
-impl From<&gossip::Standing> for Standing {
-    fn from(standing: &gossip::Standing) -> Self {
+impl From<&gossip::SyncStatus> for SyncStatus {
+    fn from(status: &gossip::SyncStatus) -> Self {
         Self {
-            instance: standing.instance.clone(),
-            domain: standing.domain.clone(),
-            version: standing.version.raw(),
-            next: standing.next,
-            in_force: standing.in_force,
-            confirmed_ms: standing.confirmed.map(millis),
-            heard_ms: millis(standing.heard),
+            instance: status.instance.clone(),
+            domain: status.domain.clone(),
+            version: status.version.raw(),
+            next: status.next,
+            in_force: status.in_force,
+            confirmed_ms: status.confirmed.map(millis),
+            heard_ms: millis(status.heard),
         }
     }
 }
 
-impl From<Standing> for gossip::Standing {
-    fn from(standing: Standing) -> Self {
+impl From<SyncStatus> for gossip::SyncStatus {
+    fn from(status: SyncStatus) -> Self {
         Self {
-            instance: standing.instance,
-            domain: standing.domain,
-            version: Version::from_raw(standing.version),
-            next: standing.next,
-            in_force: standing.in_force,
-            confirmed: standing.confirmed_ms.map(Duration::from_millis),
-            heard: Duration::from_millis(standing.heard_ms),
+            instance: status.instance,
+            domain: status.domain,
+            version: Version::from_raw(status.version),
+            next: status.next,
+            in_force: status.in_force,
+            confirmed: status.confirmed_ms.map(Duration::from_millis),
+            heard: Duration::from_millis(status.heard_ms),
         }
     }
 }
 
 impl From<&gossip::Digest> for Digest {
     fn from(digest: &gossip::Digest) -> Self {
-        Self { from: (&digest.from).into(), rows: digest.rows.iter().map(Standing::from).collect() }
+        Self {
+            from: (&digest.from).into(),
+            rows: digest.rows.iter().map(SyncStatus::from).collect(),
+        }
     }
 }
 
@@ -78,21 +81,21 @@
     type Error = Error;
 
     fn try_from(digest: Digest) -> Result<Self, Error> {
-        if digest.rows.len() > gossip::ROWS {
+        if digest.rows.len() > gossip::MAX_ROWS {
             return Err(Error::new("the digest has too many rows"));
         }
-        let rows: Vec<gossip::Standing> =
-            digest.rows.into_iter().map(gossip::Standing::from).collect();
-        let from = gossip::Standing::from(digest.from);
+        let rows: Vec<gossip::SyncStatus> =
+            digest.rows.into_iter().map(gossip::SyncStatus::from).collect();
+        let from = gossip::SyncStatus::from(digest.from);
         let named = rows.iter().chain([&from]).all(is_named);
         if !named {
-            return Err(Error::new("a standing lacks a proper name"));
+            return Err(Error::new("a status lacks a proper name"));
         }
         Ok(Self { from, rows })
     }
 }
 
-fn is_named(standing: &gossip::Standing) -> bool {
-    let names = [standing.instance.as_str(), standing.domain.as_str()];
+fn is_named(status: &gossip::SyncStatus) -> bool {
+    let names = [status.instance.as_str(), status.domain.as_str()];
     names.into_iter().all(|name| change::check_name(name).is_ok())
 }
--- a/src/config/wire/mod.rs
+++ b/src/config/wire/mod.rs
@@ -8,22 +8,22 @@
 use crate::config::change;
 use crate::config::publish::{Id, Publication};
 use crate::config::reader;
-use crate::config::value::{self, Drain, Preset, Version};
+use crate::config::value::{self, Preset, Version};
 use crate::resource::Amount;
 use crate::{domain, worker};
 
 mod gossip;
 mod state;
 
-pub use gossip::{Digest, Fetch, Fetched, Standing};
-pub use state::{Entry, Mark, Snapshot, State, Tenure};
+pub use gossip::{Digest, FetchRequest, FetchResponse, SyncStatus};
+pub use state::{HistoryEntry, Mark, PresetActivation, Snapshot, State};
 
 /// Peer method that exchanges digests.
 pub const DIGEST: &str = "config.digest";
 /// Peer method that fetches the state.
 pub const FETCH: &str = "config.fetch";
 /// Largest record that is read from the stream, in bytes.
-pub const RECORD_BYTES: usize = 512 << 10;
+pub const MAX_RECORD_BYTES: usize = 512 << 10;
 
 /// A form that holds no valid content.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
@@ -73,9 +73,9 @@
         limit: Option<Amount>,
     },
     /// A worker or rack to drain.
-    Drain(Place),
+    Drain(DrainTarget),
     /// A worker or rack to use again.
-    Undrain(Place),
+    Undrain(DrainTarget),
     /// The log level.
     LogLevel(Option<String>),
 }
@@ -83,7 +83,7 @@
 /// A worker or rack.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Place {
+pub enum DrainTarget {
     /// One worker.
     Worker {
         /// Its failure domain.
@@ -113,7 +113,7 @@
 ///
 /// Fails on anything but a record within the bounds; every instance passes over it alike.
 pub fn decode(payload: &[u8]) -> Result<reader::Record, Error> {
-    if payload.len() > RECORD_BYTES {
+    if payload.len() > MAX_RECORD_BYTES {
         return Err(Error::new("the record is too large"));
     }
     let wire: Record =
@@ -199,20 +199,20 @@
     }
 }
 
-impl From<&Drain> for Place {
-    fn from(drain: &Drain) -> Self {
+impl From<&value::DrainTarget> for DrainTarget {
+    fn from(drain: &value::DrainTarget) -> Self {
         match drain.clone() {
-            Drain::Worker { domain, worker } => Self::Worker { domain, worker },
-            Drain::Rack { domain, rack } => Self::Rack { domain, rack },
+            value::DrainTarget::Worker { domain, worker } => Self::Worker { domain, worker },
+            value::DrainTarget::Rack { domain, rack } => Self::Rack { domain, rack },
         }
     }
 }
 
-impl From<Place> for Drain {
-    fn from(place: Place) -> Self {
+impl From<DrainTarget> for value::DrainTarget {
+    fn from(place: DrainTarget) -> Self {
         match place {
-            Place::Worker { domain, worker } => Self::Worker { domain, worker },
-            Place::Rack { domain, rack } => Self::Rack { domain, rack },
+            DrainTarget::Worker { domain, worker } => Self::Worker { domain, worker },
+            DrainTarget::Rack { domain, rack } => Self::Rack { domain, rack },
         }
     }
 }
--- a/src/config/wire/state.rs
+++ b/src/config/wire/state.rs
@@ -4,12 +4,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Error, Place, parse_id, parse_level, parse_preset};
+use super::{DrainTarget, Error, parse_id, parse_level, parse_preset};
 use crate::clock::Unix;
 use crate::config::Value;
-use crate::config::change::{DRAINED, QUOTAS};
-use crate::config::state::{self, HISTORY};
-use crate::config::value::{self, Drain, Stamp, TENURES, Version};
+use crate::config::change::{MAX_DRAINED, MAX_QUOTAS};
+use crate::config::state::{self, MAX_HISTORY};
+use crate::config::value::{self, MAX_PRESET_HISTORY, Revision, Version};
 use crate::resource::Amount;
 
 /// A state with the time it was written.
@@ -26,16 +26,16 @@
     next: u64,
     preset: String,
     preset_set: Option<Mark>,
-    tenures: Vec<Tenure>,
+    tenures: Vec<PresetActivation>,
     quotas: BTreeMap<String, Amount>,
-    drained: Vec<Place>,
+    drained: Vec<DrainTarget>,
     log_level: Option<String>,
-    history: Vec<Entry>,
+    history: Vec<HistoryEntry>,
 }
 
 /// A preset that was put in force.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Tenure {
+pub struct PresetActivation {
     preset: String,
     mark: Mark,
 }
@@ -50,7 +50,7 @@
 
 /// An accepted change.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Entry {
+pub struct HistoryEntry {
     id: String,
     mark: Mark,
 }
@@ -62,12 +62,12 @@
             version: value.version.raw(),
             next: state.next,
             preset: value.preset.to_string(),
-            preset_set: value.preset_set.as_ref().map(Mark::from),
-            tenures: value.tenures.iter().map(Tenure::from).collect(),
+            preset_set: value.preset_revision.as_ref().map(Mark::from),
+            tenures: value.preset_history.iter().map(PresetActivation::from).collect(),
             quotas: value.quotas.clone(),
-            drained: value.drained.iter().map(Place::from).collect(),
+            drained: value.drained.iter().map(DrainTarget::from).collect(),
             log_level: value.log_level.map(|level| level.to_string()),
-            history: state.history.iter().map(Entry::from).collect(),
+            history: state.history.iter().map(HistoryEntry::from).collect(),
         }
     }
 }
@@ -76,65 +76,65 @@
     type Error = Error;
 
     fn try_from(state: State) -> Result<Self, Error> {
-        if state.quotas.len() > QUOTAS || state.drained.len() > DRAINED {
+        if state.quotas.len() > MAX_QUOTAS || state.drained.len() > MAX_DRAINED {
             return Err(Error::new("the state exceeds its bounds"));
         }
-        if state.history.len() > HISTORY || state.tenures.len() > TENURES {
+        if state.history.len() > MAX_HISTORY || state.tenures.len() > MAX_PRESET_HISTORY {
             return Err(Error::new("the history exceeds its bound"));
         }
-        let tenures: Result<VecDeque<_>, _> =
-            state.tenures.into_iter().map(value::Tenure::try_from).collect();
+        let preset_history: Result<VecDeque<_>, _> =
+            state.tenures.into_iter().map(value::PresetActivation::try_from).collect();
         let history: Result<VecDeque<_>, _> =
-            state.history.into_iter().map(state::Entry::try_from).collect();
+            state.history.into_iter().map(state::HistoryEntry::try_from).collect();
         let value = Value {
             version: Version::from_raw(state.version),
             preset: parse_preset(&state.preset)?,
-            preset_set: state.preset_set.map(Stamp::from),
-            tenures: tenures?,
+            preset_revision: state.preset_set.map(Revision::from),
+            preset_history: preset_history?,
             quotas: state.quotas,
-            drained: state.drained.into_iter().map(Drain::from).collect(),
+            drained: state.drained.into_iter().map(value::DrainTarget::from).collect(),
             log_level: parse_level(state.log_level)?,
         };
         Ok(Self { value, next: state.next, history: history? })
     }
 }
 
-impl From<&value::Tenure> for Tenure {
-    fn from(tenure: &value::Tenure) -> Self {
-        Self { preset: tenure.preset.to_string(), mark: (&tenure.stamp).into() }
+impl From<&value::PresetActivation> for PresetActivation {
+    fn from(activation: &value::PresetActivation) -> Self {
+        Self { preset: activation.preset.to_string(), mark: (&activation.revision).into() }
     }
 }
 
-impl TryFrom<Tenure> for value::Tenure {
+impl TryFrom<PresetActivation> for value::PresetActivation {
     type Error = Error;
 
-    fn try_from(tenure: Tenure) -> Result<Self, Error> {
-        Ok(Self { preset: parse_preset(&tenure.preset)?, stamp: tenure.mark.into() })
+    fn try_from(activation: PresetActivation) -> Result<Self, Error> {
+        Ok(Self { preset: parse_preset(&activation.preset)?, revision: activation.mark.into() })
     }
 }
 
-impl From<&Stamp> for Mark {
-    fn from(stamp: &Stamp) -> Self {
-        Self { by: stamp.by.clone(), at: stamp.at, version: stamp.version.raw() }
+impl From<&Revision> for Mark {
+    fn from(revision: &Revision) -> Self {
+        Self { by: revision.by.clone(), at: revision.at, version: revision.version.raw() }
     }
 }
 
-impl From<Mark> for Stamp {
+impl From<Mark> for Revision {
     fn from(mark: Mark) -> Self {
         Self { by: mark.by, at: mark.at, version: Version::from_raw(mark.version) }
     }
 }
 
-impl From<&state::Entry> for Entry {
-    fn from(entry: &state::Entry) -> Self {
-        Self { id: entry.id.to_string(), mark: (&entry.stamp).into() }
+impl From<&state::HistoryEntry> for HistoryEntry {
+    fn from(entry: &state::HistoryEntry) -> Self {
+        Self { id: entry.id.to_string(), mark: (&entry.revision).into() }
     }
 }
 
-impl TryFrom<Entry> for state::Entry {
+impl TryFrom<HistoryEntry> for state::HistoryEntry {
     type Error = Error;
 
-    fn try_from(entry: Entry) -> Result<Self, Error> {
-        Ok(Self { id: parse_id(&entry.id)?, stamp: entry.mark.into() })
+    fn try_from(entry: HistoryEntry) -> Result<Self, Error> {
+        Ok(Self { id: parse_id(&entry.id)?, revision: entry.mark.into() })
     }
 }
--- a/src/entry/backend/dump.rs
+++ b/src/entry/backend/dump.rs
@@ -94,7 +94,7 @@
     /// The whole state of the process.
     pub(super) async fn dump_all(&self) -> Result<serde_json::Value, Refusal> {
         let owner = self.look(|machine, _, _| Ok(Owner::from(machine))).await?;
-        let standings = self.config.standings().await;
+        let standings = self.config.sync_statuses().await;
         let dump = Dump {
             instance: self.identity_view().into(),
             readiness: self.readiness.view().into(),
@@ -148,8 +148,8 @@
     }
 }
 
-impl From<&gossip::Standing> for Standing {
-    fn from(standing: &gossip::Standing) -> Self {
+impl From<&gossip::SyncStatus> for Standing {
+    fn from(standing: &gossip::SyncStatus) -> Self {
         Self {
             instance: standing.instance.clone(),
             domain: standing.domain.clone(),
--- a/src/entry/backend/status.rs
+++ b/src/entry/backend/status.rs
@@ -13,7 +13,7 @@
 use crate::api::{Call, Refusal, view};
 use crate::clock::{Instant, Unix};
 use crate::config::Value;
-use crate::config::gossip::{Standing, worst_by_domain};
+use crate::config::gossip::{SyncStatus, worst_by_domain};
 use crate::domain::{self, Epoch};
 use crate::entry::forward::{Ask, Tell};
 use crate::entry::views;
@@ -126,12 +126,12 @@
         let heard = self.memory.domains.borrow().get(name).cloned();
         let age = heard.as_ref().map_or(known.uptime, |heard| known.now.since(heard.at));
         let mut domain = heard.map_or_else(|| unheard(name.clone()), |heard| heard.domain);
-        let standing = known.worst.get(name);
-        let standing_age = standing.map_or(known.uptime, |standing| standing.heard);
-        if let Some(preset) = standing.and_then(|standing| known.preset_of(standing)) {
+        let status = known.worst.get(name);
+        let status_age = status.map_or(known.uptime, |status| status.heard);
+        if let Some(preset) = status.and_then(|status| known.preset_of(status)) {
             domain.preset = preset;
         }
-        domain.heard = age.min(standing_age);
+        domain.heard = age.min(status_age);
         domain.staleness = known.staleness(name);
         domain
     }
@@ -142,7 +142,7 @@
             now,
             uptime: now.since(Instant::default()),
             value: self.config.value().await,
-            worst: worst_by_domain(&self.config.standings().await, RECENT),
+            worst: worst_by_domain(&self.config.sync_statuses().await, RECENT),
         }
     }
 }
@@ -152,24 +152,24 @@
     now: Instant,
     uptime: Duration,
     value: Option<Rc<Value>>,
-    worst: BTreeMap<domain::Name, Standing>,
+    worst: BTreeMap<domain::Name, SyncStatus>,
 }
 
 impl Known {
     /// How long a domain's settings have gone unconfirmed by the log: as long as this process has
     /// run, where nothing was heard.
     fn staleness(&self, domain: &domain::Name) -> Duration {
-        let standing = self.worst.get(domain);
-        standing.and_then(|standing| standing.confirmed).unwrap_or(self.uptime)
+        let status = self.worst.get(domain);
+        status.and_then(|status| status.confirmed).unwrap_or(self.uptime)
     }
 
-    /// The preset that was in force where `standing` was told.
-    fn preset_of(&self, standing: &Standing) -> Option<InForce> {
+    /// The preset that was in force where `status` was told.
+    fn preset_of(&self, status: &SyncStatus) -> Option<InForce> {
         let value = self.value.as_ref()?;
-        if standing.version == value.version {
+        if status.version == value.version {
             return Some((&**value).into());
         }
-        value.tenure_at(standing.version).map(InForce::from)
+        value.activation_at(status.version).map(InForce::from)
     }
 }
 
--- a/tests/logic/api/view.rs
+++ b/tests/logic/api/view.rs
@@ -6,18 +6,18 @@
 use oriolefork::api::{Ran, Reason};
 use oriolefork::clock::Unix;
 use oriolefork::config::publish::Id;
-use oriolefork::config::{Outcome, Preset, Value, Version};
+use oriolefork::config::{Preset, PublishOutcome, Value, Version};
 use oriolefork::job;
 use oriolefork::placement::Objective;
 use test_case::test_case;
 
-#[test_case(&Outcome::Superseded { winner: None }, Reason::StaleVersion, Ran::NotRun ; "superseded")]
-#[test_case(&Outcome::Base { current: Version::ZERO }, Reason::StaleVersion, Ran::NotRun ; "base")]
-#[test_case(&Outcome::NotWritten, Reason::LogUnavailable, Ran::NotRun ; "not_written")]
-#[test_case(&Outcome::NotReady, Reason::LogUnavailable, Ran::NotRun ; "not_ready")]
-#[test_case(&Outcome::Busy, Reason::Overloaded, Ran::NotRun ; "busy")]
-#[test_case(&Outcome::Unknown(Id::from_raw(1)), Reason::LogUnavailable, Ran::Unknown ; "unknown")]
-fn settle_refused(outcome: &Outcome, reason: Reason, ran: Ran) {
+#[test_case(&PublishOutcome::Superseded { winner: None }, Reason::StaleVersion, Ran::NotRun ; "superseded")]
+#[test_case(&PublishOutcome::BaseMismatch { current: Version::ZERO }, Reason::StaleVersion, Ran::NotRun ; "base")]
+#[test_case(&PublishOutcome::NotWritten, Reason::LogUnavailable, Ran::NotRun ; "not_written")]
+#[test_case(&PublishOutcome::NotReady, Reason::LogUnavailable, Ran::NotRun ; "not_ready")]
+#[test_case(&PublishOutcome::Busy, Reason::Overloaded, Ran::NotRun ; "busy")]
+#[test_case(&PublishOutcome::Unknown(Id::from_raw(1)), Reason::LogUnavailable, Ran::Unknown ; "unknown")]
+fn settle_refused(outcome: &PublishOutcome, reason: Reason, ran: Ran) {
     let refusal = settle(outcome).unwrap_err();
     assert_eq!((refusal.reason, refusal.ran), (reason, ran));
 }
--- a/tests/logic/config/fleet.rs
+++ b/tests/logic/config/fleet.rs
@@ -10,7 +10,9 @@
 use oriolefork::config::gossip::{Digest, Peer};
 use oriolefork::config::machine::Timing;
 use oriolefork::config::publish::Id;
-use oriolefork::config::{Change, Effect, Machine, Message, Outcome, Publication, Value, Version};
+use oriolefork::config::{
+    Change, Effect, Machine, Message, Publication, PublishOutcome, Value, Version,
+};
 use oriolefork::store::{self, Page, Record};
 
 /// A log that keeps records from `oldest` on.
@@ -34,7 +36,7 @@
 pub struct Node {
     pub peer: Peer,
     pub machine: Machine,
-    pub answers: BTreeMap<Id, Outcome>,
+    pub answers: BTreeMap<Id, PublishOutcome>,
     pub shown: Vec<Rc<Value>>,
     pub appends: Vec<(Id, Bytes)>,
     pub snapshots: Vec<Bytes>,
@@ -54,7 +56,7 @@
 impl Fleet {
     /// One instance in each of `domains`, which all know each other.
     pub fn new(domains: &[&str]) -> Self {
-        let timing = Timing { snapshot: Duration::from_secs(3_600), ..Timing::default() };
+        let timing = Timing { snapshot_interval: Duration::from_secs(3_600), ..Timing::default() };
         let now = Instant::from_millis(1_000);
         let mut fleet = Self { log: Log::default(), nodes: Vec::new(), now, timing, drawn: 0 };
         for (index, domain) in domains.iter().enumerate() {
@@ -121,8 +123,8 @@
                     assert!(node.answers.insert(id, outcome).is_none(), "answered twice: {id}");
                 }
                 Effect::InForce(value) => node.shown.push(value),
-                Effect::Exchange(peer, digest) => node.exchanges.push((peer, digest)),
-                Effect::Fetch(peer) => node.fetches.push(peer),
+                Effect::SendDigest(peer, digest) => node.exchanges.push((peer, digest)),
+                Effect::FetchState(peer) => node.fetches.push(peer),
             }
         }
     }
@@ -181,9 +183,9 @@
             for (address, digest) in std::mem::take(&mut self.nodes[from].exchanges) {
                 let to = self.index(address);
                 if reaches(from, to) {
-                    self.tell(to, Message::Heard(digest));
+                    self.tell(to, Message::DigestReceived(digest));
                     let answer = self.nodes[to].machine.digest(self.now);
-                    self.tell(from, Message::Heard(answer));
+                    self.tell(from, Message::DigestReceived(answer));
                 }
             }
             self.fetch(from, &reaches);
@@ -195,7 +197,7 @@
             let to = self.index(address);
             let state = self.nodes[to].machine.state().cloned();
             let message = match state {
-                Some(state) if reaches(from, to) => Message::Offered(state),
+                Some(state) if reaches(from, to) => Message::StateReceived(state),
                 _ => Message::FetchFailed,
             };
             self.tell(from, message);
--- a/tests/logic/config/gossip.rs
+++ b/tests/logic/config/gossip.rs
@@ -58,7 +58,7 @@
     let stale = fleet.nodes[1].machine.state().unwrap().clone();
     accept(&mut fleet, 1, ORDINARY, &[0]);
     for _ in 0..2 {
-        fleet.tell(0, Message::Offered(stale.clone()));
+        fleet.tell(0, Message::StateReceived(stale.clone()));
         assert_eq!(fleet.version(0), Some(2));
     }
     fleet.read(1);
@@ -74,7 +74,7 @@
     let mut odd = fleet.nodes[1].machine.state().unwrap().clone();
     odd.next = 50;
     accept(&mut fleet, 0, PEAK, &[0]);
-    fleet.tell(0, Message::Offered(odd));
+    fleet.tell(0, Message::StateReceived(odd));
     assert_eq!(fleet.version(0), Some(1));
 }
 
@@ -88,7 +88,7 @@
     fleet.flush(0);
     fleet.read(1);
     let state = fleet.nodes[1].machine.state().unwrap().clone();
-    fleet.tell(0, Message::Offered(state));
+    fleet.tell(0, Message::StateReceived(state));
     assert!(fleet.nodes[0].answers.contains_key(&id));
 }
 
@@ -149,7 +149,7 @@
     let mut page = fleet.log.page(0);
     page.records.clear();
     fleet.tell(0, Message::Page(page));
-    fleet.tell(0, Message::Offered(lagging));
+    fleet.tell(0, Message::StateReceived(lagging));
     assert_eq!(fleet.version(0), None);
     fleet.read(0);
     assert_eq!(fleet.version(0), Some(2));
@@ -172,9 +172,9 @@
         fleet.gossip(|from, to| from != 2 && to != 2);
     }
     let recent = Duration::from_secs(10);
-    let here = worst_by_domain(&fleet.nodes[0].machine.standings(fleet.now), recent);
+    let here = worst_by_domain(&fleet.nodes[0].machine.sync_statuses(fleet.now), recent);
     assert!(here[&"kurow-hall".into()].heard >= Duration::from_secs(30));
     assert!(here[&"palmerston-hall".into()].heard < recent);
-    let there = worst_by_domain(&fleet.nodes[2].machine.standings(fleet.now), recent);
+    let there = worst_by_domain(&fleet.nodes[2].machine.sync_statuses(fleet.now), recent);
     assert!(there[&"kurow-hall".into()].confirmed.unwrap() >= Duration::from_secs(30));
 }
--- a/tests/logic/config/histories.rs
+++ b/tests/logic/config/histories.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use oriolefork::config::{Change, Message, Outcome, Preset, State};
+use oriolefork::config::{Change, Message, Preset, PublishOutcome, State};
 use oriolefork::store;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -101,7 +101,7 @@
         Step::Offer { from, to, age } => {
             let index = witness.sent.len().saturating_sub(1 + age * (from + 1));
             if let Some(state) = witness.sent.get(index) {
-                fleet.tell(to, Message::Offered(state.clone()));
+                fleet.tell(to, Message::StateReceived(state.clone()));
             }
         }
         Step::Pass { millis, cut } => {
@@ -137,11 +137,11 @@
         for (id, outcome) in &node.answers {
             let entry = last.accepted(*id);
             match outcome {
-                Outcome::Accepted(version) => {
-                    let stamp = entry.map(|entry| entry.stamp.version);
-                    assert!(stamp.is_none_or(|made| made == *version));
+                PublishOutcome::Accepted(version) => {
+                    let revision = entry.map(|entry| entry.revision.version);
+                    assert!(revision.is_none_or(|made| made == *version));
                 }
-                Outcome::Unknown(_) => {}
+                PublishOutcome::Unknown(_) => {}
                 _ => assert_eq!(entry, None, "{id} took effect although answered {outcome}"),
             }
         }
--- a/tests/logic/config/publish.rs
+++ b/tests/logic/config/publish.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oriolefork::config::{Change, Outcome, Preset, Version};
+use oriolefork::config::{Change, Preset, PublishOutcome, Version};
 use oriolefork::store;
 
 use super::fleet::Fleet;
@@ -26,10 +26,10 @@
     fleet.flush(0);
     assert_eq!(fleet.nodes[0].answers.get(&id), None);
     fleet.read_all();
-    assert_eq!(fleet.nodes[0].answers[&id], Outcome::Accepted(Version::from_raw(1)));
+    assert_eq!(fleet.nodes[0].answers[&id], PublishOutcome::Accepted(Version::from_raw(1)));
     let value = fleet.nodes[1].machine.value().unwrap();
     assert_eq!(value.preset, Preset::Peak);
-    assert_eq!(value.preset_set.as_ref().unwrap().by, "ana");
+    assert_eq!(value.preset_revision.as_ref().unwrap().by, "ana");
 }
 
 #[test]
@@ -44,8 +44,8 @@
     fleet.flush(1);
     fleet.flush(0);
     fleet.read_all();
-    assert_eq!(fleet.nodes[1].answers[&early], Outcome::Accepted(Version::from_raw(1)));
-    let Outcome::Superseded { winner: Some(winner) } = &fleet.nodes[0].answers[&late] else {
+    assert_eq!(fleet.nodes[1].answers[&early], PublishOutcome::Accepted(Version::from_raw(1)));
+    let PublishOutcome::Superseded { winner: Some(winner) } = &fleet.nodes[0].answers[&late] else {
         panic!("the later change was not superseded");
     };
     assert_eq!(winner.by, "ben");
@@ -62,12 +62,12 @@
     fleet.read_all();
     let id = fleet.publish(0, "ana", 0, PEAK);
     fleet.fail(0, true, store::Outcome::Unknown);
-    fleet.advance(fleet.timing.retry);
+    fleet.advance(fleet.timing.append_retry);
     fleet.tick(0);
     fleet.flush(0);
     fleet.read_all();
     assert_eq!(fleet.log.records.len(), 2);
-    assert_eq!(fleet.nodes[0].answers[&id], Outcome::Accepted(Version::from_raw(1)));
+    assert_eq!(fleet.nodes[0].answers[&id], PublishOutcome::Accepted(Version::from_raw(1)));
     assert_eq!(fleet.version(1), Some(1));
 }
 
@@ -79,11 +79,11 @@
     fleet.read_all();
     let id = fleet.publish(0, "ana", 0, PEAK);
     fleet.fail(0, true, store::Outcome::Unknown);
-    fleet.advance(fleet.timing.publish);
+    fleet.advance(fleet.timing.publish_timeout);
     fleet.tick(0);
-    assert_eq!(fleet.nodes[0].answers[&id], Outcome::Unknown(id));
+    assert_eq!(fleet.nodes[0].answers[&id], PublishOutcome::Unknown(id));
     fleet.read_all();
-    let accepted = Some(Outcome::Accepted(Version::from_raw(1)));
+    let accepted = Some(PublishOutcome::Accepted(Version::from_raw(1)));
     assert_eq!(fleet.nodes[0].machine.outcome(id), accepted);
     assert_eq!(fleet.nodes[1].machine.outcome(id), accepted);
 }
@@ -99,7 +99,7 @@
         fleet.advance(Duration::from_millis(300));
         fleet.tick(0);
     }
-    assert_eq!(fleet.nodes[0].answers[&id], Outcome::NotWritten);
+    assert_eq!(fleet.nodes[0].answers[&id], PublishOutcome::NotWritten);
 }
 
 #[test]
@@ -110,7 +110,7 @@
     fleet.flush(0);
     fleet.read_all();
     let id = fleet.publish(0, "ben", 0, MAINTENANCE);
-    assert!(matches!(fleet.nodes[0].answers[&id], Outcome::Superseded { .. }));
+    assert!(matches!(fleet.nodes[0].answers[&id], PublishOutcome::Superseded { .. }));
     assert!(fleet.nodes[0].appends.is_empty());
 }
 
@@ -118,7 +118,7 @@
 fn publish_before_settings_are_read() {
     let mut fleet = Fleet::new(&["oamaru-hall"]);
     let id = fleet.publish(0, "ana", 0, PEAK);
-    assert_eq!(fleet.nodes[0].answers[&id], Outcome::NotReady);
+    assert_eq!(fleet.nodes[0].answers[&id], PublishOutcome::NotReady);
 }
 
 #[test]
@@ -132,7 +132,8 @@
         fleet.read_all();
     }
     let value = fleet.nodes[0].machine.value().unwrap();
-    let names: Vec<&str> = value.tenures.iter().map(|tenure| tenure.stamp.by.as_str()).collect();
+    let names: Vec<&str> =
+        value.preset_history.iter().map(|activation| activation.revision.by.as_str()).collect();
     assert_eq!(names.len(), 16);
     assert_eq!((names[0], names[15]), ("person-4", "person-19"));
 }
--- a/tests/logic/config/retention.rs
+++ b/tests/logic/config/retention.rs
@@ -20,9 +20,9 @@
 
 /// Lets an hour pass, after which a snapshot is due, and lets the first instance write it.
 fn write_snapshot(fleet: &mut Fleet) {
-    fleet.advance(fleet.timing.snapshot);
+    fleet.advance(fleet.timing.snapshot_interval);
     fleet.tick(0);
-    fleet.advance(fleet.timing.spread);
+    fleet.advance(fleet.timing.snapshot_jitter);
     fleet.tick(0);
     assert_eq!(fleet.nodes[0].snapshots.len(), 1);
     fleet.flush(0);
@@ -33,9 +33,9 @@
     let mut fleet = Fleet::new(&["oamaru-hall", "kurow-hall"]);
     fleet.read_all();
     accept(&mut fleet, 0, Change::Preset(Preset::Peak));
-    fleet.advance(fleet.timing.snapshot);
+    fleet.advance(fleet.timing.snapshot_interval);
     fleet.tick(1);
-    fleet.advance(fleet.timing.spread);
+    fleet.advance(fleet.timing.snapshot_jitter);
     fleet.tick(1);
     accept(&mut fleet, 1, quota("shop"));
     fleet.flush(1);
@@ -85,7 +85,7 @@
     fleet.read_all();
     assert_eq!(fleet.version(1), None);
     fleet.tick(0);
-    fleet.advance(fleet.timing.spread);
+    fleet.advance(fleet.timing.snapshot_jitter);
     fleet.tick(0);
     fleet.flush(0);
     fleet.read_all();
@@ -98,7 +98,7 @@
     let mut fleet = Fleet::new(&["oamaru-hall", "kurow-hall", "palmerston-hall"]);
     fleet.read_all();
     accept(&mut fleet, 0, Change::Preset(Preset::Peak));
-    fleet.advance(fleet.timing.snapshot);
+    fleet.advance(fleet.timing.snapshot_interval);
     for _ in 0..300 {
         fleet.advance(Duration::from_millis(10));
         for index in 0..3 {
@@ -126,7 +126,7 @@
     fleet.read(1);
     assert_eq!(fleet.version(1), Some(1));
     let state = fleet.nodes[0].machine.state().unwrap().clone();
-    fleet.tell(1, Message::Offered(state));
+    fleet.tell(1, Message::StateReceived(state));
     assert_eq!(fleet.version(1), Some(6));
     accept(&mut fleet, 6, quota("late"));
     assert_eq!(fleet.nodes[0].machine.state(), fleet.nodes[1].machine.state());
--- a/tests/logic/config/wire.rs
+++ b/tests/logic/config/wire.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use oriolefork::codec;
-use oriolefork::config::gossip::{Digest, ROWS, Standing};
+use oriolefork::config::gossip::{Digest, MAX_ROWS, SyncStatus};
 use oriolefork::config::publish::Id;
 use oriolefork::config::reader::Record;
-use oriolefork::config::{Change, Drain, Preset, Publication, State, Version, wire};
+use oriolefork::config::{Change, DrainTarget, Preset, Publication, State, Version, wire};
 use oriolefork::resource::Amount;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -22,8 +22,8 @@
 
 fn changes() -> Vec<Change> {
     let limit = Amount { cpu_millis: 1, memory_mib: 2, accelerators: 3 };
-    let worker = Drain::Worker { domain: "kurow-hall".into(), worker: "w1".into() };
-    let rack = Drain::Rack { domain: "kurow-hall".into(), rack: "r1".to_owned() };
+    let worker = DrainTarget::Worker { domain: "kurow-hall".into(), worker: "w1".into() };
+    let rack = DrainTarget::Rack { domain: "kurow-hall".into(), rack: "r1".to_owned() };
     vec![
         Change::Preset(Preset::Peak),
         Change::Quota { team: "shop".to_owned(), limit: Some(limit) },
@@ -79,12 +79,12 @@
     }
     for index in 0..1_200 {
         let (domain, rack) = (name("d", index).as_str().into(), name("r", index));
-        publish(Change::Drain(Drain::Rack { domain, rack }));
+        publish(Change::Drain(DrainTarget::Rack { domain, rack }));
     }
     assert!(state.value.quotas.len() < 600 && state.value.drained.len() < 1_200);
     let record = Record::Snapshot { state, at: Unix::from_millis(5) };
     let bytes = wire::encode(&record);
-    assert!(bytes.len() <= wire::RECORD_BYTES, "{} bytes", bytes.len());
+    assert!(bytes.len() <= wire::MAX_RECORD_BYTES, "{} bytes", bytes.len());
     assert_eq!(wire::decode(&bytes), Ok(record));
 }
 
@@ -98,8 +98,8 @@
     assert!(wire::decode(text.as_bytes()).is_err());
 }
 
-fn standing(instance: &str) -> Standing {
-    Standing {
+fn status(instance: &str) -> SyncStatus {
+    SyncStatus {
         instance: instance.to_owned(),
         domain: "kurow-hall".into(),
         version: Version::from_raw(3),
@@ -110,11 +110,11 @@
     }
 }
 
-#[test_case("entry-1", ROWS, true ; "most_rows")]
-#[test_case("entry-1", ROWS + 1, false ; "too_many_rows")]
+#[test_case("entry-1", MAX_ROWS, true ; "most_rows")]
+#[test_case("entry-1", MAX_ROWS + 1, false ; "too_many_rows")]
 #[test_case("", 0, false ; "no_name")]
 fn digest_bounds(instance: &str, rows: usize, accepted: bool) {
-    let digest = Digest { from: standing(instance), rows: vec![standing("entry-2"); rows] };
+    let digest = Digest { from: status(instance), rows: vec![status("entry-2"); rows] };
     let bytes = codec::encode(&wire::Digest::from(&digest)).unwrap();
     let read: wire::Digest = codec::decode(&bytes).unwrap();
     assert_eq!(Digest::try_from(read).ok(), accepted.then_some(digest));
--- a/tests/process/config/mod.rs
+++ b/tests/process/config/mod.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use monoio::{LegacyDriver, RuntimeBuilder};
-use oriolefork::config::{Change, Outcome, Preset, Version};
+use oriolefork::config::{Change, Preset, PublishOutcome, Version};
 use oriolefork::resource::Amount;
 use oriolefork::standin::proxy::{self, Mode};
 use serde_json::json;
@@ -93,7 +93,7 @@
         let nodes = platform.populate().await;
         platform.switch(1, Mode::CutBoth);
         let outcome = nodes[0].publish("ana", PEAK).await;
-        assert_eq!(outcome, Outcome::Accepted(Version::from_raw(1)));
+        assert_eq!(outcome, PublishOutcome::Accepted(Version::from_raw(1)));
         for node in &nodes {
             shows(node, 1).await;
             assert_eq!(node.handle.value().await.unwrap().preset, Preset::Peak);
@@ -111,13 +111,16 @@
         let nodes = platform.populate().await;
         platform.switch(0, Mode::DropAnswer);
         let outcome = nodes[0].publish("ana", MAINTENANCE).await;
-        let accepted = Outcome::Accepted(Version::from_raw(1));
-        assert!(outcome == accepted || matches!(outcome, Outcome::Unknown(_)));
+        let accepted = PublishOutcome::Accepted(Version::from_raw(1));
+        assert!(outcome == accepted || matches!(outcome, PublishOutcome::Unknown(_)));
         platform.switch(0, Mode::Pass);
         for node in &nodes {
             shows(node, 1).await;
         }
-        assert_eq!(nodes[2].publish("ben", PEAK).await, Outcome::Accepted(Version::from_raw(2)));
+        assert_eq!(
+            nodes[2].publish("ben", PEAK).await,
+            PublishOutcome::Accepted(Version::from_raw(2))
+        );
     });
 }
 
@@ -134,7 +137,7 @@
             nodes[2].publish("cleo", PEAK),
         ])
         .await;
-        let accepted = |outcome: &&Outcome| matches!(outcome, Outcome::Accepted(_));
+        let accepted = |outcome: &&PublishOutcome| matches!(outcome, PublishOutcome::Accepted(_));
         assert_eq!(outcomes.iter().filter(accepted).count(), 1, "{outcomes:?}");
         for node in &nodes {
             shows(node, 1).await;
@@ -142,8 +145,8 @@
         let winner = nodes[0].handle.value().await.unwrap();
         for (node, outcome) in nodes.iter().zip(&outcomes) {
             assert_eq!(node.handle.value().await.unwrap(), winner);
-            if let Outcome::Superseded { winner: Some(named) } = outcome {
-                assert_eq!(Some(named), winner.preset_set.as_ref());
+            if let PublishOutcome::Superseded { winner: Some(named) } = outcome {
+                assert_eq!(Some(named), winner.preset_revision.as_ref());
             }
         }
     });
@@ -179,7 +182,7 @@
         nodes[0].publish("ana", PEAK).await;
         for change in 0..60_u64 {
             let outcome = nodes[0].publish("ana", quota(&format!("team-{change}"))).await;
-            assert_eq!(outcome, Outcome::Accepted(Version::from_raw(change + 2)));
+            assert_eq!(outcome, PublishOutcome::Accepted(Version::from_raw(change + 2)));
         }
         nodes[2] = platform.node(2);
         introduce(&nodes);
--- a/tests/process/config/site.rs
+++ b/tests/process/config/site.rs
@@ -11,7 +11,7 @@
 use oriolefork::config::gossip::Peer;
 use oriolefork::config::machine::Timing;
 use oriolefork::config::publish::Id;
-use oriolefork::config::{Change, Handle, Outcome, Proposal, follow};
+use oriolefork::config::{Change, Handle, Proposal, PublishOutcome, follow};
 use oriolefork::peer::{self, Code, Refusal};
 use oriolefork::shutdown::Shutdown;
 use oriolefork::{http, store};
@@ -67,7 +67,7 @@
     }
 
     /// Publishes on the version in force here.
-    pub async fn publish(&self, by: &str, change: Change) -> Outcome {
+    pub async fn publish(&self, by: &str, change: Change) -> PublishOutcome {
         let proposal = Proposal { id: Id::random(), base: None, by: by.to_owned(), change };
         self.handle.publish(proposal).await
     }
