--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -1,15 +1,15 @@
-//! One change of the settings and the bounds that every instance holds it to.
+//! A change of the settings, and the bounds that every instance checks it against.
 
 use derive_more::Display;
 
 use super::value::{DrainTarget, Preset, Revision, Value};
 use crate::resource::Amount;
 
-/// Longest name of an operator, team, rack or worker, in bytes.
+/// Maximum length of the name of an operator, team, rack or worker, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Most teams with a quota.
+/// Maximum number of teams with a quota.
 pub const MAX_QUOTAS: usize = 512;
-/// Most drained workers and racks.
+/// Maximum number of drained workers and racks together.
 pub const MAX_DRAINED: usize = 1_024;
 
 /// One change of the settings.
@@ -18,26 +18,26 @@
     /// Put a preset in force.
     #[display("preset {_0}")]
     Preset(Preset),
-    /// Set a team's quota, or lift it with `None`.
+    /// Set a team's quota, or remove it with `None`.
     #[display("quota of {team}")]
     Quota {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// What its running tasks may hold together.
+        /// Limit on the resources that all running tasks of the team hold together.
         limit: Option<Amount>,
     },
     /// Stop placing tasks on a worker or rack.
     #[display("drain {_0}")]
     Drain(DrainTarget),
-    /// Place tasks there again.
+    /// Place tasks on a drained worker or rack again.
     #[display("undrain {_0}")]
     Undrain(DrainTarget),
-    /// Set the log level of every instance, or leave each its own with `None`.
+    /// Set the log level of every instance; with `None`, each uses the level of its own settings.
     #[display("log level")]
     LogLevel(Option<log::LevelFilter>),
 }
 
-/// Why a change cannot be applied whatever its base.
+/// The bound that a change breaks, independent of the version it is based on.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum InvalidChange {
     /// A name is empty or too long.
@@ -56,14 +56,14 @@
     ///
     /// # Errors
     ///
-    /// Names the bound that the change breaks.
+    /// Returns the bound that the change breaks.
     pub fn check(&self, value: &Value) -> Result<(), InvalidChange> {
         match self {
             Self::Preset(_) | Self::LogLevel(_) => Ok(()),
             Self::Quota { team, limit } => {
                 check_name(team)?;
-                let grows = limit.is_some() && !value.quotas.contains_key(team);
-                if grows && value.quotas.len() >= MAX_QUOTAS {
+                let adds_quota = limit.is_some() && !value.quotas.contains_key(team);
+                if adds_quota && value.quotas.len() >= MAX_QUOTAS {
                     return Err(InvalidChange::TooManyQuotas);
                 }
                 Ok(())
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Carries the change out on `value`.
-    pub(super) fn carry_out(&self, value: &mut Value, revision: &Revision) {
+    /// Applies the change to `value`; `revision` describes the version that it creates.
+    pub(super) fn apply(&self, value: &mut Value, revision: &Revision) {
         match self {
             Self::Preset(preset) => value.set_preset(*preset, revision),
             Self::Quota { team, limit: Some(limit) } => {
--- a/src/config/follow.rs
+++ b/src/config/follow.rs
@@ -1,5 +1,5 @@
-//! The task that owns the settings of a process, and the tasks that read the log and call peers
-//! for it.
+//! The task that owns the settings of a process, and the tasks that read the log and call peers on
+//! its behalf.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use rand::Rng;
 
 use super::gossip::Digest;
-use super::handle::{Ask, Handle, Proposal};
+use super::handle::{Command, Handle, Proposal};
 use super::machine::Timing;
 use super::publish::{Id, Publication, PublishOutcome};
 use super::value::Value;
@@ -22,88 +22,89 @@
 use crate::store::{Offset, Store};
 use crate::{domain, peer};
 
-/// How long the log may hold a read back while there is nothing new.
+/// How long the log may delay the response to a read while there are no new records.
 const READ_WAIT: Duration = Duration::from_secs(2);
-/// Shortest rest after a failed read; up to as much again is added at random, so that instances
-/// which lost the log together do not come back together.
-const READ_RETRY: Duration = Duration::from_millis(500);
-/// Least time between reads that bring nothing, should the log not hold them back.
-const READ_REST: Duration = Duration::from_millis(200);
-/// Rest between two ticks of the machine.
-const TICK: Duration = Duration::from_millis(200);
-/// How long a peer may take to answer.
+/// Minimum delay after a failed read. Up to the same span is added at random, so that instances
+/// which lost the log at the same time do not retry at the same time.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Delay after an empty read that the log answered in less than this time, so that reads of a log
+/// that does not delay its responses do not busy-loop.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two ticks of the machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of a call to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Who this instance is and what it reaches.
+/// Identity and dependencies of an instance's settings.
 pub struct Setup {
     /// Name of the instance.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: domain::Name,
-    /// Spans to go by.
+    /// Timeouts and intervals of the machine.
     pub timing: Timing,
-    /// The log.
+    /// Store that holds the settings stream.
     pub store: Rc<dyn Store>,
-    /// Calls to peers.
+    /// Client for calls to peers.
     pub peers: Rc<peer::Client>,
-    /// Time.
+    /// Source of the time.
     pub clock: Rc<dyn Clock>,
-    /// Ends the tasks when triggered.
+    /// Stops the tasks when triggered.
     pub stop: Shutdown,
 }
 
-/// Starts the tasks on the present runtime.
+/// Starts the tasks on the current runtime.
 ///
-/// Their channel has no bound of its own; what goes through it has: one read, one tick, as many
-/// changes as the machine lets wait, and the calls that the servers admit.
+/// Their channel is unbounded, but its senders are not: at most one read, one tick, the pending
+/// changes that the machine admits, and the calls that the servers admit are in it at once.
 pub fn start(setup: Setup) -> Handle {
     let (sender, inbox) = unbounded::channel();
     let seed = rand::rng().random();
     let now = setup.clock.now();
     let machine = Machine::new(&setup.name, &setup.domain, setup.timing.clone(), seed, now);
-    let reader = Reader {
+    let reader = ReadTask {
         store: Rc::clone(&setup.store),
         clock: Rc::clone(&setup.clock),
-        asks: sender.clone(),
+        commands: sender.clone(),
     };
     let stop = setup.stop.clone();
     monoio::spawn(until(stop.clone(), reader.run()));
     monoio::spawn(until(stop.clone(), tick(Rc::clone(&setup.clock), sender.clone())));
-    let keeper = Keeper {
+    let task = ConfigTask {
         machine,
         store: setup.store,
         peers: setup.peers,
         clock: setup.clock,
-        asks: sender.clone(),
+        commands: sender.clone(),
         waiting: BTreeMap::new(),
         subscribers: Vec::new(),
     };
-    monoio::spawn(until(stop, keeper.run(inbox)));
+    monoio::spawn(until(stop, task.run(inbox)));
     Handle::new(sender)
 }
 
-async fn tick(clock: Rc<dyn Clock>, asks: unbounded::Tx<Ask>) {
-    while tell(&asks, Message::Tick).await.is_some() {
-        clock.sleep(TICK).await;
+async fn tick(clock: Rc<dyn Clock>, commands: unbounded::Tx<Command>) {
+    while deliver(&commands, Message::Tick).await.is_some() {
+        clock.sleep(TICK_INTERVAL).await;
     }
 }
 
-/// Passes a message to the owner of the machine and returns the next offset to read; `None` once
-/// the owner is gone.
-async fn tell(asks: &unbounded::Tx<Ask>, message: Message) -> Option<Offset> {
+/// Sends a message to the task that owns the machine and returns the next offset to read, or `None`
+/// once that task has stopped.
+async fn deliver(commands: &unbounded::Tx<Command>, message: Message) -> Option<Offset> {
     let (sender, receiver) = oneshot::channel();
-    asks.send(Ask::Read(message, sender)).ok()?;
+    commands.send(Command::HandleAndReply(message, sender)).ok()?;
     receiver.await.ok()
 }
 
-/// Reads the stream and hands the pages to the owner of the machine.
-struct Reader {
+/// Reads the stream and sends its pages to the task that owns the machine.
+struct ReadTask {
     store: Rc<dyn Store>,
     clock: Rc<dyn Clock>,
-    asks: unbounded::Tx<Ask>,
+    commands: unbounded::Tx<Command>,
 }
 
-impl Reader {
+impl ReadTask {
     async fn run(self) {
         let mut position = 0;
         while let Some(next) = self.read(position).await {
@@ -111,80 +112,82 @@
         }
     }
 
-    /// Reads one page and returns the next offset to read; `None` once the owner is gone.
+    /// Reads one page and returns the next offset to read, or `None` once the task that owns the
+    /// machine has stopped.
     async fn read(&self, position: Offset) -> Option<Offset> {
-        let began = self.clock.now();
+        let started = self.clock.now();
         match self.store.read(STREAM, position, READ_WAIT).await {
             Ok(page) => {
-                let hasty = page.records.is_empty() && self.clock.now().since(began) < READ_REST;
-                let next = tell(&self.asks, Message::Page(page)).await;
-                if hasty {
-                    self.clock.sleep(READ_REST).await;
+                let returned_early =
+                    page.records.is_empty() && self.clock.now().since(started) < MIN_READ_INTERVAL;
+                let next = deliver(&self.commands, Message::Page(page)).await;
+                if returned_early {
+                    self.clock.sleep(MIN_READ_INTERVAL).await;
                 }
                 next
             }
             Err(error) => {
                 log::warn!("event=config.read_failed {error}");
-                let next = tell(&self.asks, Message::ReadFailed).await;
-                let rest = READ_RETRY.mul_f64(1.0 + rand::random::<f64>());
-                self.clock.sleep(rest).await;
+                let next = deliver(&self.commands, Message::ReadFailed).await;
+                let delay = READ_RETRY_DELAY.mul_f64(1.0 + rand::random::<f64>());
+                self.clock.sleep(delay).await;
                 next
             }
         }
     }
 }
 
-/// Owns the machine and carries its effects out.
-struct Keeper {
+/// Owns the machine and executes its effects.
+struct ConfigTask {
     machine: Machine,
     store: Rc<dyn Store>,
     peers: Rc<peer::Client>,
     clock: Rc<dyn Clock>,
-    asks: unbounded::Tx<Ask>,
+    commands: unbounded::Tx<Command>,
     waiting: BTreeMap<Id, oneshot::Sender<PublishOutcome>>,
     subscribers: Vec<unbounded::Tx<Rc<Value>>>,
 }
 
-impl Keeper {
-    async fn run(mut self, mut inbox: unbounded::Rx<Ask>) {
-        while let Some(ask) = inbox.recv().await {
-            self.answer(ask);
+impl ConfigTask {
+    async fn run(mut self, mut inbox: unbounded::Rx<Command>) {
+        while let Some(command) = inbox.recv().await {
+            self.execute(command);
         }
     }
 
-    /// Answers one request. Whoever no longer waits for the answer does not get it.
-    fn answer(&mut self, ask: Ask) {
-        match ask {
-            Ask::Tell(message) => self.tell(message),
-            Ask::Read(message, sender) => {
-                self.tell(message);
+    /// Executes one command. Responses to receivers that were dropped are discarded.
+    fn execute(&mut self, command: Command) {
+        match command {
+            Command::Handle(message) => self.handle(message),
+            Command::HandleAndReply(message, sender) => {
+                self.handle(message);
                 let _ = sender.send(self.machine.position());
             }
-            Ask::Publish(proposal, sender) => self.publish(proposal, sender),
-            Ask::Outcome(id, sender) => {
+            Command::Publish(proposal, sender) => self.publish(proposal, sender),
+            Command::Outcome(id, sender) => {
                 let _ = sender.send(self.machine.outcome(id));
             }
-            Ask::Value(sender) => {
+            Command::Value(sender) => {
                 let _ = sender.send(self.machine.value());
             }
-            Ask::Subscribe(sender) => self.subscribe(sender),
-            Ask::Standings(sender) => {
+            Command::Subscribe(sender) => self.subscribe(sender),
+            Command::SyncStatuses(sender) => {
                 let _ = sender.send(self.machine.sync_statuses(self.clock.now()));
             }
-            Ask::Digest(digest, sender) => {
-                self.tell(Message::DigestReceived(digest));
+            Command::ExchangeDigest(digest, sender) => {
+                self.handle(Message::DigestReceived(digest));
                 let _ = sender.send(self.machine.digest(self.clock.now()));
             }
-            Ask::State(sender) => {
+            Command::State(sender) => {
                 let _ = sender.send(self.machine.state().cloned());
             }
         }
     }
 
-    fn tell(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let (now, unix) = (self.clock.now(), self.clock.unix());
         for effect in self.machine.handle(now, unix, message) {
-            self.carry_out(effect);
+            self.run_effect(effect);
         }
     }
 
@@ -198,7 +201,7 @@
         let base = base.unwrap_or(current);
         let at = self.clock.unix();
         self.waiting.insert(id, sender);
-        self.tell(Message::Publish(Publication { id, base, by, at, change }));
+        self.handle(Message::Publish(Publication { id, base, by, at, change }));
     }
 
     fn subscribe(&mut self, sender: unbounded::Tx<Rc<Value>>) {
@@ -208,7 +211,7 @@
         self.subscribers.push(sender);
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn run_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Append(id, payload) => self.append(id, payload),
             Effect::Snapshot(payload) => self.snapshot(payload),
@@ -233,7 +236,7 @@
 
     fn append(&self, id: Id, payload: Bytes) {
         let store = Rc::clone(&self.store);
-        let asks = self.asks.clone();
+        let commands = self.commands.clone();
         monoio::spawn(async move {
             let message = match store.append(STREAM, payload).await {
                 Ok(_) => Message::Appended(id),
@@ -242,14 +245,14 @@
                     Message::AppendFailed(id, error.outcome)
                 }
             };
-            let _ = asks.send(Ask::Tell(message));
+            let _ = commands.send(Command::Handle(message));
         });
     }
 
     fn snapshot(&self, payload: Bytes) {
         let store = Rc::clone(&self.store);
         monoio::spawn(async move {
-            // The machine writes it again unless it reads it back.
+            // On failure, the machine writes the snapshot again, as it does not read it back.
             match store.append(STREAM, payload).await {
                 Ok(offset) => log::info!("event=config.snapshot offset={offset}"),
                 Err(error) => log::warn!("event=config.snapshot_failed {error}"),
@@ -258,15 +261,15 @@
     }
 
     fn exchange(&self, address: SocketAddr, digest: &Digest) {
-        let ask = wire::Digest::from(digest);
+        let request = wire::Digest::from(digest);
         let peers = Rc::clone(&self.peers);
-        let asks = self.asks.clone();
+        let commands = self.commands.clone();
         monoio::spawn(async move {
-            let answer: Result<wire::Digest, _> =
-                peers.call(address, wire::DIGEST, &ask, PEER_TIMEOUT).await;
-            match answer.map(Digest::try_from) {
+            let response: Result<wire::Digest, _> =
+                peers.call(address, wire::DIGEST, &request, PEER_TIMEOUT).await;
+            match response.map(Digest::try_from) {
                 Ok(Ok(digest)) => {
-                    let _ = asks.send(Ask::Tell(Message::DigestReceived(digest)));
+                    let _ = commands.send(Command::Handle(Message::DigestReceived(digest)));
                 }
                 Ok(Err(error)) => log::warn!("event=config.digest_invalid peer={address} {error}"),
                 Err(error) => log::debug!("event=config.digest_failed {error}"),
@@ -276,18 +279,18 @@
 
     fn fetch(&self, address: SocketAddr) {
         let peers = Rc::clone(&self.peers);
-        let asks = self.asks.clone();
+        let commands = self.commands.clone();
         monoio::spawn(async move {
             let message = fetch_state(&peers, address).await;
-            let _ = asks.send(Ask::Tell(message));
+            let _ = commands.send(Command::Handle(message));
         });
     }
 }
 
 async fn fetch_state(peers: &peer::Client, address: SocketAddr) -> Message {
-    let ask = wire::FetchRequest {};
+    let request = wire::FetchRequest {};
     let fetched: Result<wire::FetchResponse, _> =
-        peers.call(address, wire::FETCH, &ask, PEER_TIMEOUT).await;
+        peers.call(address, wire::FETCH, &request, PEER_TIMEOUT).await;
     let state = match fetched {
         Ok(fetched) => fetched.state,
         Err(error) => {
--- a/src/config/gossip.rs
+++ b/src/config/gossip.rs
@@ -1,4 +1,5 @@
-//! What instances tell each other of the settings: a small digest often, the state only on demand.
+//! What instances exchange about the settings: small digests at short intervals, and the whole state
+//! only on request.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,21 +11,21 @@
 use crate::domain;
 use crate::store::Offset;
 
-/// Rows about other instances in one digest.
+/// Maximum number of rows about other instances in one digest.
 pub const MAX_ROWS: usize = 4;
-/// Most instances that the roster keeps.
-const ROSTER: usize = 1_024;
-/// How long an instance that nobody hears of stays on the roster.
-const FORGET: Duration = Duration::from_secs(600);
+/// Maximum number of instances in the status table.
+const MAX_INSTANCES: usize = 1_024;
+/// How long an instance without news stays in the status table.
+const FORGET_AFTER: Duration = Duration::from_secs(600);
 
-/// An entry instance with which this one exchanges digests.
+/// An entry instance that this instance exchanges digests with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
     /// Its failure domain.
     pub domain: domain::Name,
-    /// Where it is reached.
+    /// Address of its server for peers.
     pub address: SocketAddr,
 }
 
@@ -35,29 +36,29 @@
     pub instance: String,
     /// Its failure domain.
     pub domain: domain::Name,
-    /// Version it has applied.
+    /// Version in force there; zero while none is.
     pub version: Version,
-    /// Length of the prefix that it has applied.
+    /// First offset of the stream that it has not applied.
     pub next: Offset,
-    /// Whether that version is in force there.
+    /// Whether any version is in force there.
     pub in_force: bool,
-    /// How long ago it knew that no newer version existed; `None` when it never did.
+    /// Time since its version was last confirmed to be the newest; `None` if it never was.
     pub confirmed: Option<Duration>,
-    /// How long ago it said so.
+    /// Time since the instance reported this status.
     pub heard: Duration,
 }
 
-/// A message between peers.
+/// A summary of the settings at some instances, as peers exchange it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Digest {
-    /// The sender's own status.
+    /// Status of the sender.
     pub from: SyncStatus,
-    /// Some of what the sender knows of others.
+    /// Status of some other instances, as the sender knows it.
     pub rows: Vec<SyncStatus>,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct StatusEntry {
     version: Version,
     next: Offset,
     in_force: bool,
@@ -65,85 +66,87 @@
     heard: Age,
 }
 
-/// An age that was told at some instant and has grown since.
+/// An age that was known at some instant and grows from then on.
 ///
-/// The instant it began at may lie before this process's clock started.
+/// It is stored as a duration, since it may reach back to before this process's clock started.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Age {
-    told: Duration,
+    initial: Duration,
     at: Instant,
 }
 
 impl Age {
-    /// An age of `told` at `at`.
-    pub(super) fn new(told: Duration, at: Instant) -> Self {
-        Self { told, at }
+    /// Creates an age that is `initial` at instant `at`.
+    pub(super) fn new(initial: Duration, at: Instant) -> Self {
+        Self { initial, at }
     }
 
-    /// The age at `now`.
+    /// Returns the age at `now`.
     pub(super) fn at(self, now: Instant) -> Duration {
-        self.told.saturating_add(now.since(self.at))
+        self.initial.saturating_add(now.since(self.at))
     }
 }
 
 type Key = (domain::Name, String);
 
-/// What is known of other instances' settings.
+/// The latest known sync status of other instances.
 #[derive(Debug, Default)]
-pub(super) struct Roster {
-    seen: BTreeMap<Key, Seen>,
-    /// Where the rows of the next digest begin.
+pub(super) struct StatusTable {
+    entries: BTreeMap<Key, StatusEntry>,
+    /// Index of the first entry for the next digest.
     cursor: usize,
 }
 
-impl Roster {
-    /// Takes one instance's status if it is newer than what is known.
-    pub(super) fn note(&mut self, now: Instant, status: &SyncStatus) {
+impl StatusTable {
+    /// Records the status of an instance if it is more recent than the known one.
+    pub(super) fn record(&mut self, now: Instant, status: &SyncStatus) {
         let key = (status.domain.clone(), status.instance.clone());
-        let known = self.seen.get(&key);
-        let newer = known.is_none_or(|seen| status.heard < seen.heard.at(now));
-        if !newer || known.is_none() && self.seen.len() >= ROSTER {
+        let known = self.entries.get(&key);
+        let newer = known.is_none_or(|entry| status.heard < entry.heard.at(now));
+        if !newer || known.is_none() && self.entries.len() >= MAX_INSTANCES {
             return;
         }
-        let seen = Seen {
+        let entry = StatusEntry {
             version: status.version,
             next: status.next,
             in_force: status.in_force,
             confirmed: status.confirmed.map(|age| Age::new(age, now)),
             heard: Age::new(status.heard, now),
         };
-        self.seen.insert(key, seen);
+        self.entries.insert(key, entry);
     }
 
-    /// Drops instances that nobody has heard of for long.
+    /// Removes instances without news for [`FORGET_AFTER`].
     pub(super) fn prune(&mut self, now: Instant) {
-        self.seen.retain(|_, seen| seen.heard.at(now) < FORGET);
+        self.entries.retain(|_, entry| entry.heard.at(now) < FORGET_AFTER);
     }
 
-    /// Every status known.
+    /// Returns the known status of every instance.
     pub(super) fn sync_statuses(&self, now: Instant) -> impl Iterator<Item = SyncStatus> + '_ {
-        self.seen.iter().map(move |(key, seen)| status(now, key, seen))
+        self.entries.iter().map(move |(key, entry)| status(now, key, entry))
     }
 
-    /// The next few statuses for a digest; successive calls go round the roster.
+    /// Returns the rows of the next digest; successive calls cycle through the table.
     pub(super) fn rows(&mut self, now: Instant) -> Vec<SyncStatus> {
-        let count = self.seen.len().min(MAX_ROWS);
+        let count = self.entries.len().min(MAX_ROWS);
         let start = self.cursor;
-        self.cursor = (start + count) % self.seen.len().max(1);
-        let turn = self.seen.iter().cycle().skip(start).take(count);
-        turn.map(|(key, seen)| status(now, key, seen)).collect()
+        self.cursor = (start + count) % self.entries.len().max(1);
+        let selected = self.entries.iter().cycle().skip(start).take(count);
+        selected.map(|(key, entry)| status(now, key, entry)).collect()
     }
 
-    /// The version at a peer when it was last heard of.
+    /// Returns the last known version at a peer.
     pub(super) fn version(&self, peer: &Peer) -> Option<Version> {
         let key = (peer.domain.clone(), peer.name.clone());
-        self.seen.get(&key).map(|seen| seen.version)
+        self.entries.get(&key).map(|entry| entry.version)
     }
 }
 
-/// Domains' statuses, each the worst of its instances that were heard of within `recent`.
+/// Returns for each domain the least current status among its instances that reported within
+/// `recent`.
 ///
-/// A domain of which nobody was heard lately keeps its last known instances, so that its age shows.
+/// For a domain without recent reports, it is the least current of the older ones, so that their age
+/// remains visible.
 pub fn worst_by_domain(
     statuses: &[SyncStatus],
     recent: Duration,
@@ -156,7 +159,7 @@
         };
         let known_recent = known.heard <= recent;
         let this_recent = status.heard <= recent;
-        let worse = badness(status) > badness(known);
+        let worse = staleness(status) > staleness(known);
         if this_recent && !known_recent || this_recent == known_recent && worse {
             *known = status.clone();
         }
@@ -164,19 +167,19 @@
     worst
 }
 
-/// Grows with how far an instance is behind.
-fn badness(status: &SyncStatus) -> (Reverse<Version>, Duration) {
+/// Sort key that is greater the further an instance is behind.
+fn staleness(status: &SyncStatus) -> (Reverse<Version>, Duration) {
     (Reverse(status.version), status.confirmed.unwrap_or(Duration::MAX))
 }
 
-fn status(now: Instant, (domain, instance): &Key, seen: &Seen) -> SyncStatus {
+fn status(now: Instant, (domain, instance): &Key, entry: &StatusEntry) -> SyncStatus {
     SyncStatus {
         instance: instance.clone(),
         domain: domain.clone(),
-        version: seen.version,
-        next: seen.next,
-        in_force: seen.in_force,
-        confirmed: seen.confirmed.map(|age| age.at(now)),
-        heard: seen.heard.at(now),
+        version: entry.version,
+        next: entry.next,
+        in_force: entry.in_force,
+        confirmed: entry.confirmed.map(|age| age.at(now)),
+        heard: entry.heard.at(now),
     }
 }
--- a/src/config/handle.rs
+++ b/src/config/handle.rs
@@ -1,4 +1,4 @@
-//! How the rest of the process uses the settings.
+//! Handle through which the rest of the process reads and changes the settings.
 
 use std::rc::Rc;
 
@@ -15,122 +15,126 @@
 use crate::peer::{self, Code, Refusal};
 use crate::store::Offset;
 
-/// Values as they come into force.
+/// Channel of the values that come into force, in order.
 pub type Values = unbounded::Rx<Rc<Value>>;
 
-/// What the task that owns the machine is asked.
-pub(super) enum Ask {
-    /// Pass a message to the machine.
-    Tell(Message),
-    /// Pass a message to the machine, then tell the next offset to read.
-    Read(Message, oneshot::Sender<Offset>),
+/// A command to the task that owns the machine.
+pub(super) enum Command {
+    /// Let the machine handle a message.
+    Handle(Message),
+    /// Let the machine handle a message, then return the next offset to read.
+    HandleAndReply(Message, oneshot::Sender<Offset>),
     /// Publish a change.
     Publish(Proposal, oneshot::Sender<PublishOutcome>),
-    /// Tell what became of a change.
+    /// Return the outcome of a change.
     Outcome(Id, oneshot::Sender<Option<PublishOutcome>>),
-    /// Tell the value in force.
+    /// Return the value in force.
     Value(oneshot::Sender<Option<Rc<Value>>>),
-    /// Send every value in force from now on.
+    /// Send the value in force, then every newer one.
     Subscribe(unbounded::Tx<Rc<Value>>),
-    /// Tell the status of every instance.
-    Standings(oneshot::Sender<Vec<SyncStatus>>),
-    /// Take a peer's digest and tell an own one.
-    Digest(Digest, oneshot::Sender<Digest>),
-    /// Tell the state in force.
+    /// Return the sync status of every known instance.
+    SyncStatuses(oneshot::Sender<Vec<SyncStatus>>),
+    /// Handle a peer's digest and return a digest of this instance.
+    ExchangeDigest(Digest, oneshot::Sender<Digest>),
+    /// Return the state in force.
     State(oneshot::Sender<Option<State>>),
 }
 
-/// A change that an operator wants.
+/// A change that an operator requests.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// Identity by which the operator can ask again.
+    /// Identity by which the operator can query the outcome later.
     pub id: Id,
-    /// Version that the operator saw; `None` for the one in force at this instance.
+    /// Version that the change is based on; `None` for the one in force at this instance.
     pub base: Option<Version>,
-    /// The operator.
+    /// Name of the operator.
     pub by: String,
-    /// What changes.
+    /// The change itself.
     pub change: Change,
 }
 
-/// Reaches the task that holds the settings of this process.
+/// Handle to the task that owns the settings of this process.
 #[derive(Clone)]
 pub struct Handle {
-    asks: unbounded::Tx<Ask>,
+    commands: unbounded::Tx<Command>,
 }
 
 impl Handle {
-    pub(super) fn new(asks: unbounded::Tx<Ask>) -> Self {
-        Self { asks }
+    pub(super) fn new(commands: unbounded::Tx<Command>) -> Self {
+        Self { commands }
     }
 
-    /// The value in force; `None` until one is.
+    /// Returns the value in force, or `None` before the first one.
     pub async fn value(&self) -> Option<Rc<Value>> {
-        self.ask(Ask::Value).await.flatten()
+        self.request(Command::Value).await.flatten()
     }
 
-    /// The value in force, if one is, then every newer one as it comes into force.
+    /// Returns a channel that receives the value in force, if there is one, then every newer one.
     pub fn subscribe(&self) -> Values {
         let (sender, receiver) = unbounded::channel();
-        // The receiver ends at once when the task has stopped.
-        let _ = self.asks.send(Ask::Subscribe(sender));
+        // When the task has stopped, the receiver ends at once.
+        let _ = self.commands.send(Command::Subscribe(sender));
         receiver
     }
 
-    /// Publishes a change and answers once its place in the log is known, or after a bounded wait
-    /// with [`PublishOutcome::Unknown`].
+    /// Publishes a change and returns its outcome once its record was read back from the log.
     ///
-    /// Dropping the future does not withdraw the change.
+    /// If that takes longer than [`Timing::publish_timeout`](super::machine::Timing), the outcome
+    /// is [`PublishOutcome::Unknown`] unless the record surely was not written. Dropping the future
+    /// does not withdraw the change.
     pub async fn publish(&self, proposal: Proposal) -> PublishOutcome {
         let id = proposal.id;
         let (sender, receiver) = oneshot::channel();
-        if self.asks.send(Ask::Publish(proposal, sender)).is_err() {
+        if self.commands.send(Command::Publish(proposal, sender)).is_err() {
             return PublishOutcome::NotReady;
         }
         receiver.await.unwrap_or(PublishOutcome::Unknown(id))
     }
 
-    /// What became of a change; `None` when this instance cannot tell.
+    /// Returns the outcome of a change, or `None` if this instance does not know it.
     pub async fn outcome(&self, id: Id) -> Option<PublishOutcome> {
-        self.ask(|sender| Ask::Outcome(id, sender)).await.flatten()
+        self.request(|sender| Command::Outcome(id, sender)).await.flatten()
     }
 
-    /// The status of this instance, which comes first, and of all that it has heard of.
+    /// Returns the sync status of this instance, which comes first, and of all known instances.
     pub async fn sync_statuses(&self) -> Vec<SyncStatus> {
-        self.ask(Ask::Standings).await.unwrap_or_default()
+        self.request(Command::SyncStatuses).await.unwrap_or_default()
     }
 
-    /// Names the peers to exchange digests with, this instance not among them.
+    /// Replaces the peers to exchange digests with; they must not include this instance.
     pub fn set_peers(&self, peers: Vec<Peer>) {
-        // A task that has stopped needs no peers.
-        let _ = self.asks.send(Ask::Tell(Message::Peers(peers)));
+        // The send fails only when the task has stopped.
+        let _ = self.commands.send(Command::Handle(Message::Peers(peers)));
     }
 
-    /// Answers a peer's call; `None` when `method` is not one of the settings' methods.
+    /// Handles a peer's call; returns `None` when `method` is not a method of the settings.
     pub async fn handle(&self, method: &str, body: &[u8]) -> Option<Result<Bytes, Refusal>> {
         match method {
-            wire::DIGEST => Some(self.exchange(body).await),
-            wire::FETCH => Some(self.fetched().await),
+            wire::DIGEST => Some(self.exchange_digest(body).await),
+            wire::FETCH => Some(self.fetch_state().await),
             _ => None,
         }
     }
 
-    async fn exchange(&self, body: &[u8]) -> Result<Bytes, Refusal> {
+    async fn exchange_digest(&self, body: &[u8]) -> Result<Bytes, Refusal> {
         let wire: wire::Digest = peer::decode(body)?;
         let digest: Digest = wire.try_into().map_err(|error: wire::Error| malformed(&error))?;
-        let own = self.ask(|sender| Ask::Digest(digest, sender)).await.ok_or_else(stopped)?;
+        let own = self
+            .request(|sender| Command::ExchangeDigest(digest, sender))
+            .await
+            .ok_or_else(stopped)?;
         codec::encode(&wire::Digest::from(&own)).map_err(|error| malformed(&error))
     }
 
-    async fn fetched(&self) -> Result<Bytes, Refusal> {
-        let state = self.ask(Ask::State).await.ok_or_else(stopped)?;
-        let fetched = wire::FetchResponse { state: state.as_ref().map(wire::State::from) };
-        codec::encode(&fetched).map_err(|error| malformed(&error))
+    async fn fetch_state(&self) -> Result<Bytes, Refusal> {
+        let state = self.request(Command::State).await.ok_or_else(stopped)?;
+        let response = wire::FetchResponse { state: state.as_ref().map(wire::State::from) };
+        codec::encode(&response).map_err(|error| malformed(&error))
     }
 
-    async fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> Ask) -> Option<T> {
+    async fn request<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
-        self.asks.send(ask(sender)).ok()?;
+        self.commands.send(command(sender)).ok()?;
         receiver.await.ok()
     }
 }
--- a/src/config/machine.rs
+++ b/src/config/machine.rs
@@ -1,4 +1,5 @@
-//! Decides when settings are in force, what to publish and what to tell peers.
+//! State machine that decides when settings are in force, what to append to the stream and what to
+//! exchange with peers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -6,9 +7,9 @@
 
 use super::compaction::Compaction;
 use super::gossip::{Age, Digest, Peer, SyncStatus};
-use super::herald::Herald;
-use super::publish::{self, Publication, PublishOutcome, Queue};
-use super::reader::{Reader, Record};
+use super::gossiper::Gossiper;
+use super::publish::{self, Publication, PublishOutcome, PublishQueue};
+use super::reader::{Record, StreamReader};
 use super::state::{ApplyResult, State};
 use super::value::{Value, Version};
 use super::wire;
@@ -17,22 +18,23 @@
 use crate::store::{self, Offset, Page};
 use bytes::Bytes;
 
-/// Spans that the machine goes by.
+/// Timeouts and intervals of the machine.
 #[derive(Clone, Debug)]
 pub struct Timing {
-    /// How long a publisher waits for its record before the answer is [`PublishOutcome::Unknown`].
+    /// How long a change waits to be read back before its outcome is [`PublishOutcome::Unknown`].
     pub publish_timeout: Duration,
-    /// Pause before a failed append is tried again.
+    /// Delay before a failed append is retried.
     pub append_retry: Duration,
-    /// Pause between two digests that an instance sends.
+    /// Time between two digests that an instance sends.
     pub gossip_interval: Duration,
-    /// How long an instance whose log works waits for the log before it asks a peer.
+    /// How long an instance whose log works waits for the log to bring a newer version before it
+    /// fetches the state from a peer.
     pub fetch_delay: Duration,
-    /// How long the log may be silent before it counts as lost.
+    /// Time without an answered read after which the log counts as lost.
     pub log_timeout: Duration,
-    /// Longest age of the newest snapshot in the stream; well below the log's retention.
+    /// Maximum age of the newest snapshot in the stream; well below the log's retention.
     pub snapshot_interval: Duration,
-    /// Longest random delay before an instance writes a snapshot.
+    /// Maximum random delay before an instance writes a snapshot.
     pub snapshot_jitter: Duration,
 }
 
@@ -50,45 +52,46 @@
     }
 }
 
-/// What the machine is told.
+/// An input of the machine.
 #[derive(Clone, Debug)]
 pub enum Message {
-    /// A read of the stream was answered.
+    /// A read of the stream returned a page.
     Page(Page),
     /// A read of the stream failed.
     ReadFailed,
-    /// An operator wants a change.
+    /// An operator requests a change.
     Publish(Publication),
-    /// An append of a change was answered.
+    /// An append of a change succeeded.
     Appended(publish::Id),
     /// An append of a change failed.
     AppendFailed(publish::Id, store::Outcome),
     /// The peers to exchange digests with, this instance not among them.
     Peers(Vec<Peer>),
-    /// A digest arrived, as a call or as an answer.
+    /// A digest arrived, as a peer's call or as the response to a call.
     DigestReceived(Digest),
-    /// A peer sent the state in force there.
+    /// A peer returned the state in force there.
     StateReceived(State),
     /// A fetch from a peer failed.
     FetchFailed,
-    /// Time has passed.
+    /// Periodic call that lets retries, snapshots and gossip run when they are due.
     Tick,
 }
 
-/// What the machine wants done.
+/// An action that the caller of the machine executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Append a change; answer with [`Message::Appended`] or [`Message::AppendFailed`].
+    /// Append a change and report [`Message::Appended`] or [`Message::AppendFailed`].
     Append(publish::Id, Bytes),
-    /// Append a snapshot; nobody waits for it.
+    /// Append a snapshot; its result is not reported.
     Snapshot(Bytes),
-    /// Answer the operator.
+    /// Return the outcome of a change to the operator.
     Answer(publish::Id, PublishOutcome),
     /// A newer value is in force.
     InForce(Rc<Value>),
-    /// Send a digest to a peer; its answer comes back as [`Message::DigestReceived`].
+    /// Send a digest to a peer and report its own with [`Message::DigestReceived`].
     SendDigest(SocketAddr, Digest),
-    /// Fetch the state from a peer; it comes back as [`Message::StateReceived`].
+    /// Fetch the state from a peer and report [`Message::StateReceived`] or
+    /// [`Message::FetchFailed`].
     FetchState(SocketAddr),
 }
 
@@ -96,57 +99,58 @@
 #[derive(Debug)]
 pub struct Machine {
     timing: Timing,
-    reader: Reader,
-    queue: Queue,
+    reader: StreamReader,
+    queue: PublishQueue,
     compaction: Compaction,
-    herald: Herald,
-    /// The value that was shown last.
-    shown: Option<Rc<Value>>,
-    /// End of the stream when it was first read.
-    start_end: Option<Offset>,
-    /// Whether a peer has sent its state.
-    offered: bool,
-    /// How long ago no newer version existed.
+    gossiper: Gossiper,
+    /// The value in force; its version never decreases.
+    in_force: Option<Rc<Value>>,
+    /// End of the stream at the first read.
+    initial_end: Option<Offset>,
+    /// Whether a peer has returned its state.
+    received_state: bool,
+    /// Time since the version here was last confirmed to be the newest.
     confirmed: Option<Age>,
-    /// When the log last answered; the start before it ever did.
-    answered: Instant,
-    failing: bool,
+    /// When a read of the log last succeeded; the machine's start before the first one.
+    last_read: Instant,
+    /// Whether the last read of the log failed.
+    log_failing: bool,
 }
 
 impl Machine {
-    /// A machine that knows nothing yet; `seed` sets its random choices.
+    /// Creates a machine without settings; `seed` determines its random choices.
     pub fn new(name: &str, domain: &domain::Name, timing: Timing, seed: u64, now: Instant) -> Self {
         Self {
             timing,
-            reader: Reader::default(),
-            queue: Queue::default(),
+            reader: StreamReader::default(),
+            queue: PublishQueue::default(),
             compaction: Compaction::default(),
-            herald: Herald::new(name, domain, seed, now),
-            shown: None,
-            start_end: None,
-            offered: false,
+            gossiper: Gossiper::new(name, domain, seed, now),
+            in_force: None,
+            initial_end: None,
+            received_state: false,
             confirmed: None,
-            answered: now,
-            failing: false,
+            last_read: now,
+            log_failing: false,
         }
     }
 
-    /// The value in force; `None` until one is.
+    /// Returns the value in force, or `None` before the first one.
     pub fn value(&self) -> Option<Rc<Value>> {
-        self.shown.clone()
+        self.in_force.clone()
     }
 
-    /// The state in force, for a peer that asks.
+    /// Returns the state in force, for a peer that fetches it.
     pub fn state(&self) -> Option<&State> {
-        self.shown.as_ref().and(self.reader.state())
+        self.in_force.as_ref().and(self.reader.state())
     }
 
-    /// The next offset to read from the stream.
+    /// Returns the next offset to read from the stream.
     pub fn position(&self) -> Offset {
         self.reader.position()
     }
 
-    /// What became of a change, as far as this instance can tell.
+    /// Returns the outcome of a change, or `None` if this instance does not know it.
     pub fn outcome(&self, id: publish::Id) -> Option<PublishOutcome> {
         let accepted = self.reader.state().and_then(|state| state.accepted(id));
         accepted
@@ -154,49 +158,49 @@
             .or_else(|| self.queue.settled(id).cloned())
     }
 
-    /// The status of this instance and of all that it has heard of.
+    /// Returns the sync status of this instance, which comes first, and of all known instances.
     pub fn sync_statuses(&self, now: Instant) -> Vec<SyncStatus> {
         let mut statuses = vec![self.sync_status(now)];
-        statuses.extend(self.herald.sync_statuses(now));
+        statuses.extend(self.gossiper.sync_statuses(now));
         statuses
     }
 
-    /// A digest for a peer.
+    /// Builds a digest for a peer.
     pub fn digest(&mut self, now: Instant) -> Digest {
         let from = self.sync_status(now);
-        self.herald.digest(now, from)
+        self.gossiper.digest(now, from)
     }
 
-    /// Takes a message and returns what to do, in order.
+    /// Handles a message and returns the effects to execute, in order.
     pub fn handle(&mut self, now: Instant, unix: Unix, message: Message) -> Vec<Effect> {
         let mut effects = Vec::new();
         match message {
             Message::Page(page) => self.read(now, &page, &mut effects),
-            Message::ReadFailed => self.failing = true,
+            Message::ReadFailed => self.log_failing = true,
             Message::Publish(publication) => self.publish(now, publication, &mut effects),
-            Message::Appended(id) => self.queue.appended(id),
+            Message::Appended(id) => self.queue.record_append(id),
             Message::AppendFailed(id, outcome) => {
                 let retry = now.after(self.timing.append_retry);
-                self.queue.failed(id, outcome, retry);
+                self.queue.record_failure(id, outcome, retry);
             }
-            Message::Peers(peers) => self.herald.set_peers(peers),
-            Message::DigestReceived(digest) => self.hear(now, &digest),
-            Message::StateReceived(state) => self.accept_offer(state, &mut effects),
-            Message::FetchFailed => self.herald.drop_ahead(),
+            Message::Peers(peers) => self.gossiper.set_peers(peers),
+            Message::DigestReceived(digest) => self.receive_digest(now, &digest),
+            Message::StateReceived(state) => self.receive_state(state, &mut effects),
+            Message::FetchFailed => self.gossiper.clear_fetch_candidate(),
             Message::Tick => self.tick(now, unix, &mut effects),
         }
-        self.show(now, &mut effects);
+        self.put_in_force(now, &mut effects);
         self.fetch(now, &mut effects);
-        self.settle(now, &mut effects);
+        self.settle_changes(now, &mut effects);
         effects
     }
 
     fn read(&mut self, now: Instant, page: &Page, effects: &mut Vec<Effect>) {
-        self.failing = false;
-        self.answered = now;
-        self.start_end.get_or_insert(page.end);
+        self.log_failing = false;
+        self.last_read = now;
+        self.initial_end.get_or_insert(page.end);
         let results = self.reader.read(page);
-        self.answer(&results, effects);
+        self.answer_changes(&results, effects);
         if self.reader.covers(page.end) {
             self.confirmed = Some(Age::new(Duration::ZERO, now));
         }
@@ -213,13 +217,13 @@
         effects.push(Effect::Append(id, payload));
     }
 
-    /// Refuses what cannot be accepted before anything is sent.
+    /// Rejects a change that cannot be accepted, before anything is sent.
     fn admit(&self, publication: &Publication) -> Result<(), PublishOutcome> {
         if let Some(outcome) = self.outcome(publication.id) {
             return Err(outcome);
         }
         let Some(state) = self.state() else { return Err(PublishOutcome::NotReady) };
-        if self.queue.is_full() || self.queue.is_waiting(publication.id) {
+        if self.queue.is_full() || self.queue.is_pending(publication.id) {
             return Err(PublishOutcome::Busy);
         }
         if let Some(outcome) = publish::known_outcome(state, publication.id, publication.base) {
@@ -232,50 +236,50 @@
         state.check(publication).map_err(PublishOutcome::Invalid)
     }
 
-    fn hear(&mut self, now: Instant, digest: &Digest) {
+    fn receive_digest(&mut self, now: Instant, digest: &Digest) {
         let peer = &digest.from;
-        self.herald.note(now, digest);
+        self.gossiper.record(now, digest);
         self.confirm(now, peer);
-        let behind = self.shown.is_none() || peer.version > self.reader.version();
+        let behind = self.in_force.is_none() || peer.version > self.reader.version();
         if peer.in_force && behind {
-            self.herald.note_ahead(now, peer);
+            self.gossiper.note_fetch_candidate(now, peer);
         }
     }
 
-    /// A peer with our version that lately knew of no newer one vouches for ours too.
+    /// Adopts a peer's confirmation that its version is the newest, if it is the version here too.
     fn confirm(&mut self, now: Instant, peer: &SyncStatus) {
         let Some(age) = peer.confirmed else { return };
-        let same = self.shown.is_some() && peer.version == self.reader.version();
-        let fresher = self.confirmed.is_none_or(|own| age < own.at(now));
-        if same && fresher {
+        let same_version = self.in_force.is_some() && peer.version == self.reader.version();
+        let more_recent = self.confirmed.is_none_or(|own| age < own.at(now));
+        if same_version && more_recent {
             self.confirmed = Some(Age::new(age, now));
         }
     }
 
-    fn accept_offer(&mut self, state: State, effects: &mut Vec<Effect>) {
-        self.herald.drop_ahead();
-        self.offered = true;
+    fn receive_state(&mut self, state: State, effects: &mut Vec<Effect>) {
+        self.gossiper.clear_fetch_candidate();
+        self.received_state = true;
         let mut results = Vec::new();
-        self.reader.adopt(state, &mut results);
-        self.answer(&results, effects);
+        self.reader.advance_to(state, &mut results);
+        self.answer_changes(&results, effects);
     }
 
     fn tick(&mut self, now: Instant, unix: Unix, effects: &mut Vec<Effect>) {
-        for publication in self.queue.due(now) {
+        for publication in self.queue.take_due(now) {
             let id = publication.id;
             effects.push(Effect::Append(id, wire::encode(&Record::Change(publication))));
         }
         self.snapshot(now, unix, effects);
-        let cut_off = self.is_cut_off(now);
-        let peer = self.herald.turn(now, self.timing.gossip_interval, cut_off);
+        let log_lost = self.is_log_lost(now);
+        let peer = self.gossiper.next_exchange(now, self.timing.gossip_interval, log_lost);
         self.exchange(now, peer, effects);
     }
 
     fn snapshot(&mut self, now: Instant, unix: Unix, effects: &mut Vec<Effect>) {
-        if self.shown.is_none() {
+        if self.in_force.is_none() {
             return;
         }
-        let delay = self.herald.part(self.timing.snapshot_jitter);
+        let delay = self.gossiper.random_part(self.timing.snapshot_jitter);
         let interval = self.timing.snapshot_interval;
         if !self.compaction.is_due(now, unix, &self.reader, interval, delay) {
             return;
@@ -293,73 +297,78 @@
         }
     }
 
-    /// Shows the value once it is in force; a smaller version than shown before never is.
-    fn show(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        if self.shown.is_none() && !self.may_show() {
+    /// Puts the value in force if its version is greater than that of the current one.
+    fn put_in_force(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        if self.in_force.is_none() && !self.may_put_in_force() {
             return;
         }
         let Some(state) = self.reader.state() else { return };
-        let newer = self.shown.as_ref().is_none_or(|shown| shown.version < state.value.version);
+        let newer =
+            self.in_force.as_ref().is_none_or(|current| current.version < state.value.version);
         if !newer {
             return;
         }
         let value = Rc::new(state.value.clone());
-        let first = self.shown.replace(Rc::clone(&value)).is_none();
+        let first = self.in_force.replace(Rc::clone(&value)).is_none();
         effects.push(Effect::InForce(value));
         if !first {
-            let peer = self.herald.lacking(self.reader.version());
+            let peer = self.gossiper.peer_behind(self.reader.version());
             self.exchange(now, peer, effects);
         }
     }
 
-    /// Whether the first value may be shown.
+    /// Whether the first value may be put in force.
     ///
-    /// The earlier process of this instance may have shown anything that the log held when this
-    /// one started. A value from before that end would revert it, so the whole stream up to there
-    /// must be covered first, by reading it or by a peer's state. Only a log that has never
-    /// answered leaves no such bound; then a peer's word has to do.
-    fn may_show(&self) -> bool {
-        match self.start_end {
+    /// An earlier process of this instance may have had in force any version that the log held when
+    /// this one started. An older value would revert it, so the state must first cover the stream up
+    /// to the end found at the first read, by reading it or by a peer's state. If the log has never
+    /// answered, that end is unknown; once a read has failed, a peer's state is used as it is.
+    fn may_put_in_force(&self) -> bool {
+        match self.initial_end {
             Some(end) => self.reader.covers(end),
-            None => self.offered && self.failing,
+            None => self.received_state && self.log_failing,
         }
     }
 
-    /// Asks a peer for a newer state when the log does not bring it.
+    /// Fetches a newer state from a peer when the log does not bring it in time.
     fn fetch(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        let lost = self.failing || self.is_cut_off(now);
-        let patience = if lost { Duration::ZERO } else { self.timing.fetch_delay };
-        let own = self.shown.as_ref().map(|_| self.reader.version());
-        effects.extend(self.herald.fetch(now, own, patience).map(Effect::FetchState));
+        let log_lost = self.log_failing || self.is_log_lost(now);
+        let delay = if log_lost { Duration::ZERO } else { self.timing.fetch_delay };
+        let own = self.in_force.as_ref().map(|_| self.reader.version());
+        effects.extend(self.gossiper.next_fetch(now, own, delay).map(Effect::FetchState));
     }
 
-    fn settle(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        for (id, outcome) in self.queue.sweep(now, self.reader.state()) {
+    fn settle_changes(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        for (id, outcome) in self.queue.settle_due(now, self.reader.state()) {
             effects.push(Effect::Answer(id, outcome));
         }
     }
 
-    fn answer(&mut self, results: &[(publish::Id, ApplyResult)], effects: &mut Vec<Effect>) {
+    fn answer_changes(
+        &mut self,
+        results: &[(publish::Id, ApplyResult)],
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(state) = self.reader.state() else { return };
         for (id, result) in results {
-            if let Some((id, outcome)) = self.queue.read_back(*id, result, state) {
+            if let Some((id, outcome)) = self.queue.record_result(*id, result, state) {
                 effects.push(Effect::Answer(id, outcome));
             }
         }
     }
 
-    fn is_cut_off(&self, now: Instant) -> bool {
-        now.since(self.answered) >= self.timing.log_timeout
+    fn is_log_lost(&self, now: Instant) -> bool {
+        now.since(self.last_read) >= self.timing.log_timeout
     }
 
     fn sync_status(&self, now: Instant) -> SyncStatus {
-        let (name, domain) = self.herald.identity();
+        let (name, domain) = self.gossiper.identity();
         SyncStatus {
             instance: name.to_owned(),
             domain: domain.clone(),
-            version: self.shown.as_ref().map_or(Version::ZERO, |value| value.version),
+            version: self.in_force.as_ref().map_or(Version::ZERO, |value| value.version),
             next: self.reader.state().map_or(0, |state| state.next),
-            in_force: self.shown.is_some(),
+            in_force: self.in_force.is_some(),
             confirmed: self.confirmed.map(|age| age.at(now)),
             heard: Duration::ZERO,
         }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,17 +1,18 @@
 //! Settings that operators change while the system runs: the preset in force, team quotas, drained
 //! workers and racks.
 //!
-//! They live in one stream of the platform's log. Every instance applies that stream in order by
-//! one pure rule ([`State::apply`]), so that all which applied the same prefix agree. [`Machine`]
-//! decides when a value is in force, what to publish and what to tell peers; the task in
-//! [`follow`] owns it and carries its effects out.
+//! The settings are stored in one stream of the platform's log. Every instance applies that stream in
+//! order with the same deterministic function ([`State::apply`]), so that instances which applied the
+//! same prefix have the same state. [`Machine`] decides when a value is in force, what to append to
+//! the stream and what to exchange with peers; the task in [`follow`] owns it and executes its
+//! effects.
 
 pub mod change;
 pub mod compaction;
 pub mod follow;
 pub mod gossip;
+mod gossiper;
 pub mod handle;
-mod herald;
 pub mod machine;
 pub mod publish;
 pub mod reader;
--- a/src/config/publish.rs
+++ b/src/config/publish.rs
@@ -1,4 +1,4 @@
-//! Changes on their way into the stream, and what became of them.
+//! Changes that wait to be appended to the stream and read back, and their outcomes.
 
 use std::collections::VecDeque;
 
@@ -10,33 +10,33 @@
 use crate::clock::{Instant, Unix};
 use crate::store;
 
-/// Most changes of one instance that wait for their place in the log.
-const PENDING: usize = 64;
-/// How many settled changes an instance remembers beside those in the state's history.
-const SETTLED: usize = 256;
+/// Maximum number of pending changes of one instance.
+const MAX_PENDING: usize = 64;
+/// Number of settled changes that an instance remembers beside those in the state's history.
+const MAX_SETTLED: usize = 256;
 
-/// Identity that a publisher draws for a change, by which its fate can be asked for later.
+/// Random identity of a change, by which its outcome can be queried later.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{_0:032x}")]
 pub struct Id(u128);
 
 impl Id {
-    /// Rebuilds an identity from its number.
+    /// Creates an identity from its number.
     pub const fn from_raw(raw: u128) -> Self {
         Self(raw)
     }
 
-    /// The identity's number.
+    /// Returns the identity's number.
     pub const fn raw(self) -> u128 {
         self.0
     }
 
-    /// Draws an identity.
+    /// Creates a random identity.
     pub fn random() -> Self {
         Self(rand::random())
     }
 
-    /// Reads the form that `Display` writes; `None` when `text` is not such a form.
+    /// Parses the form that `Display` writes; returns `None` for any other text.
     ///
     /// ```
     /// use oriolefork::config::publish::Id;
@@ -49,133 +49,139 @@
     }
 }
 
-/// A change as it stands in the stream.
+/// A change as it is recorded in the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Publication {
     /// Identity of the change.
     pub id: Id,
     /// Version it is based on.
     pub base: Version,
-    /// The operator.
+    /// Name of the operator.
     pub by: String,
-    /// When the operator's instance took it.
+    /// Time at which an instance received it from the operator.
     pub at: Unix,
-    /// What changes.
+    /// The change itself.
     pub change: Change,
 }
 
-/// What became of a change.
+/// Outcome of publishing a change.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum PublishOutcome {
-    /// It is accepted: its place in the log is known and nothing can undo it.
+    /// The change was applied and created this version; this is final.
     #[display("accepted as version {_0}")]
     Accepted(Version),
-    /// Another change came first; this one has no effect.
+    /// Another change on the same base was applied first; this one has no effect.
     #[display("not applied: {} came first", describe(winner.as_ref()))]
     Superseded {
-        /// Who came first, unless that was too long ago.
+        /// Revision that the other change created; `None` if it is no longer in the history.
         winner: Option<Revision>,
     },
-    /// The base given is not a version that this instance knows; nothing was sent.
+    /// The base is not the current version of this instance, and the change that followed it is not
+    /// in the history; nothing was sent.
     #[display("not applied: the settings are at version {current}")]
     BaseMismatch {
         /// The current version.
         current: Version,
     },
-    /// It breaks a bound; it has no effect.
+    /// The change breaks a bound; it has no effect.
     #[display("not applied: {_0}")]
     Invalid(InvalidChange),
-    /// It surely was not written; it has no effect.
+    /// The change was certainly not written; it has no effect.
     #[display("not applied: the log could not be written")]
     NotWritten,
-    /// This instance does not know the settings in force yet; nothing was sent.
+    /// This instance has no settings in force yet; nothing was sent.
     #[display("not applied: this instance has not read the settings yet")]
     NotReady,
-    /// Too many changes wait at this instance; nothing was sent.
+    /// Too many changes are pending at this instance; nothing was sent.
     #[display("not applied: too many changes are under way here")]
     Busy,
-    /// It may take effect later or may have been lost; ask again by its id.
+    /// The change may still take effect or may be lost; its outcome can be queried by its id.
     #[display("unknown: ask again by id {_0}")]
     Unknown(Id),
 }
 
-/// A change that waits for its place in the stream.
+/// A change that was not read back from the stream yet.
 #[derive(Debug)]
-struct Wait {
+struct PendingChange {
     publication: Publication,
     deadline: Instant,
-    /// When to append again after a failure; `None` while an append is under way or has succeeded.
+    /// When to append again after a failure; `None` while an append is in progress or has succeeded.
     retry: Option<Instant>,
-    /// Whether some append may have been written.
+    /// Whether any append may have been written.
     maybe_written: bool,
 }
 
-/// The changes of this instance that wait, and those that were settled lately.
+/// The pending changes of this instance, and those settled recently.
 #[derive(Debug, Default)]
-pub(super) struct Queue {
-    waits: Vec<Wait>,
+pub(super) struct PublishQueue {
+    pending: Vec<PendingChange>,
     settled: VecDeque<(Id, PublishOutcome)>,
 }
 
-impl Queue {
-    /// Whether no further change can wait.
+impl PublishQueue {
+    /// Whether no further change can be added.
     pub(super) fn is_full(&self) -> bool {
-        self.waits.len() >= PENDING
+        self.pending.len() >= MAX_PENDING
     }
 
-    /// Whether this change waits here.
-    pub(super) fn is_waiting(&self, id: Id) -> bool {
-        self.waits.iter().any(|wait| wait.publication.id == id)
+    /// Whether this change is pending.
+    pub(super) fn is_pending(&self, id: Id) -> bool {
+        self.pending.iter().any(|change| change.publication.id == id)
     }
 
-    /// Takes a change whose first append is under way.
+    /// Adds a change whose first append is in progress.
     pub(super) fn push(&mut self, publication: Publication, deadline: Instant) {
-        self.waits.push(Wait { publication, deadline, retry: None, maybe_written: false });
+        self.pending.push(PendingChange {
+            publication,
+            deadline,
+            retry: None,
+            maybe_written: false,
+        });
     }
 
-    /// Notes that an append was answered.
-    pub(super) fn appended(&mut self, id: Id) {
-        if let Some(wait) = self.wait_mut(id) {
-            wait.maybe_written = true;
+    /// Records that an append succeeded.
+    pub(super) fn record_append(&mut self, id: Id) {
+        if let Some(change) = self.pending_mut(id) {
+            change.maybe_written = true;
         }
     }
 
-    /// Notes that an append failed.
+    /// Records that an append failed, and when to retry it.
     ///
-    /// A lost answer leaves open whether the record was written. Appending it again is safe: a
-    /// change is accepted only on its base, which the first copy used up.
-    pub(super) fn failed(&mut self, id: Id, outcome: store::Outcome, retry: Instant) {
-        if let Some(wait) = self.wait_mut(id) {
-            wait.maybe_written |= outcome == store::Outcome::Unknown;
-            wait.retry = Some(retry);
+    /// If the response was lost, the record may have been written. Appending it again is safe: a
+    /// change is accepted only while its base is the current version, and the first copy ends that.
+    pub(super) fn record_failure(&mut self, id: Id, outcome: store::Outcome, retry: Instant) {
+        if let Some(change) = self.pending_mut(id) {
+            change.maybe_written |= outcome == store::Outcome::Unknown;
+            change.retry = Some(retry);
         }
     }
 
-    /// The changes to append again now.
-    pub(super) fn due(&mut self, now: Instant) -> Vec<Publication> {
+    /// Returns the changes whose append is to be retried now.
+    pub(super) fn take_due(&mut self, now: Instant) -> Vec<Publication> {
         let mut due = Vec::new();
-        for wait in &mut self.waits {
-            if wait.retry.is_some_and(|retry| retry <= now) && now < wait.deadline {
-                wait.retry = None;
-                due.push(wait.publication.clone());
+        for change in &mut self.pending {
+            if change.retry.is_some_and(|retry| retry <= now) && now < change.deadline {
+                change.retry = None;
+                due.push(change.publication.clone());
             }
         }
         due
     }
 
-    /// Takes the result on a change of ours that was read back.
-    pub(super) fn read_back(
+    /// Settles a pending change of this instance that was read back with `result`.
+    pub(super) fn record_result(
         &mut self,
         id: Id,
         result: &ApplyResult,
         state: &State,
     ) -> Option<(Id, PublishOutcome)> {
-        let index = self.waits.iter().position(|wait| wait.publication.id == id)?;
-        let base = self.waits[index].publication.base;
+        let index = self.pending.iter().position(|change| change.publication.id == id)?;
+        let base = self.pending[index].publication.base;
         let outcome = match result {
             ApplyResult::Accepted(version) => PublishOutcome::Accepted(*version),
             ApplyResult::Superseded { winner } => {
-                // The first of two copies may have been accepted.
+                // This may be the second copy of a change whose first copy was accepted.
                 let superseded = PublishOutcome::Superseded { winner: winner.clone() };
                 known_outcome(state, id, base).unwrap_or(superseded)
             }
@@ -184,16 +190,16 @@
         Some(self.settle(index, outcome))
     }
 
-    /// Settles every change whose fate follows from `state`, and gives up on those overdue.
-    pub(super) fn sweep(
+    /// Settles every change whose outcome follows from `state` or whose deadline has passed.
+    pub(super) fn settle_due(
         &mut self,
         now: Instant,
         state: Option<&State>,
     ) -> Vec<(Id, PublishOutcome)> {
         let mut answers = Vec::new();
         let mut index = 0;
-        while index < self.waits.len() {
-            match self.waits[index].outcome(now, state) {
+        while index < self.pending.len() {
+            match self.pending[index].outcome(now, state) {
                 Some(outcome) => answers.push(self.settle(index, outcome)),
                 None => index += 1,
             }
@@ -201,18 +207,18 @@
         answers
     }
 
-    /// The fate of a change settled here lately.
+    /// Returns the outcome of a change that was settled here recently.
     pub(super) fn settled(&self, id: Id) -> Option<&PublishOutcome> {
         self.settled.iter().rev().find(|(settled, _)| *settled == id).map(|(_, outcome)| outcome)
     }
 
-    fn wait_mut(&mut self, id: Id) -> Option<&mut Wait> {
-        self.waits.iter_mut().find(|wait| wait.publication.id == id)
+    fn pending_mut(&mut self, id: Id) -> Option<&mut PendingChange> {
+        self.pending.iter_mut().find(|change| change.publication.id == id)
     }
 
     fn settle(&mut self, index: usize, outcome: PublishOutcome) -> (Id, PublishOutcome) {
-        let id = self.waits.swap_remove(index).publication.id;
-        if self.settled.len() == SETTLED {
+        let id = self.pending.swap_remove(index).publication.id;
+        if self.settled.len() == MAX_SETTLED {
             self.settled.pop_front();
         }
         self.settled.push_back((id, outcome.clone()));
@@ -220,7 +226,7 @@
     }
 }
 
-impl Wait {
+impl PendingChange {
     fn outcome(&self, now: Instant, state: Option<&State>) -> Option<PublishOutcome> {
         let Publication { id, base, .. } = self.publication;
         if let Some(outcome) = state.and_then(|state| known_outcome(state, id, base)) {
@@ -235,10 +241,10 @@
     }
 }
 
-/// The fate of a change as far as `state` tells it.
+/// Returns the outcome of a change if it follows from `state`.
 ///
-/// A copy that is written after `state` has passed the base can have no effect any more, so the
-/// answer is final even while an append is still under way.
+/// A copy that is written after the version has moved past the base has no effect, so the outcome is
+/// final even while an append is still in progress.
 pub(super) fn known_outcome(state: &State, id: Id, base: Version) -> Option<PublishOutcome> {
     if let Some(HistoryEntry { revision, .. }) = state.accepted(id) {
         return Some(PublishOutcome::Accepted(revision.version));
--- a/src/config/reader.rs
+++ b/src/config/reader.rs
@@ -1,8 +1,8 @@
-//! Follows the settings stream, also across records that retention has dropped.
+//! Applies the settings stream, also when retention has dropped records that were not read.
 
 use std::collections::VecDeque;
 
-use super::compaction::Mark;
+use super::compaction::SnapshotInfo;
 use super::publish::{Id, Publication};
 use super::state::{ApplyResult, State};
 use super::value::Version;
@@ -10,27 +10,28 @@
 use crate::clock::Unix;
 use crate::store::{Offset, Page};
 
-/// Most records kept while a usable snapshot is looked for.
-const TAIL: usize = 8_192;
+/// Maximum number of records kept until a snapshot that they can be applied to is found.
+const MAX_TAIL_RECORDS: usize = 8_192;
 
 /// A record of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// A change.
     Change(Publication),
-    /// The state after an earlier prefix, written before retention drops that prefix.
+    /// The state after an earlier prefix of the stream, written before retention drops that prefix.
     Snapshot {
         /// The state.
         state: State,
-        /// When it was written.
+        /// Time at which it was written.
         at: Unix,
     },
 }
 
-/// Records read after a gap, kept until a state is found that reaches up to them.
+/// Records read after a gap, kept until a state is found that covers the stream up to them.
 #[derive(Debug)]
 struct Tail {
     from: Offset,
+    /// The records from that offset on; `None` for one that cannot be decoded.
     records: VecDeque<Option<Record>>,
 }
 
@@ -44,7 +45,7 @@
     }
 
     fn push(&mut self, record: Option<Record>) {
-        if self.records.len() == TAIL {
+        if self.records.len() == MAX_TAIL_RECORDS {
             self.records.pop_front();
             self.from += 1;
         }
@@ -52,49 +53,49 @@
     }
 }
 
-/// What was read back of one change.
-pub(super) type ReadBack = (Id, ApplyResult);
+/// A change that was read from the stream, and the result of applying it.
+pub(super) type AppliedChange = (Id, ApplyResult);
 
-/// The state applied so far and the place in the stream.
+/// The state applied so far and the position in the stream.
 #[derive(Debug, Default)]
-pub(super) struct Reader {
+pub(super) struct StreamReader {
     state: Option<State>,
     tail: Option<Tail>,
-    mark: Option<Mark>,
+    latest_snapshot: Option<SnapshotInfo>,
     oldest: Offset,
     end: Offset,
 }
 
-impl Reader {
-    /// The state applied so far.
+impl StreamReader {
+    /// Returns the state applied so far.
     pub(super) fn state(&self) -> Option<&State> {
         self.state.as_ref()
     }
 
-    /// The version applied so far.
+    /// Returns the version applied so far.
     pub(super) fn version(&self) -> Version {
         self.state.as_ref().map(|state| state.value.version).unwrap_or_default()
     }
 
-    /// The next offset to read.
+    /// Returns the next offset to read.
     pub(super) fn position(&self) -> Offset {
         let applied = self.state.as_ref().map_or(0, |state| state.next);
         self.tail.as_ref().map_or(applied, Tail::end)
     }
 
-    /// Oldest offset that the log still kept at the last read.
+    /// Returns the oldest offset that the log still kept at the last read.
     pub(super) fn oldest(&self) -> Offset {
         self.oldest
     }
 
-    /// End of the stream at the last read.
+    /// Returns the end of the stream at the last read.
     pub(super) fn end(&self) -> Offset {
         self.end
     }
 
-    /// The newest snapshot read.
-    pub(super) fn mark(&self) -> Option<Mark> {
-        self.mark
+    /// Returns the latest snapshot read.
+    pub(super) fn latest_snapshot(&self) -> Option<SnapshotInfo> {
+        self.latest_snapshot
     }
 
     /// Whether the state covers the stream up to `offset` without a gap.
@@ -102,14 +103,14 @@
         self.tail.is_none() && self.state.as_ref().is_some_and(|state| state.next >= offset)
     }
 
-    /// Applies a page and returns the results on the changes in it.
-    pub(super) fn read(&mut self, page: &Page) -> Vec<ReadBack> {
+    /// Applies a page and returns the results of the changes in it.
+    pub(super) fn read(&mut self, page: &Page) -> Vec<AppliedChange> {
         self.oldest = self.oldest.max(page.oldest);
         self.end = page.end;
-        self.find_gap(page.oldest);
+        self.detect_gap(page.oldest);
         let mut results = Vec::new();
         for record in &page.records {
-            // A page that was asked for before a peer's state moved us on repeats old records.
+            // A page requested before a peer's state was adopted repeats records that it covers.
             if record.offset < self.position() {
                 continue;
             }
@@ -117,43 +118,49 @@
                 break;
             }
             let decoded = wire::decode(&record.payload).ok();
-            self.take(record.offset, decoded, &mut results);
+            self.apply_record(record.offset, decoded, &mut results);
         }
         results
     }
 
-    /// Takes a state from a peer or a snapshot if it is further on than ours.
+    /// Replaces the state by one from a peer or a snapshot if that covers a longer prefix.
     ///
-    /// A state with a smaller version is never taken, whatever prefix it claims: the value shown
-    /// must not go back.
-    pub(super) fn adopt(&mut self, state: State, results: &mut Vec<ReadBack>) -> bool {
-        let further = match &self.state {
+    /// A state with a smaller version is never adopted, whatever prefix it claims to cover: the
+    /// version in force must not decrease.
+    pub(super) fn advance_to(&mut self, state: State, results: &mut Vec<AppliedChange>) -> bool {
+        let is_ahead = match &self.state {
             Some(own) => state.next > own.next && state.value.version >= own.value.version,
             None => true,
         };
-        if further {
+        if is_ahead {
             self.state = Some(state);
             self.close_gap(results);
         }
-        further
+        is_ahead
     }
 
     /// Starts collecting a tail when retention has dropped records that were not read yet.
     ///
-    /// Without it, the first change after the gap would meet a state that lacks the dropped ones
-    /// and be judged otherwise than at the instances that read them.
-    fn find_gap(&mut self, oldest: Offset) {
+    /// Otherwise the first change after the gap would be applied to a state without the dropped
+    /// changes, and its result would differ from that at instances which read them.
+    fn detect_gap(&mut self, oldest: Offset) {
         if self.state.is_none() && self.tail.is_none() && oldest == 0 {
             self.state = Some(State::default());
         }
-        let unread = self.position() < oldest || self.state.is_none() && self.tail.is_none();
-        if unread {
+        let missed_records =
+            self.position() < oldest || self.state.is_none() && self.tail.is_none();
+        if missed_records {
             self.tail = Some(Tail::new(oldest));
         }
     }
 
-    fn take(&mut self, offset: Offset, record: Option<Record>, results: &mut Vec<ReadBack>) {
-        self.note_mark(offset, record.as_ref());
+    fn apply_record(
+        &mut self,
+        offset: Offset,
+        record: Option<Record>,
+        results: &mut Vec<AppliedChange>,
+    ) {
+        self.record_snapshot(offset, record.as_ref());
         if let Some(tail) = &mut self.tail {
             let snapshot = match &record {
                 Some(Record::Snapshot { state, .. }) if state.next >= tail.from => {
@@ -163,7 +170,7 @@
             };
             tail.push(record);
             if let Some(state) = snapshot {
-                self.adopt(state, results);
+                self.advance_to(state, results);
             }
             return;
         }
@@ -172,8 +179,8 @@
         }
     }
 
-    /// Applies the tail once the state reaches up to it.
-    fn close_gap(&mut self, results: &mut Vec<ReadBack>) {
+    /// Applies the tail once the state covers the stream up to it.
+    fn close_gap(&mut self, results: &mut Vec<AppliedChange>) {
         let Some(state) = &mut self.state else { return };
         let Some(tail) = self.tail.take_if(|tail| state.next >= tail.from) else { return };
         let known = usize::try_from(state.next - tail.from).unwrap_or(usize::MAX);
@@ -182,22 +189,22 @@
         }
     }
 
-    fn note_mark(&mut self, offset: Offset, record: Option<&Record>) {
+    fn record_snapshot(&mut self, offset: Offset, record: Option<&Record>) {
         let Some(Record::Snapshot { state, at }) = record else { return };
-        let newer = self.mark.is_none_or(|mark| mark.next <= state.next);
+        let newer = self.latest_snapshot.is_none_or(|latest| latest.next <= state.next);
         if newer && state.next <= offset {
-            self.mark = Some(Mark { next: state.next, at: *at });
+            self.latest_snapshot = Some(SnapshotInfo { next: state.next, at: *at });
         }
     }
 }
 
-fn apply(state: &mut State, record: Option<Record>, results: &mut Vec<ReadBack>) {
+fn apply(state: &mut State, record: Option<Record>, results: &mut Vec<AppliedChange>) {
     match record {
         Some(Record::Change(publication)) => {
             let result = state.apply(&publication);
             results.push((publication.id, result));
         }
-        // A record that cannot be read is passed over by every instance alike.
+        // Every instance skips a record that cannot be decoded.
         Some(Record::Snapshot { .. }) | None => state.skip(),
     }
 }
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -1,4 +1,4 @@
-//! The rule by which every instance applies the settings stream.
+//! State of the settings after a prefix of the stream, and how a change is applied to it.
 
 use std::collections::VecDeque;
 
@@ -7,19 +7,19 @@
 use super::value::{Revision, Value, Version};
 use crate::store::Offset;
 
-/// How many accepted changes a state remembers by id.
+/// Number of accepted changes that a state keeps in its history.
 pub const MAX_HISTORY: usize = 32;
 
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HistoryEntry {
-    /// Identity that its publisher drew.
+    /// Identity of the change.
     pub id: publish::Id,
-    /// Who, when and which version.
+    /// The version that it created, with operator and time.
     pub revision: Revision,
 }
 
-/// The settings after a prefix of the stream: a pure function of that prefix.
+/// The settings after a prefix of the stream, determined by that prefix alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
     /// The settings.
@@ -28,31 +28,31 @@
     pub next: Offset,
     /// The latest accepted changes, oldest first.
     ///
-    /// They travel with the state, so that an instance which received the state from a peer can
-    /// still tell whether a change in that prefix was accepted.
+    /// They are part of the state, so that an instance which received it from a peer can still find
+    /// out whether a change in that prefix was accepted.
     pub history: VecDeque<HistoryEntry>,
 }
 
-/// What became of a change at its place in the stream.
+/// Result of applying a change at its position in the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// It made this version.
+    /// The change created this version.
     Accepted(Version),
-    /// Its base was not the current version.
+    /// The base of the change was not the current version.
     Superseded {
-        /// Who made the version that it wanted to make, unless that was too long ago.
+        /// Revision that the change on this base created; `None` if it is not in the history.
         winner: Option<Revision>,
     },
-    /// It breaks a bound.
+    /// The change breaks a bound.
     Invalid(InvalidChange),
 }
 
 impl State {
     /// Applies the change at offset `next`.
     ///
-    /// A change is accepted when its base is the current version. Two operators who start from the
-    /// same version thus get one winner, the first in the stream, at every instance alike. The
-    /// same holds for one change appended twice by a publisher that lost the first answer.
+    /// A change is accepted if its base is the current version. Of two changes on the same base, the
+    /// first in the stream is accepted at every instance and the second has no effect. This also
+    /// covers a change that was appended twice because the first response was lost.
     pub fn apply(&mut self, publication: &Publication) -> ApplyResult {
         self.next += 1;
         if publication.base != self.value.version {
@@ -65,13 +65,13 @@
         }
         let version = self.value.version.next();
         let revision = Revision { by: publication.by.clone(), at: publication.at, version };
-        publication.change.carry_out(&mut self.value, &revision);
+        publication.change.apply(&mut self.value, &revision);
         self.value.version = version;
-        self.remember(HistoryEntry { id: publication.id, revision });
+        self.push_history(HistoryEntry { id: publication.id, revision });
         ApplyResult::Accepted(version)
     }
 
-    /// Passes over the record at offset `next`, which is no change.
+    /// Skips the record at offset `next`, which is not a change.
     pub fn skip(&mut self) {
         self.next += 1;
     }
@@ -80,23 +80,23 @@
     ///
     /// # Errors
     ///
-    /// Names the bound that the change breaks.
+    /// Returns the bound that the change breaks.
     pub fn check(&self, publication: &Publication) -> Result<(), InvalidChange> {
         change::check_name(&publication.by)?;
         publication.change.check(&self.value)
     }
 
-    /// The accepted change with this identity, if it is among the latest.
+    /// Returns the accepted change with this identity, if it is in the history.
     pub fn accepted(&self, id: publish::Id) -> Option<&HistoryEntry> {
         self.history.iter().find(|entry| entry.id == id)
     }
 
-    /// The change that made `version`, if it is among the latest.
+    /// Returns the change that created `version`, if it is in the history.
     pub fn entry_for_version(&self, version: Version) -> Option<&HistoryEntry> {
         self.history.iter().find(|entry| entry.revision.version == version)
     }
 
-    fn remember(&mut self, entry: HistoryEntry) {
+    fn push_history(&mut self, entry: HistoryEntry) {
         if self.history.len() == MAX_HISTORY {
             self.history.pop_front();
         }
--- a/src/config/value.rs
+++ b/src/config/value.rs
@@ -9,7 +9,7 @@
 use crate::resource::Amount;
 use crate::{domain, placement, worker};
 
-/// Count of accepted changes; it only rises.
+/// Number of accepted changes; it never decreases.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version(u64);
 
@@ -17,33 +17,33 @@
     /// The version before any change.
     pub const ZERO: Self = Self(0);
 
-    /// Rebuilds a version from its number.
+    /// Creates a version from its number.
     pub const fn from_raw(raw: u64) -> Self {
         Self(raw)
     }
 
-    /// The version's number.
+    /// Returns the version's number.
     pub const fn raw(self) -> u64 {
         self.0
     }
 
-    /// The version that an accepted change based on this one makes.
+    /// Returns the version that an accepted change on this one creates.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// What the system is trying to do; exactly one is in force.
+/// Scheduling preset for the whole system; exactly one is in force.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Preset {
-    /// An ordinary day.
+    /// Ordinary operation.
     #[default]
     #[display("ordinary")]
     Ordinary,
     /// A peak of load.
     #[display("peak")]
     Peak,
-    /// Maintenance under way.
+    /// Maintenance of workers.
     #[display("maintenance")]
     Maintenance,
 }
@@ -63,7 +63,7 @@
     }
 }
 
-/// A name that is no preset.
+/// A name that is not the name of a preset.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("unknown preset {name:?}; the presets are ordinary, peak and maintenance")]
 pub struct UnknownPreset {
@@ -74,7 +74,7 @@
 impl FromStr for Preset {
     type Err = UnknownPreset;
 
-    /// Reads the form that `Display` writes.
+    /// Parses the form that `Display` writes.
     ///
     /// ```
     /// use oriolefork::config::Preset;
@@ -89,7 +89,7 @@
     }
 }
 
-/// Upstreams that take no new tasks.
+/// Worker or rack whose workers take no new tasks.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DrainTarget {
     /// One worker.
@@ -100,7 +100,7 @@
         /// The worker.
         worker: worker::Name,
     },
-    /// Every worker of a rack.
+    /// All workers of a rack.
     #[display("rack {domain}/{rack}")]
     Rack {
         /// Failure domain of the rack.
@@ -110,15 +110,15 @@
     },
 }
 
-/// Who made a change, when, and the version it made.
+/// A version of the settings, with the operator and time of the change that created it.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("version {version} by {by}")]
 pub struct Revision {
-    /// The operator.
+    /// Name of the operator.
     pub by: String,
-    /// When the operator's instance took the change.
+    /// Time at which an instance received the change from the operator.
     pub at: Unix,
-    /// The version that the change made.
+    /// The version that the change created.
     pub version: Version,
 }
 
@@ -127,30 +127,30 @@
 pub struct PresetActivation {
     /// The preset.
     pub preset: Preset,
-    /// Who put it in force, when, and with which version.
+    /// Revision that put it in force.
     pub revision: Revision,
 }
 
 /// All settings as of one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Value {
-    /// Count of accepted changes.
+    /// Number of accepted changes.
     pub version: Version,
     /// The one preset in force.
     pub preset: Preset,
-    /// Who set the preset; `None` while it is the default.
+    /// Revision that set the preset; `None` while it is the default.
     pub preset_revision: Option<Revision>,
-    /// The presets put in force last, oldest first; the one in force is among them.
+    /// The latest presets put in force, oldest first, including the current one.
     pub preset_history: VecDeque<PresetActivation>,
     /// Quota of each team that has one.
     pub quotas: BTreeMap<String, Amount>,
     /// Workers and racks that take no new tasks.
     pub drained: BTreeSet<DrainTarget>,
-    /// Log level for every instance; `None` leaves each its own.
+    /// Log level of every instance; with `None`, each uses the level of its own settings.
     pub log_level: Option<log::LevelFilter>,
 }
 
-/// How many presets put in force are remembered.
+/// Maximum number of entries in [`Value::preset_history`].
 pub const MAX_PRESET_HISTORY: usize = 16;
 
 impl Value {
@@ -164,7 +164,7 @@
         self.preset_history.push_back(PresetActivation { preset, revision: revision.clone() });
     }
 
-    /// The preset that was in force at `version`; `None` when that is not remembered.
+    /// Returns the preset that was in force at `version`, if it is in the history.
     pub fn activation_at(&self, version: Version) -> Option<&PresetActivation> {
         if version > self.version {
             return None;
@@ -172,7 +172,7 @@
         self.preset_history.iter().rev().find(|activation| activation.revision.version <= version)
     }
 
-    /// Whether a worker takes no new tasks, by itself or because of its rack.
+    /// Whether a worker is drained, either itself or with its rack.
     ///
     /// ```
     /// use oriolefork::config::{DrainTarget, Value};
--- a/src/config/wire/gossip.rs
+++ b/src/config/wire/gossip.rs
@@ -1,4 +1,4 @@
-//! Forms of what peers exchange.
+//! Wire types of the calls between peers.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::config::{change, gossip};
 use crate::domain;
 
-/// An instance's status.
+/// Wire form of an instance's sync status.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SyncStatus {
     instance: String,
@@ -22,21 +22,21 @@
     heard_ms: u64,
 }
 
-/// What peers exchange.
+/// Request and response of [`DIGEST`](super::DIGEST).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Digest {
     from: SyncStatus,
     rows: Vec<SyncStatus>,
 }
 
-/// The question of [`FETCH`](super::FETCH).
+/// Request of [`FETCH`](super::FETCH).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FetchRequest {}
 
-/// The answer of [`FETCH`](super::FETCH); empty while nothing is in force.
+/// Response of [`FETCH`](super::FETCH).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FetchResponse {
-    /// The state in force.
+    /// The state in force; `None` while there is none.
     pub state: Option<State>,
 }
 
@@ -87,15 +87,15 @@
         let rows: Vec<gossip::SyncStatus> =
             digest.rows.into_iter().map(gossip::SyncStatus::from).collect();
         let from = gossip::SyncStatus::from(digest.from);
-        let named = rows.iter().chain([&from]).all(is_named);
-        if !named {
-            return Err(Error::new("a status lacks a proper name"));
+        let valid = rows.iter().chain([&from]).all(has_valid_names);
+        if !valid {
+            return Err(Error::new("a row has an empty or too long name"));
         }
         Ok(Self { from, rows })
     }
 }
 
-fn is_named(status: &gossip::SyncStatus) -> bool {
+fn has_valid_names(status: &gossip::SyncStatus) -> bool {
     let names = [status.instance.as_str(), status.domain.as_str()];
     names.into_iter().all(|name| change::check_name(name).is_ok())
 }
--- a/src/config/wire/mod.rs
+++ b/src/config/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Forms of the settings outside a process: JSON in the log, bincode between peers.
+//! Wire types of the settings: JSON in the log, bincode between peers.
 
 use bytes::Bytes;
 use derive_more::Display;
@@ -16,20 +16,20 @@
 mod state;
 
 pub use gossip::{Digest, FetchRequest, FetchResponse, SyncStatus};
-pub use state::{HistoryEntry, Mark, PresetActivation, Snapshot, State};
+pub use state::{HistoryEntry, PresetActivation, Revision, Snapshot, State};
 
 /// Peer method that exchanges digests.
 pub const DIGEST: &str = "config.digest";
 /// Peer method that fetches the state.
 pub const FETCH: &str = "config.fetch";
-/// Largest record that is read from the stream, in bytes.
+/// Maximum size of a record that is decoded, in bytes.
 pub const MAX_RECORD_BYTES: usize = 512 << 10;
 
-/// A form that holds no valid content.
+/// Error of decoding a record or a peer's message.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("step=config.decode cause={cause}")]
 pub struct Error {
-    /// Cause as text.
+    /// Cause of the error.
     pub cause: String,
 }
 
@@ -45,11 +45,11 @@
 pub enum Record {
     /// A change.
     Change(Publish),
-    /// A state.
+    /// A snapshot of the state.
     Snapshot(Snapshot),
 }
 
-/// A change with its envelope.
+/// Wire form of a [`Publication`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Publish {
     id: String,
@@ -59,59 +59,59 @@
     set: Change,
 }
 
-/// What changes.
+/// Wire form of a [`change::Change`].
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
-    /// The preset.
+    /// Put the preset with this name in force.
     Preset(String),
-    /// A quota.
+    /// Set or remove a team's quota.
     Quota {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// Its limit.
+        /// The quota; `None` removes it.
         limit: Option<Amount>,
     },
-    /// A worker or rack to drain.
+    /// Stop placing tasks on a worker or rack.
     Drain(DrainTarget),
-    /// A worker or rack to use again.
+    /// Place tasks on a drained worker or rack again.
     Undrain(DrainTarget),
-    /// The log level.
+    /// Set or remove the log level of every instance.
     LogLevel(Option<String>),
 }
 
-/// A worker or rack.
+/// Wire form of a [`value::DrainTarget`].
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainTarget {
     /// One worker.
     Worker {
-        /// Its failure domain.
+        /// Failure domain of the worker.
         domain: domain::Name,
-        /// Its name.
+        /// Name of the worker.
         worker: worker::Name,
     },
     /// One rack.
     Rack {
-        /// Its failure domain.
+        /// Failure domain of the rack.
         domain: domain::Name,
-        /// Its name.
+        /// Name of the rack.
         rack: String,
     },
 }
 
-/// Writes a record for the stream.
+/// Encodes a record for the stream.
 pub fn encode(record: &reader::Record) -> Bytes {
     let wire = Record::from(record);
-    // Maps with text keys, text and numbers only: JSON can hold them all.
+    // Encoding cannot fail: the record has only strings, numbers and maps with string keys.
     serde_json::to_vec(&wire).map(Bytes::from).unwrap_or_default()
 }
 
-/// Reads a record of the stream.
+/// Decodes a record of the stream.
 ///
 /// # Errors
 ///
-/// Fails on anything but a record within the bounds; every instance passes over it alike.
+/// Fails if the payload is not a record or exceeds a bound; every instance skips such a payload.
 pub fn decode(payload: &[u8]) -> Result<reader::Record, Error> {
     if payload.len() > MAX_RECORD_BYTES {
         return Err(Error::new("the record is too large"));
@@ -192,8 +192,8 @@
         Ok(match change {
             Change::Preset(name) => Self::Preset(parse_preset(&name)?),
             Change::Quota { team, limit } => Self::Quota { team, limit },
-            Change::Drain(place) => Self::Drain(place.into()),
-            Change::Undrain(place) => Self::Undrain(place.into()),
+            Change::Drain(target) => Self::Drain(target.into()),
+            Change::Undrain(target) => Self::Undrain(target.into()),
             Change::LogLevel(level) => Self::LogLevel(parse_level(level)?),
         })
     }
@@ -209,8 +209,8 @@
 }
 
 impl From<DrainTarget> for value::DrainTarget {
-    fn from(place: DrainTarget) -> Self {
-        match place {
+    fn from(target: DrainTarget) -> Self {
+        match target {
             DrainTarget::Worker { domain, worker } => Self::Worker { domain, worker },
             DrainTarget::Rack { domain, rack } => Self::Rack { domain, rack },
         }
--- a/src/config/wire/state.rs
+++ b/src/config/wire/state.rs
@@ -1,4 +1,4 @@
-//! Form of a state, in snapshots and between peers.
+//! Wire types of the state, in snapshots and between peers.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,23 +9,23 @@
 use crate::config::Value;
 use crate::config::change::{MAX_DRAINED, MAX_QUOTAS};
 use crate::config::state::{self, MAX_HISTORY};
-use crate::config::value::{self, MAX_PRESET_HISTORY, Revision, Version};
+use crate::config::value::{self, MAX_PRESET_HISTORY, Version};
 use crate::resource::Amount;
 
-/// A state with the time it was written.
+/// Wire form of a snapshot: a state and the time at which it was written.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Snapshot {
     pub(super) at: Unix,
     pub(super) state: State,
 }
 
-/// A state.
+/// Wire form of a [`state::State`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct State {
     version: u64,
     next: u64,
     preset: String,
-    preset_set: Option<Mark>,
+    preset_set: Option<Revision>,
     tenures: Vec<PresetActivation>,
     quotas: BTreeMap<String, Amount>,
     drained: Vec<DrainTarget>,
@@ -33,26 +33,26 @@
     history: Vec<HistoryEntry>,
 }
 
-/// A preset that was put in force.
+/// Wire form of a [`value::PresetActivation`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PresetActivation {
     preset: String,
-    mark: Mark,
+    mark: Revision,
 }
 
-/// Who, when and which version.
+/// Wire form of a [`value::Revision`].
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Mark {
+pub struct Revision {
     by: String,
     at: Unix,
     version: u64,
 }
 
-/// An accepted change.
+/// Wire form of a [`state::HistoryEntry`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HistoryEntry {
     id: String,
-    mark: Mark,
+    mark: Revision,
 }
 
 impl From<&state::State> for State {
@@ -62,7 +62,7 @@
             version: value.version.raw(),
             next: state.next,
             preset: value.preset.to_string(),
-            preset_set: value.preset_revision.as_ref().map(Mark::from),
+            preset_set: value.preset_revision.as_ref().map(Revision::from),
             tenures: value.preset_history.iter().map(PresetActivation::from).collect(),
             quotas: value.quotas.clone(),
             drained: value.drained.iter().map(DrainTarget::from).collect(),
@@ -89,7 +89,7 @@
         let value = Value {
             version: Version::from_raw(state.version),
             preset: parse_preset(&state.preset)?,
-            preset_revision: state.preset_set.map(Revision::from),
+            preset_revision: state.preset_set.map(value::Revision::from),
             preset_history: preset_history?,
             quotas: state.quotas,
             drained: state.drained.into_iter().map(value::DrainTarget::from).collect(),
@@ -113,15 +113,15 @@
     }
 }
 
-impl From<&Revision> for Mark {
-    fn from(revision: &Revision) -> Self {
+impl From<&value::Revision> for Revision {
+    fn from(revision: &value::Revision) -> Self {
         Self { by: revision.by.clone(), at: revision.at, version: revision.version.raw() }
     }
 }
 
-impl From<Mark> for Revision {
-    fn from(mark: Mark) -> Self {
-        Self { by: mark.by, at: mark.at, version: Version::from_raw(mark.version) }
+impl From<Revision> for value::Revision {
+    fn from(revision: Revision) -> Self {
+        Self { by: revision.by, at: revision.at, version: Version::from_raw(revision.version) }
     }
 }
 
--- a/tests/logic/config/fleet.rs
+++ b/tests/logic/config/cluster.rs
@@ -1,4 +1,4 @@
-//! A few instances over a log in memory, driven message by message.
+//! Simulated instances over an in-memory log, driven message by message.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,33 +32,33 @@
     }
 }
 
-/// An instance and what became of what it did.
+/// An instance with the effects it has produced.
 pub struct Node {
     pub peer: Peer,
     pub machine: Machine,
     pub answers: BTreeMap<Id, PublishOutcome>,
-    pub shown: Vec<Rc<Value>>,
+    pub in_force: Vec<Rc<Value>>,
     pub appends: Vec<(Id, Bytes)>,
     pub snapshots: Vec<Bytes>,
     pub exchanges: Vec<(SocketAddr, Digest)>,
     pub fetches: Vec<SocketAddr>,
 }
 
-/// The instances, the log and the time.
-pub struct Fleet {
+/// The instances, the log and the simulated time.
+pub struct Cluster {
     pub log: Log,
     pub nodes: Vec<Node>,
     pub now: Instant,
     pub timing: Timing,
-    drawn: u128,
+    next_id: u128,
 }
 
-impl Fleet {
-    /// One instance in each of `domains`, which all know each other.
+impl Cluster {
+    /// Creates one instance for each entry of `domains`; every instance has all others as peers.
     pub fn new(domains: &[&str]) -> Self {
         let timing = Timing { snapshot_interval: Duration::from_secs(3_600), ..Timing::default() };
         let now = Instant::from_millis(1_000);
-        let mut fleet = Self { log: Log::default(), nodes: Vec::new(), now, timing, drawn: 0 };
+        let mut cluster = Self { log: Log::default(), nodes: Vec::new(), now, timing, next_id: 0 };
         for (index, domain) in domains.iter().enumerate() {
             let port = 7_000 + u16::try_from(index).unwrap();
             let peer = Peer {
@@ -66,13 +66,13 @@
                 domain: (*domain).into(),
                 address: SocketAddr::from(([127, 0, 0, 1], port)),
             };
-            let node = fleet.node(peer);
-            fleet.nodes.push(node);
+            let node = cluster.node(peer);
+            cluster.nodes.push(node);
         }
-        for index in 0..fleet.nodes.len() {
-            fleet.introduce(index);
+        for index in 0..cluster.nodes.len() {
+            cluster.set_peers(index);
         }
-        fleet
+        cluster
     }
 
     fn node(&self, peer: Peer) -> Node {
@@ -82,7 +82,7 @@
             peer,
             machine,
             answers: BTreeMap::new(),
-            shown: Vec::new(),
+            in_force: Vec::new(),
             appends: Vec::new(),
             snapshots: Vec::new(),
             exchanges: Vec::new(),
@@ -90,17 +90,17 @@
         }
     }
 
-    fn introduce(&mut self, index: usize) {
+    fn set_peers(&mut self, index: usize) {
         let own = self.nodes[index].peer.clone();
         let peers = self.nodes.iter().map(|node| node.peer.clone());
         let peers = peers.filter(|peer| *peer != own).collect();
-        self.tell(index, Message::Peers(peers));
+        self.deliver(index, Message::Peers(peers));
     }
 
-    /// Replaces an instance by a new process that knows nothing.
+    /// Replaces an instance by a new process without state.
     pub fn restart(&mut self, index: usize) {
         self.nodes[index] = self.node(self.nodes[index].peer.clone());
-        self.introduce(index);
+        self.set_peers(index);
     }
 
     pub fn unix(&self) -> Unix {
@@ -111,8 +111,8 @@
         self.now = self.now.after(span);
     }
 
-    /// Gives an instance a message and sorts the effects.
-    pub fn tell(&mut self, index: usize, message: Message) {
+    /// Delivers a message to an instance and records the effects.
+    pub fn deliver(&mut self, index: usize, message: Message) {
         let (now, unix) = (self.now, self.unix());
         let node = &mut self.nodes[index];
         for effect in node.machine.handle(now, unix, message) {
@@ -122,49 +122,49 @@
                 Effect::Answer(id, outcome) => {
                     assert!(node.answers.insert(id, outcome).is_none(), "answered twice: {id}");
                 }
-                Effect::InForce(value) => node.shown.push(value),
+                Effect::InForce(value) => node.in_force.push(value),
                 Effect::SendDigest(peer, digest) => node.exchanges.push((peer, digest)),
                 Effect::FetchState(peer) => node.fetches.push(peer),
             }
         }
     }
 
-    /// An operator asks an instance for a change based on `base`.
+    /// Requests a change based on `base` at an instance.
     pub fn publish(&mut self, index: usize, by: &str, base: u64, change: Change) -> Id {
-        self.drawn += 1;
-        let id = Id::from_raw(self.drawn);
+        self.next_id += 1;
+        let id = Id::from_raw(self.next_id);
         let base = Version::from_raw(base);
         let at = self.unix();
         let publication = Publication { id, base, by: by.to_owned(), at, change };
-        self.tell(index, Message::Publish(publication));
+        self.deliver(index, Message::Publish(publication));
         id
     }
 
-    /// The log takes an instance's appends and answers.
+    /// Writes an instance's appends to the log and reports success.
     pub fn flush(&mut self, index: usize) {
         for (id, payload) in std::mem::take(&mut self.nodes[index].appends) {
             self.log.records.push(payload);
-            self.tell(index, Message::Appended(id));
+            self.deliver(index, Message::Appended(id));
         }
         for payload in std::mem::take(&mut self.nodes[index].snapshots) {
             self.log.records.push(payload);
         }
     }
 
-    /// The log fails an instance's appends, `written` or not, with the outcome it reports.
-    pub fn fail(&mut self, index: usize, written: bool, outcome: store::Outcome) {
+    /// Fails an instance's appends with `outcome`, after writing them if `written` is set.
+    pub fn fail_appends(&mut self, index: usize, written: bool, outcome: store::Outcome) {
         for (id, payload) in std::mem::take(&mut self.nodes[index].appends) {
             if written {
                 self.log.records.push(payload);
             }
-            self.tell(index, Message::AppendFailed(id, outcome));
+            self.deliver(index, Message::AppendFailed(id, outcome));
         }
     }
 
-    /// An instance reads the log up to its end.
+    /// Lets an instance read the log up to its end.
     pub fn read(&mut self, index: usize) {
         let page = self.log.page(self.nodes[index].machine.position());
-        self.tell(index, Message::Page(page));
+        self.deliver(index, Message::Page(page));
     }
 
     pub fn read_all(&mut self) {
@@ -174,18 +174,18 @@
     }
 
     pub fn tick(&mut self, index: usize) {
-        self.tell(index, Message::Tick);
+        self.deliver(index, Message::Tick);
     }
 
-    /// Carries the digests and fetches of every instance among those that `reaches` allows.
+    /// Delivers the digests and fetches of all instances, as far as `reaches` allows.
     pub fn gossip(&mut self, reaches: impl Fn(usize, usize) -> bool) {
         for from in 0..self.nodes.len() {
             for (address, digest) in std::mem::take(&mut self.nodes[from].exchanges) {
                 let to = self.index(address);
                 if reaches(from, to) {
-                    self.tell(to, Message::DigestReceived(digest));
+                    self.deliver(to, Message::DigestReceived(digest));
                     let answer = self.nodes[to].machine.digest(self.now);
-                    self.tell(from, Message::DigestReceived(answer));
+                    self.deliver(from, Message::DigestReceived(answer));
                 }
             }
             self.fetch(from, &reaches);
@@ -200,7 +200,7 @@
                 Some(state) if reaches(from, to) => Message::StateReceived(state),
                 _ => Message::FetchFailed,
             };
-            self.tell(from, message);
+            self.deliver(from, message);
         }
     }
 
@@ -208,7 +208,7 @@
         self.nodes.iter().position(|node| node.peer.address == address).unwrap()
     }
 
-    /// The version that an instance shows.
+    /// Returns the version in force at an instance.
     pub fn version(&self, index: usize) -> Option<u64> {
         self.nodes[index].machine.value().map(|value| value.version.raw())
     }
--- a/tests/logic/config/histories.rs
+++ b/tests/logic/config/histories.rs
@@ -1,4 +1,5 @@
-//! Random histories of publishing, reading, gossip, losses, restarts and retention.
+//! Property tests over random histories of publishing, reading, gossip, failures, restarts and
+//! retention.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,30 +9,30 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use super::fleet::Fleet;
+use super::cluster::Cluster;
 
 const NODES: usize = 4;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An operator publishes at an instance, on its current version or an older one.
+    /// An operator publishes at an instance, based on its current version or an older one.
     Publish { node: usize, behind: u64, preset: usize },
-    /// The log takes an instance's appends and answers.
+    /// The log writes an instance's appends and reports success.
     Flush { node: usize },
-    /// The log's answers are lost, after or before the write.
-    Lose { node: usize, written: bool },
-    /// An instance reads at most so many records.
+    /// The log's responses to appends are lost, after the write if `written` is set.
+    FailAppend { node: usize, written: bool },
+    /// An instance reads at most `limit` records.
     Read { node: usize, limit: usize },
-    /// The log fails an instance's read.
+    /// A read of an instance fails.
     FailRead { node: usize },
-    /// An instance is replaced.
+    /// An instance is restarted without state.
     Restart { node: usize },
-    /// An old or new state of one instance arrives at another.
-    Offer { from: usize, to: usize, age: usize },
-    /// Time passes, digests travel between instances not split by `cut`.
-    Pass { millis: u64, cut: usize },
-    /// The log drops its oldest records, read or not.
-    Drop { count: usize },
+    /// A recent or old state of one instance arrives at another.
+    DeliverState { from: usize, to: usize, age: usize },
+    /// Time advances, and instances on the same side of `cut` exchange digests.
+    AdvanceTime { millis: u64, cut: usize },
+    /// The log drops its oldest records, whether they were read or not.
+    DropOldest { count: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -43,97 +44,104 @@
             preset
         }),
         node().prop_map(|node| Step::Flush { node }),
-        (node(), any::<bool>()).prop_map(|(node, written)| Step::Lose { node, written }),
+        (node(), any::<bool>()).prop_map(|(node, written)| Step::FailAppend { node, written }),
         (node(), 1..4_usize).prop_map(|(node, limit)| Step::Read { node, limit }),
         node().prop_map(|node| Step::FailRead { node }),
         node().prop_map(|node| Step::Restart { node }),
-        (node(), node(), 0..8_usize).prop_map(|(from, to, age)| Step::Offer { from, to, age }),
-        (1..3_000_u64, 0..=NODES).prop_map(|(millis, cut)| Step::Pass { millis, cut }),
-        (1..4_usize).prop_map(|count| Step::Drop { count }),
+        (node(), node(), 0..8_usize).prop_map(|(from, to, age)| Step::DeliverState {
+            from,
+            to,
+            age
+        }),
+        (1..3_000_u64, 0..=NODES).prop_map(|(millis, cut)| Step::AdvanceTime { millis, cut }),
+        (1..4_usize).prop_map(|count| Step::DropOldest { count }),
     ]
 }
 
-/// What must hold over a whole history.
+/// Checks invariants over a whole history.
 #[derive(Default)]
-struct Witness {
-    /// The state after each prefix, as the first instance to reach it had it.
+struct Invariants {
+    /// The state after each prefix, from the first instance that reached it.
     states: BTreeMap<u64, State>,
-    /// States that instances had, which may still be on their way.
-    sent: Vec<State>,
-    /// The version each instance showed last.
-    shown: [u64; NODES],
+    /// All states of instances so far, any of which may be delivered late.
+    observed: Vec<State>,
+    /// The last version of each instance.
+    version: [u64; NODES],
 }
 
-impl Witness {
-    fn check(&mut self, fleet: &Fleet) {
-        for (index, node) in fleet.nodes.iter().enumerate() {
+impl Invariants {
+    fn check(&mut self, cluster: &Cluster) {
+        for (index, node) in cluster.nodes.iter().enumerate() {
             let Some(state) = node.machine.state() else { continue };
             let known = self.states.entry(state.next).or_insert_with(|| state.clone());
-            assert_eq!(known, state, "instance {index} disagrees at {}", state.next);
+            assert_eq!(known, state, "instance {index} has a different state at {}", state.next);
             let version = state.value.version.raw();
-            assert!(version >= self.shown[index], "instance {index} went back");
-            self.shown[index] = version;
-            self.sent.push(state.clone());
+            assert!(version >= self.version[index], "the version of instance {index} decreased");
+            self.version[index] = version;
+            self.observed.push(state.clone());
         }
     }
 }
 
-fn run(fleet: &mut Fleet, witness: &mut Witness, step: &Step) {
+fn run(cluster: &mut Cluster, invariants: &mut Invariants, step: &Step) {
     match *step {
         Step::Publish { node, behind, preset } => {
-            let base = fleet.version(node).unwrap_or(0).saturating_sub(behind);
-            fleet.publish(node, "ana", base, Change::Preset(Preset::ALL[preset]));
+            let base = cluster.version(node).unwrap_or(0).saturating_sub(behind);
+            cluster.publish(node, "ana", base, Change::Preset(Preset::ALL[preset]));
+        }
+        Step::Flush { node } => cluster.flush(node),
+        Step::FailAppend { node, written } => {
+            cluster.fail_appends(node, written, store::Outcome::Unknown)
         }
-        Step::Flush { node } => fleet.flush(node),
-        Step::Lose { node, written } => fleet.fail(node, written, store::Outcome::Unknown),
         Step::Read { node, limit } => {
-            let mut page = fleet.log.page(fleet.nodes[node].machine.position());
+            let mut page = cluster.log.page(cluster.nodes[node].machine.position());
             page.records.truncate(limit);
-            fleet.tell(node, Message::Page(page));
+            cluster.deliver(node, Message::Page(page));
         }
-        Step::FailRead { node } => fleet.tell(node, Message::ReadFailed),
+        Step::FailRead { node } => cluster.deliver(node, Message::ReadFailed),
         Step::Restart { node } => {
-            fleet.restart(node);
-            // With the log, a new process shows nothing older than the one before it did.
-            let page = fleet.log.page(fleet.nodes[node].machine.position());
-            fleet.tell(node, Message::Page(store::Page { records: Vec::new(), ..page }));
+            cluster.restart(node);
+            // The new process reads the end of the log, so it puts nothing older in force than the
+            // previous process did.
+            let page = cluster.log.page(cluster.nodes[node].machine.position());
+            cluster.deliver(node, Message::Page(store::Page { records: Vec::new(), ..page }));
         }
-        Step::Offer { from, to, age } => {
-            let index = witness.sent.len().saturating_sub(1 + age * (from + 1));
-            if let Some(state) = witness.sent.get(index) {
-                fleet.tell(to, Message::StateReceived(state.clone()));
+        Step::DeliverState { from, to, age } => {
+            let index = invariants.observed.len().saturating_sub(1 + age * (from + 1));
+            if let Some(state) = invariants.observed.get(index) {
+                cluster.deliver(to, Message::StateReceived(state.clone()));
             }
         }
-        Step::Pass { millis, cut } => {
-            fleet.advance(Duration::from_millis(millis));
+        Step::AdvanceTime { millis, cut } => {
+            cluster.advance(Duration::from_millis(millis));
             for node in 0..NODES {
-                fleet.tick(node);
+                cluster.tick(node);
             }
-            fleet.gossip(|from, to| (from < cut) == (to < cut));
+            cluster.gossip(|from, to| (from < cut) == (to < cut));
         }
-        Step::Drop { count } => {
-            fleet.log.oldest = (fleet.log.oldest + count).min(fleet.log.records.len());
+        Step::DropOldest { count } => {
+            cluster.log.oldest = (cluster.log.oldest + count).min(cluster.log.records.len());
         }
     }
 }
 
-/// Lets everything arrive.
-fn heal(fleet: &mut Fleet, witness: &mut Witness) {
+/// Delivers all outstanding appends, reads and gossip.
+fn settle(cluster: &mut Cluster, invariants: &mut Invariants) {
     for _ in 0..40 {
-        fleet.advance(Duration::from_millis(500));
+        cluster.advance(Duration::from_millis(500));
         for node in 0..NODES {
-            fleet.flush(node);
-            fleet.read(node);
-            fleet.tick(node);
+            cluster.flush(node);
+            cluster.read(node);
+            cluster.tick(node);
         }
-        fleet.gossip(|_, _| true);
-        witness.check(fleet);
+        cluster.gossip(|_, _| true);
+        invariants.check(cluster);
     }
 }
 
-/// Every answer that claims an effect, or none, must agree with the states.
-fn check_answers(fleet: &Fleet, last: &State) {
-    for node in &fleet.nodes {
+/// Checks that every outcome reported to an operator agrees with the final state.
+fn check_answers(cluster: &Cluster, last: &State) {
+    for node in &cluster.nodes {
         for (id, outcome) in &node.answers {
             let entry = last.accepted(*id);
             match outcome {
@@ -159,22 +167,22 @@
     #[test]
     fn histories_agree_and_never_go_back(steps in prop::collection::vec(step(), 1..120)) {
         let domains = ["oamaru-hall", "oamaru-hall", "kurow-hall", "palmerston-hall"];
-        let mut fleet = Fleet::new(&domains);
-        let mut witness = Witness::default();
-        fleet.read_all();
+        let mut cluster = Cluster::new(&domains);
+        let mut invariants = Invariants::default();
+        cluster.read_all();
         for step in steps {
-            run(&mut fleet, &mut witness, &step);
-            witness.check(&fleet);
+            run(&mut cluster, &mut invariants, &step);
+            invariants.check(&cluster);
         }
-        heal(&mut fleet, &mut witness);
-        // Records that were dropped before any living instance had read them are lost for all.
-        let end = fleet.log.records.len() as u64;
+        settle(&mut cluster, &mut invariants);
+        // Records that were dropped before any running instance had read them are lost to all.
+        let end = cluster.log.records.len() as u64;
         let known: Vec<&State> =
-            fleet.nodes.iter().filter_map(|node| node.machine.state()).collect();
+            cluster.nodes.iter().filter_map(|node| node.machine.state()).collect();
         if let Some(last) = known.iter().find(|state| state.next == end) {
             prop_assert_eq!(known.len(), NODES);
             prop_assert!(known.iter().all(|state| state == last));
-            check_answers(&fleet, last);
+            check_answers(&cluster, last);
         }
     }
 }
--- a/tests/logic/config/mod.rs
+++ b/tests/logic/config/mod.rs
@@ -1,6 +1,6 @@
-//! Settings in force.
+//! Tests of the settings that operators change at run time.
 
-mod fleet;
+mod cluster;
 mod gossip;
 mod histories;
 mod publish;
--- a/tests/logic/config/wire.rs
+++ b/tests/logic/config/wire.rs
@@ -1,4 +1,4 @@
-//! Forms of the settings in the log and between peers.
+//! Tests of the settings' wire types in the log and between peers.
 
 use std::time::Duration;
 
@@ -64,8 +64,8 @@
 
 #[test]
 fn state_at_its_bounds_fits_record() {
-    // The largest settings that the rule admits must fit one record of the log, or no snapshot of
-    // them could be written and retention would drop them.
+    // The largest settings within the bounds must fit in one record. Otherwise no snapshot of them
+    // could be read back, and they would be lost once retention drops their records.
     let name = |prefix: &str, index: usize| format!("{prefix}{index:0>60}");
     let mut state = State::default();
     let mut base = 0;
@@ -128,15 +128,15 @@
     })]
 
     #[test]
-    fn decode_survives_damage(place in any::<prop::sample::Index>(), byte in any::<u8>()) {
+    fn decode_survives_damage(position in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let record = Record::Snapshot { state: state(), at: Unix::from_millis(5) };
         let mut bytes = wire::encode(&record).to_vec();
-        let place = place.index(bytes.len());
-        bytes[place] = byte;
-        // Whatever it reads, it neither panics nor exceeds the bounds.
+        let position = position.index(bytes.len());
+        bytes[position] = byte;
+        // A damaged record neither causes a panic nor yields a state beyond the bounds.
         if let Ok(Record::Snapshot { state, .. }) = wire::decode(&bytes) {
             prop_assert!(state.history.len() <= 32);
         }
-        prop_assert!(wire::decode(&bytes[..place]).is_err());
+        prop_assert!(wire::decode(&bytes[..position]).is_err());
     }
 }
--- a/tests/process/config/mod.rs
+++ b/tests/process/config/mod.rs
@@ -1,6 +1,6 @@
-//! Settings in force over a real log, real connections and a faulty network.
+//! Tests of the settings over a log process, TCP connections and a proxy that injects faults.
 
-mod site;
+mod node;
 
 use std::mem::ManuallyDrop;
 use std::net::SocketAddr;
@@ -13,23 +13,23 @@
 use serde_json::json;
 
 use crate::harness::{LIMIT, Standin, post_json};
-use site::{Node, introduce};
+use node::{Node, connect};
 
 const DOMAINS: [&str; 3] = ["oamaru-hall", "kurow-hall", "palmerston-hall"];
 const PEAK: Change = Change::Preset(Preset::Peak);
 const MAINTENANCE: Change = Change::Preset(Preset::Maintenance);
 
-/// Runs a story on a runtime that is never dropped.
+/// Runs a test on a runtime that is never dropped.
 ///
-/// Tasks of the instances are still running at a story's end, and the runtime panics when the drop
-/// of one of them wakes another.
-fn block_on(story: impl Future<Output = ()>) {
+/// Tasks of the instances still run at the end of a test, and the runtime panics if dropping one of
+/// them wakes another.
+fn block_on(test: impl Future<Output = ()>) {
     let builder = RuntimeBuilder::<LegacyDriver>::new();
     let mut runtime = ManuallyDrop::new(builder.enable_timer().build().unwrap());
-    runtime.block_on(story);
+    runtime.block_on(test);
 }
 
-/// The log with one route to it from each domain.
+/// The log, and a proxy with one route to it for each domain.
 struct Platform {
     log: Standin,
     proxy: Standin,
@@ -57,9 +57,9 @@
     /// Starts one instance in each domain.
     async fn populate(&self) -> Vec<Node> {
         let nodes: Vec<Node> = (0..DOMAINS.len()).map(|domain| self.node(domain)).collect();
-        introduce(&nodes);
+        connect(&nodes);
         for node in &nodes {
-            shows(node, 0).await;
+            wait_for_version(node, 0).await;
         }
         nodes
     }
@@ -69,8 +69,8 @@
     }
 }
 
-/// Waits until an instance shows at least `version`.
-async fn shows(node: &Node, version: u64) {
+/// Waits until at least `version` is in force at an instance.
+async fn wait_for_version(node: &Node, version: u64) {
     let start = Instant::now();
     let version = Version::from_raw(version);
     while node.handle.value().await.is_none_or(|value| value.version < version) {
@@ -86,8 +86,8 @@
 
 #[test]
 fn in_force_domain_without_log() {
-    // kurow-hall loses the platform, not its neighbours. An operator sets "peak" in oamaru-hall and
-    // is told "accepted"; kurow-hall must run by "peak" too, which it can hear from peers only.
+    // kurow-hall loses the log but not its peers. An operator sets "peak" in oamaru-hall and gets
+    // "accepted"; "peak" must come into force in kurow-hall too, through its peers.
     let platform = Platform::start();
     block_on(async {
         let nodes = platform.populate().await;
@@ -95,7 +95,7 @@
         let outcome = nodes[0].publish("ana", PEAK).await;
         assert_eq!(outcome, PublishOutcome::Accepted(Version::from_raw(1)));
         for node in &nodes {
-            shows(node, 1).await;
+            wait_for_version(node, 1).await;
             assert_eq!(node.handle.value().await.unwrap().preset, Preset::Peak);
         }
     });
@@ -103,9 +103,9 @@
 
 #[test]
 fn in_force_answer_lost_after_write() {
-    // The log writes oamaru-hall's change, but no answer of the log comes back to that domain any
-    // more, neither to the append nor to reads. The other domains see the change; the publisher
-    // learns from them that it was accepted, and no second change arises from its retries.
+    // The log writes oamaru-hall's change, but all its responses to that domain are lost, of appends
+    // and of reads. The publisher learns from the other domains that the change was accepted, and
+    // its retries must not create a second change.
     let platform = Platform::start();
     block_on(async {
         let nodes = platform.populate().await;
@@ -115,7 +115,7 @@
         assert!(outcome == accepted || matches!(outcome, PublishOutcome::Unknown(_)));
         platform.switch(0, Mode::Pass);
         for node in &nodes {
-            shows(node, 1).await;
+            wait_for_version(node, 1).await;
         }
         assert_eq!(
             nodes[2].publish("ben", PEAK).await,
@@ -126,8 +126,8 @@
 
 #[test]
 fn in_force_racing_operators() {
-    // Operators in all three domains change the preset at once, each from version 0. Exactly one is
-    // told "accepted", the others who came first, and all domains show the winner's.
+    // Operators in all three domains change the preset at the same time, each on version 0. Exactly
+    // one change is accepted, the outcome of the others names it, and it is in force in all domains.
     let platform = Platform::start();
     block_on(async {
         let nodes = platform.populate().await;
@@ -140,7 +140,7 @@
         let accepted = |outcome: &&PublishOutcome| matches!(outcome, PublishOutcome::Accepted(_));
         assert_eq!(outcomes.iter().filter(accepted).count(), 1, "{outcomes:?}");
         for node in &nodes {
-            shows(node, 1).await;
+            wait_for_version(node, 1).await;
         }
         let winner = nodes[0].handle.value().await.unwrap();
         for (node, outcome) in nodes.iter().zip(&outcomes) {
@@ -154,27 +154,27 @@
 
 #[test]
 fn in_force_restart_in_outage() {
-    // The log is down and an instance is replaced meanwhile. The new process has no disk and no
-    // log, and must come up with what its peers hold, not with the defaults.
+    // An instance is restarted while the log is down. The new process has no local state and no log,
+    // and must start with the settings of its peers, not with the defaults.
     let platform = Platform::start();
     block_on(async {
         let mut nodes = platform.populate().await;
         nodes[0].publish("ana", PEAK).await;
         for node in &nodes {
-            shows(node, 1).await;
+            wait_for_version(node, 1).await;
         }
         post_json(platform.log.addr, "/control", &json!({ "outage": true }));
         nodes[1] = platform.node(1);
-        introduce(&nodes);
-        shows(&nodes[1], 1).await;
+        connect(&nodes);
+        wait_for_version(&nodes[1], 1).await;
         assert_eq!(nodes[1].handle.value().await.unwrap().preset, Preset::Peak);
     });
 }
 
 #[test]
 fn in_force_after_retention() {
-    // The log keeps the last 20 records only, and many changes follow the preset's. An instance
-    // that starts then finds the preset in a snapshot, with the version that all others show.
+    // The log keeps only the last 20 records, and 60 changes follow that of the preset. An instance
+    // that starts then finds the preset in a snapshot, with the same version as all others.
     let platform = Platform::start();
     block_on(async {
         let mut nodes = platform.populate().await;
@@ -185,8 +185,8 @@
             assert_eq!(outcome, PublishOutcome::Accepted(Version::from_raw(change + 2)));
         }
         nodes[2] = platform.node(2);
-        introduce(&nodes);
-        shows(&nodes[2], 61).await;
+        connect(&nodes);
+        wait_for_version(&nodes[2], 61).await;
         let value = nodes[2].handle.value().await.unwrap();
         assert_eq!(value.preset, Preset::Peak);
         assert_eq!(value.quotas.len(), 60);
--- a/tests/process/config/site.rs
+++ b/tests/process/config/node.rs
@@ -1,4 +1,4 @@
-//! Instances that hold the settings only, each with its own server for peers.
+//! Instances that run only the settings, each with its own server for peers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,9 +25,9 @@
     stop: Shutdown,
 }
 
-struct Methods(Handle);
+struct PeerMethods(Handle);
 
-impl peer::Handler for Methods {
+impl peer::Handler for PeerMethods {
     fn handle(
         &self,
         _peer: SocketAddr,
@@ -44,7 +44,7 @@
 }
 
 impl Node {
-    /// Starts an instance on the present runtime that reaches the log at `log`.
+    /// Starts an instance on the current runtime, with the log at address `log`.
     pub fn start(name: &str, domain: &str, log: SocketAddr) -> Self {
         let http = Rc::new(http::Client::new(http::Limits::default()));
         let stop = Shutdown::new();
@@ -60,13 +60,13 @@
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let server = peer::Server::bind(any, peer::Limits::default()).unwrap();
         let address = server.local_addr().unwrap();
-        let methods = Rc::new(Methods(handle.clone()));
+        let methods = Rc::new(PeerMethods(handle.clone()));
         monoio::spawn(server.serve(methods, stop.clone(), Duration::ZERO));
         let peer = Peer { name: name.to_owned(), domain: domain.into(), address };
         Self { peer, handle, stop }
     }
 
-    /// Publishes on the version in force here.
+    /// Publishes a change based on the version in force at this instance.
     pub async fn publish(&self, by: &str, change: Change) -> PublishOutcome {
         let proposal = Proposal { id: Id::random(), base: None, by: by.to_owned(), change };
         self.handle.publish(proposal).await
@@ -79,8 +79,8 @@
     }
 }
 
-/// Makes all instances known to each other.
-pub fn introduce(nodes: &[Node]) {
+/// Makes all instances peers of each other.
+pub fn connect(nodes: &[Node]) {
     for node in nodes {
         let peers = nodes.iter().map(|other| other.peer.clone());
         let others = peers.filter(|peer| *peer != node.peer).collect();
