--- a/benches/routing/baseline.rs
+++ b/benches/routing/baseline.rs
@@ -1,10 +1,10 @@
-//! Two simple ways to route, to compare with.
+//! Two simple routing algorithms as baselines.
 
 use std::collections::{HashMap, VecDeque};
 
-use super::field::{Action, Answer, Arrival, Balancer, INSTANCES, Plan, RUNNERS, SLOTS};
+use super::simulation::{Action, Answer, Arrival, Balancer, INSTANCES, Plan, RUNNERS, SLOTS};
 
-/// Sends each request at once to the next runner in turn, and believes every answer.
+/// Sends each request immediately to the next runner in turn, and accepts every response.
 pub struct RoundRobin {
     next: usize,
     attempts: u64,
@@ -38,8 +38,8 @@
     }
 }
 
-/// Sends to the least busy runner within a fixed third of its slots; what finds no slot waits in a
-/// queue without bound, first come first served.
+/// Sends to the least busy runner, using at most a fixed third of its slots. Requests without a free
+/// slot wait in an unbounded FIFO queue.
 pub struct Unbounded {
     limit: u32,
     busy: Vec<u32>,
@@ -104,6 +104,6 @@
     match answer {
         Answer::Good => Action::Deliver { request, wrong: false },
         Answer::Wrong => Action::Deliver { request, wrong: true },
-        Answer::Failed | Answer::Lost => Action::Doubt { request },
+        Answer::Failed | Answer::Lost => Action::Unknown { request },
     }
 }
--- a/benches/routing/candidate.rs
+++ b/benches/routing/candidate.rs
@@ -1,4 +1,4 @@
-//! The router as one entry instance, with the exchange of shares.
+//! The router of an entry instance, including the exchange of slots through the coordinator.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -12,7 +12,7 @@
 use oriolefork::runner::share::{CoordinatorId, LeaseDurations, Ledger, LocalSlots, Position};
 use oriolefork::runner::{Effect, Policy, Request, RequestOutcome, Router, request};
 
-use super::field::{Action, Answer, Arrival, Balancer, INSTANCES, Plan, RUNNERS, SLOTS};
+use super::simulation::{Action, Answer, Arrival, Balancer, INSTANCES, Plan, RUNNERS, SLOTS};
 
 const SERVICE: &str = "portal";
 const PORT: u16 = 1000;
@@ -23,10 +23,10 @@
     router: Router,
     ledger: Option<Ledger>,
     run_limit: u64,
-    /// Attempts by the moment at which the instance stops listening.
-    listening: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Attempts by the time at which the instance stops waiting for their response.
+    timeouts: BinaryHeap<Reverse<(u64, u64)>>,
     requests: HashMap<u64, u64>,
-    /// Attempts answered with a fault.
+    /// Attempts whose response was an error.
     failed: HashSet<u64>,
 }
 
@@ -63,9 +63,9 @@
         };
         let members: Vec<Member> = (0..RUNNERS).map(member).collect();
         router.set_members(&members, Instant::default());
-        let listening = BinaryHeap::new();
+        let timeouts = BinaryHeap::new();
         let (requests, failed) = (HashMap::new(), HashSet::new());
-        Self { router, ledger: None, run_limit, listening, requests, failed }
+        Self { router, ledger: None, run_limit, timeouts, requests, failed }
     }
 
     fn act(&mut self, effects: Vec<Effect>, now: u64) -> Vec<Action> {
@@ -73,7 +73,7 @@
         for effect in effects {
             match effect {
                 Effect::Send { attempt, request, peer, .. } => {
-                    self.listening.push(Reverse((now + self.run_limit, attempt.raw())));
+                    self.timeouts.push(Reverse((now + self.run_limit, attempt.raw())));
                     self.requests.insert(attempt.raw(), request.raw());
                     let runner = usize::from(peer.port() - PORT);
                     actions.push(Action::Send { attempt: attempt.raw(), runner });
@@ -90,11 +90,11 @@
     fn end(&self, request: u64, outcome: RequestOutcome) -> Action {
         match outcome {
             RequestOutcome::Complete(attempt) if self.failed.contains(&attempt.raw()) => {
-                Action::Doubt { request }
+                Action::Unknown { request }
             }
             RequestOutcome::Complete(_) => Action::Deliver { request, wrong: false },
             RequestOutcome::NotRun { .. } => Action::Refuse { request },
-            RequestOutcome::Unknown { .. } => Action::Doubt { request },
+            RequestOutcome::Unknown { .. } => Action::Unknown { request },
         }
     }
 
@@ -146,11 +146,11 @@
 
     fn tick(&mut self, now: u64) -> Vec<Action> {
         let mut actions = Vec::new();
-        while let Some(Reverse((end, attempt))) = self.listening.peek().copied() {
+        while let Some(Reverse((end, attempt))) = self.timeouts.peek().copied() {
             if now < end {
                 break;
             }
-            self.listening.pop();
+            self.timeouts.pop();
             actions.extend(self.finish(attempt, Outcome::Broken, now));
         }
         if self.router.next_tick() <= at(now) {
--- a/benches/routing/report.rs
+++ b/benches/routing/report.rs
@@ -1,14 +1,14 @@
-//! What one run showed, and its line in the table.
+//! Results of one run, and their row in the table.
 
 use std::fmt;
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-use super::field::CAPACITY;
+use super::simulation::CAPACITY;
 
-/// Longest latency told apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
+/// Highest latency that the histograms record, in microseconds.
+const MAX_LATENCY: u64 = 60_000_000;
 
 pub struct Tally {
     seconds: f64,
@@ -25,7 +25,7 @@
 
 impl Tally {
     pub fn new(seconds: f64) -> Self {
-        let histogram = || Histogram::new_with_bounds(1, LONGEST, 3).expect("valid bounds");
+        let histogram = || Histogram::new_with_bounds(1, MAX_LATENCY, 3).expect("valid bounds");
         Self {
             seconds,
             arrived: 0,
@@ -58,7 +58,7 @@
 
     pub fn new(label: &str, name: &str, tally: &Tally, spent: Duration) -> Self {
         let arrived = tally.arrived.max(1) as f64;
-        let part = |count: usize| format!("{:.2}%", count as f64 / arrived * 100.0);
+        let percent = |count: usize| format!("{:.2}%", count as f64 / arrived * 100.0);
         let good = tally.latencies.len() as usize;
         let millis = |histogram: &Histogram<u64>, quantile: f64| {
             format!("{:.1}", histogram.value_at_quantile(quantile) as f64 / 1000.0)
@@ -67,14 +67,14 @@
             label.to_owned(),
             name.to_owned(),
             format!("{:.3}", good as f64 / tally.seconds / CAPACITY),
-            part(good),
+            percent(good),
             millis(&tally.latencies, 0.5),
             millis(&tally.latencies, 0.99),
             millis(&tally.latencies, 0.999),
-            part(tally.refusals.len() as usize),
+            percent(tally.refusals.len() as usize),
             millis(&tally.refusals, 0.99),
-            part(tally.late + tally.unanswered),
-            part(tally.unknown),
+            percent(tally.late + tally.unanswered),
+            percent(tally.unknown),
             tally.wrong.to_string(),
             tally.beyond_slots.to_string(),
             format!("{:.3}", tally.sent as f64 / arrived),
--- a/benches/routing/field.rs
+++ b/benches/routing/simulation.rs
@@ -1,4 +1,4 @@
-//! Callers and runners in virtual time.
+//! Simulation of callers and runners in virtual time; times are in microseconds.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -11,25 +11,25 @@
 pub const RUNNERS: usize = 50;
 pub const SLOTS: u32 = 8;
 pub const INSTANCES: usize = 3;
-/// Way to a runner and back.
-const NETWORK: u64 = 1_000;
-const FLOOR: f64 = 10_000.0;
-const TAIL: f64 = 30_000.0;
-const MEAN: f64 = FLOOR + TAIL;
-/// Requests a second that the runners can answer.
-pub const CAPACITY: f64 = RUNNERS as f64 * SLOTS as f64 * 1e6 / MEAN;
+/// Network time to a runner and back.
+const ROUND_TRIP: u64 = 1_000;
+const MIN_SERVICE_TIME: f64 = 10_000.0;
+const MEAN_TAIL_TIME: f64 = 30_000.0;
+const MEAN_SERVICE_TIME: f64 = MIN_SERVICE_TIME + MEAN_TAIL_TIME;
+/// Requests per second that the runners can serve.
+pub const CAPACITY: f64 = RUNNERS as f64 * SLOTS as f64 * 1e6 / MEAN_SERVICE_TIME;
 const DEADLINES: [u64; 3] = [300_000, 1_000_000, 3_000_000];
-const IDEMPOTENT: f64 = 0.7;
-const WARM: u64 = 5_000_000;
+const IDEMPOTENT_FRACTION: f64 = 0.7;
+const WARM_UP: u64 = 5_000_000;
 const END: u64 = 20_000_000;
-/// Time after the last arrival in which answers still count.
-const LINGER: u64 = 4_000_000;
+/// Time after the last arrival during which responses still count.
+const DRAIN_TIME: u64 = 4_000_000;
 const TICK: u64 = 1_000;
-const SLOWNESS: f64 = 20.0;
-const BAD: usize = 0;
+const SLOW_FACTOR: f64 = 20.0;
+const FAULTY_RUNNER: usize = 0;
 const SEED: u64 = 11;
 
-/// What is wrong with the first runner.
+/// Fault of the first runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
@@ -40,11 +40,11 @@
 }
 
 pub struct Plan {
-    /// Arrivals as a part of the capacity.
+    /// Arrival rate as a fraction of the capacity.
     pub load: f64,
     pub fault: Fault,
-    /// Weight of each instance at the callers' balancer.
-    pub parts: [f64; INSTANCES],
+    /// Weight of each instance in the callers' load balancer.
+    pub weights: [f64; INSTANCES],
 }
 
 /// A request as an instance receives it; times in microseconds.
@@ -75,8 +75,8 @@
     Refuse {
         request: u64,
     },
-    /// The end is unknown.
-    Doubt {
+    /// The outcome is unknown.
+    Unknown {
         request: u64,
     },
 }
@@ -86,8 +86,7 @@
     fn submit(&mut self, arrival: Arrival, now: u64) -> Vec<Action>;
     fn answered(&mut self, attempt: u64, answer: Answer, now: u64) -> Vec<Action>;
     fn tick(&mut self, now: u64) -> Vec<Action>;
-    /// Lets all instances exchange what they share.
-    /// Returns what each instance starts thereupon.
+    /// Lets all instances exchange slots and returns the resulting actions of each instance.
     fn exchange(&mut self, _others: &mut [Box<dyn Balancer>], _now: u64) -> Vec<Vec<Action>> {
         Vec::new()
     }
@@ -99,9 +98,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    Reach { runner: usize, job: Job },
-    Done { runner: usize, job: Job },
-    Back { job: Job, answer: u8 },
+    RequestAtRunner { runner: usize, job: Job },
+    RunEnded { runner: usize, job: Job },
+    ResponseAtInstance { job: Job, answer: u8 },
     Tick,
 }
 
@@ -117,17 +116,17 @@
     backlog: VecDeque<Job>,
 }
 
-struct Open {
+struct OpenRequest {
     arrived: u64,
     deadline: u64,
 }
 
-pub struct Field<'a> {
+pub struct Simulation<'a> {
     plan: &'a Plan,
     instances: Vec<Box<dyn Balancer>>,
     runners: Vec<Runner>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    open: HashMap<u64, Open>,
+    open: HashMap<u64, OpenRequest>,
     serial: u64,
     requests: u64,
     arrivals: SmallRng,
@@ -135,7 +134,7 @@
     tally: Tally,
 }
 
-impl<'a> Field<'a> {
+impl<'a> Simulation<'a> {
     pub fn new(plan: &'a Plan, instances: Vec<Box<dyn Balancer>>) -> Self {
         Self {
             plan,
@@ -147,7 +146,7 @@
             requests: 0,
             arrivals: SmallRng::seed_from_u64(SEED),
             services: SmallRng::seed_from_u64(SEED + 1),
-            tally: Tally::new((END - WARM) as f64 / 1e6),
+            tally: Tally::new((END - WARM_UP) as f64 / 1e6),
         }
     }
 
@@ -155,12 +154,12 @@
         self.push(0, Event::Arrive);
         self.push(0, Event::Tick);
         while let Some(Reverse((now, _, event))) = self.events.pop() {
-            if now > END + LINGER {
+            if now > END + DRAIN_TIME {
                 break;
             }
             self.handle(event, now);
         }
-        self.tally.unanswered += self.open.values().filter(|open| open.arrived >= WARM).count();
+        self.tally.unanswered += self.open.values().filter(|open| open.arrived >= WARM_UP).count();
         self.tally
     }
 
@@ -172,9 +171,9 @@
     fn handle(&mut self, event: Event, now: u64) {
         match event {
             Event::Arrive => self.arrive(now),
-            Event::Reach { runner, job } => self.reach(runner, job, now),
-            Event::Done { runner, job } => self.done(runner, job, now),
-            Event::Back { job, answer } => {
+            Event::RequestAtRunner { runner, job } => self.receive(runner, job, now),
+            Event::RunEnded { runner, job } => self.end_run(runner, job, now),
+            Event::ResponseAtInstance { job, answer } => {
                 let answer = [Answer::Good, Answer::Failed, Answer::Wrong, Answer::Lost]
                     [usize::from(answer)];
                 let actions = self.instances[job.instance].answered(job.attempt, answer, now);
@@ -209,18 +208,18 @@
         self.requests += 1;
         let id = self.requests;
         let deadline = now + DEADLINES[self.arrivals.random_range(0..DEADLINES.len())];
-        let idempotent = self.arrivals.random_bool(IDEMPOTENT);
-        self.open.insert(id, Open { arrived: now, deadline });
-        self.tally.arrived += usize::from(now >= WARM);
+        let idempotent = self.arrivals.random_bool(IDEMPOTENT_FRACTION);
+        self.open.insert(id, OpenRequest { arrived: now, deadline });
+        self.tally.arrived += usize::from(now >= WARM_UP);
         let actions = self.instances[instance].submit(Arrival { id, deadline, idempotent }, now);
         self.act(instance, actions, now);
     }
 
     fn pick_instance(&mut self) -> usize {
-        let total: f64 = self.plan.parts.iter().sum();
+        let total: f64 = self.plan.weights.iter().sum();
         let mut left = self.arrivals.random::<f64>() * total;
-        for (instance, part) in self.plan.parts.iter().enumerate() {
-            left -= part;
+        for (instance, weight) in self.plan.weights.iter().enumerate() {
+            left -= weight;
             if left < 0.0 {
                 return instance;
             }
@@ -232,9 +231,9 @@
         for action in actions {
             match action {
                 Action::Send { attempt, runner } => {
-                    self.tally.sent += usize::from(now >= WARM);
+                    self.tally.sent += usize::from(now >= WARM_UP);
                     let job = Job { instance, attempt };
-                    self.push(now + NETWORK / 2, Event::Reach { runner, job });
+                    self.push(now + ROUND_TRIP / 2, Event::RequestAtRunner { runner, job });
                 }
                 Action::Deliver { request, wrong } => self.deliver(request, wrong, now),
                 Action::Refuse { request } => {
@@ -242,7 +241,7 @@
                         self.tally.refused(now - open.arrived);
                     }
                 }
-                Action::Doubt { request } => {
+                Action::Unknown { request } => {
                     if self.close(request).is_some() {
                         self.tally.unknown += 1;
                     }
@@ -251,9 +250,9 @@
         }
     }
 
-    /// Takes a request that arrived within the time measured.
-    fn close(&mut self, request: u64) -> Option<Open> {
-        self.open.remove(&request).filter(|open| open.arrived >= WARM)
+    /// Removes a request and returns it if it arrived after the warm-up.
+    fn close(&mut self, request: u64) -> Option<OpenRequest> {
+        self.open.remove(&request).filter(|open| open.arrived >= WARM_UP)
     }
 
     fn deliver(&mut self, request: u64, wrong: bool, now: u64) {
@@ -267,9 +266,9 @@
         }
     }
 
-    fn reach(&mut self, runner: usize, job: Job, now: u64) {
+    fn receive(&mut self, runner: usize, job: Job, now: u64) {
         if self.runners[runner].busy >= SLOTS {
-            self.tally.beyond_slots += usize::from(now >= WARM);
+            self.tally.beyond_slots += usize::from(now >= WARM_UP);
             self.runners[runner].backlog.push_back(job);
             return;
         }
@@ -278,27 +277,27 @@
 
     fn begin(&mut self, runner: usize, job: Job, now: u64) {
         self.runners[runner].busy += 1;
-        let usual = FLOOR - self.services.random::<f64>().ln() * TAIL;
-        let fault = if runner == BAD { self.plan.fault } else { Fault::None };
+        let normal = MIN_SERVICE_TIME - self.services.random::<f64>().ln() * MEAN_TAIL_TIME;
+        let fault = if runner == FAULTY_RUNNER { self.plan.fault } else { Fault::None };
         let time = match fault {
             Fault::Hanging => return,
-            Fault::Slow => usual * SLOWNESS,
+            Fault::Slow => normal * SLOW_FACTOR,
             Fault::Failing => 1_000.0,
-            Fault::None | Fault::Lying => usual,
+            Fault::None | Fault::Lying => normal,
         };
-        self.push(now + time as u64, Event::Done { runner, job });
+        self.push(now + time as u64, Event::RunEnded { runner, job });
     }
 
-    fn done(&mut self, runner: usize, job: Job, now: u64) {
+    fn end_run(&mut self, runner: usize, job: Job, now: u64) {
         self.runners[runner].busy -= 1;
         if let Some(next) = self.runners[runner].backlog.pop_front() {
             self.begin(runner, next, now);
         }
         let answer = match self.plan.fault {
-            Fault::Failing if runner == BAD => Answer::Failed,
-            Fault::Lying if runner == BAD => Answer::Wrong,
+            Fault::Failing if runner == FAULTY_RUNNER => Answer::Failed,
+            Fault::Lying if runner == FAULTY_RUNNER => Answer::Wrong,
             _ => Answer::Good,
         };
-        self.push(now + NETWORK / 2, Event::Back { job, answer: answer as u8 });
+        self.push(now + ROUND_TRIP / 2, Event::ResponseAtInstance { job, answer: answer as u8 });
     }
 }
