--- a/benches/cell/main.rs
+++ b/benches/cell/main.rs
@@ -17,7 +17,7 @@
 #[allow(dead_code)]
 mod upstream;
 
-use mix::{Day, SITES};
+use mix::{SITES, Scenario};
 use replay::Replay;
 
 fn main() {
@@ -58,8 +58,8 @@
         if wanted.as_ref().is_some_and(|wanted| !site.label.contains(wanted.as_str())) {
             continue;
         }
-        for day in [Day::Calm, Day::Burst, Day::Loss, Day::Flood] {
-            println!("{}", Replay::new(site, day, seed).run());
+        for scenario in [Scenario::Calm, Scenario::Burst, Scenario::Loss, Scenario::Flood] {
+            println!("{}", Replay::new(site, scenario, seed).run());
         }
     }
 }
--- a/benches/cell/mix.rs
+++ b/benches/cell/mix.rs
@@ -13,7 +13,7 @@
 
 /// What happens while jobs come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Day {
+pub enum Scenario {
     /// Nothing.
     Calm,
     /// Twice the jobs for four seconds.
@@ -36,7 +36,7 @@
 
 /// Jobs of one queue.
 pub struct Kind {
-    pub per_second: f64,
+    pub jobs_per_second: f64,
     pub steps: f64,
     pub width: f64,
     pub work_ms: f64,
@@ -44,18 +44,18 @@
     pub gib: f64,
     pub gang: f64,
     pub worth: f64,
-    pub late: f64,
+    pub late_worth: f64,
     pub priority: u32,
-    pub attempts: u32,
+    pub max_failures: u32,
     pub stretch: f64,
     pub target_ms: u64,
     /// RetryDecision, each worker named, share of workers that may run a step.
-    pub advice: (f64, f64, f64),
+    pub policy: (f64, f64, f64),
 }
 
 const WAITAKI: [Kind; 3] = [
     Kind {
-        per_second: 30.8,
+        jobs_per_second: 30.8,
         steps: 1.0,
         width: 2.0,
         work_ms: 1_000.0,
@@ -63,15 +63,15 @@
         gib: 8.0,
         gang: 0.15,
         worth: 0.477,
-        late: 0.0954,
+        late_worth: 0.0954,
         priority: 0,
-        attempts: 3,
+        max_failures: 3,
         stretch: 1.5,
         target_ms: 250,
-        advice: (14.3, 1.5, 0.7),
+        policy: (14.3, 1.5, 0.7),
     },
     Kind {
-        per_second: 1.81,
+        jobs_per_second: 1.81,
         steps: 1.2,
         width: 4.5,
         work_ms: 4_000.0,
@@ -79,15 +79,15 @@
         gib: 33.0,
         gang: 1.0,
         worth: 9.31,
-        late: 1.86,
+        late_worth: 1.86,
         priority: 1,
-        attempts: 2,
+        max_failures: 2,
         stretch: 2.2,
         target_ms: 1_000,
-        advice: (442.0, 6.37, 0.25),
+        policy: (442.0, 6.37, 0.25),
     },
     Kind {
-        per_second: 6.81,
+        jobs_per_second: 6.81,
         steps: 1.5,
         width: 10.0,
         work_ms: 2_200.0,
@@ -95,78 +95,84 @@
         gib: 6.0,
         gang: 0.0,
         worth: 1.54,
-        late: 0.308,
+        late_worth: 0.308,
         priority: 2,
-        attempts: 2,
+        max_failures: 2,
         stretch: 4.0,
         target_ms: 3_000,
-        advice: (104.0, 1.43, 0.45),
+        policy: (104.0, 1.43, 0.45),
     },
 ];
 
 const LAKESHORE: [Kind; 3] = [
     Kind {
-        per_second: 48.3,
+        jobs_per_second: 48.3,
         work_ms: 640.0,
         cores: 1.4,
         gib: 3.0,
         worth: 0.41,
-        late: 0.082,
+        late_worth: 0.082,
         ..WAITAKI[0]
     },
     Kind {
-        per_second: 1.18,
+        jobs_per_second: 1.18,
         work_ms: 6_200.0,
         cores: 4.5,
         gib: 16.0,
         worth: 19.2,
-        late: 3.84,
+        late_worth: 3.84,
         ..WAITAKI[1]
     },
     Kind {
-        per_second: 5.45,
+        jobs_per_second: 5.45,
         work_ms: 2_700.0,
         cores: 0.98,
         gib: 3.0,
         worth: 2.59,
-        late: 0.518,
+        late_worth: 0.518,
         ..WAITAKI[2]
     },
 ];
 
 const GROWN: [Kind; 3] = [
     Kind {
-        per_second: 88.4,
+        jobs_per_second: 88.4,
         width: 3.2,
         cores: 9.9,
         gib: 14.0,
         gang: 0.3,
-        advice: (14.3, 0.208, 0.7),
+        policy: (14.3, 0.208, 0.7),
         ..WAITAKI[0]
     },
-    Kind { per_second: 5.97, width: 20.0, ..WAITAKI[1] },
-    Kind { per_second: 12.3, width: 25.0, cores: 6.9, gib: 10.0, ..WAITAKI[2] },
+    Kind { jobs_per_second: 5.97, width: 20.0, ..WAITAKI[1] },
+    Kind { jobs_per_second: 12.3, width: 25.0, cores: 6.9, gib: 10.0, ..WAITAKI[2] },
 ];
 
 /// Up to twice the jobs of the grown site, on almost three times the workers.
 const LARGE: [Kind; 3] = [
-    Kind { per_second: 150.0, ..GROWN[0] },
-    Kind { per_second: 6.0, ..GROWN[1] },
-    Kind { per_second: 24.0, ..GROWN[2] },
+    Kind { jobs_per_second: 150.0, ..GROWN[0] },
+    Kind { jobs_per_second: 6.0, ..GROWN[1] },
+    Kind { jobs_per_second: 24.0, ..GROWN[2] },
 ];
 
 /// As many jobs as come to the site of 1,000 workers, on three times the workers and four times the
 /// instances, all of which the owner looks after.
 const WIDE: [Kind; 3] = [
-    Kind { per_second: 70.0, cores: 16.0, gib: 32.0, advice: (26.0, 0.364, 0.7), ..GROWN[0] },
-    Kind { per_second: 5.0, work_ms: 6_200.0, gib: 52.0, advice: (780.0, 11.18, 0.25), ..GROWN[1] },
+    Kind { jobs_per_second: 70.0, cores: 16.0, gib: 32.0, policy: (26.0, 0.364, 0.7), ..GROWN[0] },
     Kind {
-        per_second: 10.0,
+        jobs_per_second: 5.0,
+        work_ms: 6_200.0,
+        gib: 52.0,
+        policy: (780.0, 11.18, 0.25),
+        ..GROWN[1]
+    },
+    Kind {
+        jobs_per_second: 10.0,
         width: 19.0,
         work_ms: 2_700.0,
         cores: 11.0,
         gib: 23.0,
-        advice: (182.0, 2.6, 0.45),
+        policy: (182.0, 2.6, 0.45),
         ..GROWN[2]
     },
 ];
@@ -188,19 +194,19 @@
 
 impl Site {
     /// The configuration in force.
-    pub fn table(&self) -> Rc<QueueConfig> {
+    pub fn queue_config(&self) -> Rc<QueueConfig> {
         let queue = |(number, kind): (usize, &Kind)| Queue {
             name: number.to_string(),
             host: "jobs.example".to_owned(),
             path_prefix: format!("/{number}/"),
             service: SERVICE.to_owned(),
             priority: kind.priority,
-            max_failures: kind.attempts,
+            max_failures: kind.max_failures,
             stretch: kind.stretch,
             target_ms: kind.target_ms,
             policy: Some(PolicyTiming {
-                decide_ms: kind.advice.0,
-                per_worker_ms: kind.advice.1,
+                decide_ms: kind.policy.0,
+                per_worker_ms: kind.policy.1,
                 valid_ms: 1_500,
             }),
         };
@@ -210,9 +216,9 @@
     }
 }
 
-impl Day {
+impl Scenario {
     /// How many times the usual number of jobs comes while the trouble lasts.
-    pub const fn rush(self) -> f64 {
+    pub const fn arrival_factor(self) -> f64 {
         match self {
             Self::Calm | Self::Loss => 1.0,
             Self::Burst => 2.0,
@@ -223,17 +229,18 @@
 
 impl Kind {
     /// A job of this kind for queue `queue`.
-    pub fn draw(&self, id: Id, queue: usize, rng: &mut StdRng) -> Job {
-        let steps = around(self.steps, 0.4, rng).round().clamp(1.0, 4.0) as usize;
+    pub fn generate_job(&self, id: Id, queue: usize, rng: &mut StdRng) -> Job {
+        let steps = log_normal(self.steps, 0.4, rng).round().clamp(1.0, 4.0) as usize;
         let gang = rng.random_bool(self.gang);
         let step = |number: usize, rng: &mut StdRng| Step {
-            count: around(self.width, 0.8, rng).round().clamp(1.0, self.width * 6.0) as u32,
+            count: log_normal(self.width, 0.8, rng).round().clamp(1.0, self.width * 6.0) as u32,
             demand: Amount {
-                cpu_millis: (around(self.cores, 0.4, rng).min(self.cores * 2.0) * 1_000.0) as u64,
-                memory_mib: (around(self.gib, 0.5, rng).min(self.gib * 2.0) * 1_024.0) as u64,
+                cpu_millis: (log_normal(self.cores, 0.4, rng).min(self.cores * 2.0) * 1_000.0)
+                    as u64,
+                memory_mib: (log_normal(self.gib, 0.5, rng).min(self.gib * 2.0) * 1_024.0) as u64,
                 accelerators: 0,
             },
-            estimate_ms: around(self.work_ms, 0.5, rng) as u64,
+            estimate_ms: log_normal(self.work_ms, 0.5, rng) as u64,
             depends_on: if number == 0 { Vec::new() } else { vec![number - 1] },
             gang,
             checkpoints: rng.random_bool(0.5),
@@ -245,7 +252,7 @@
 }
 
 /// A value around `mean`, spread like a logarithmic normal distribution of that deviation.
-pub fn around(mean: f64, spread: f64, rng: &mut StdRng) -> f64 {
+pub fn log_normal(mean: f64, spread: f64, rng: &mut StdRng) -> f64 {
     let (one, two): (f64, f64) = (rng.random_range(f64::EPSILON..1.0), rng.random());
     let normal = (-2.0 * one.ln()).sqrt() * (std::f64::consts::TAU * two).cos();
     mean * (spread * normal - spread * spread / 2.0).exp()
--- a/benches/cell/replay.rs
+++ b/benches/cell/replay.rs
@@ -20,109 +20,109 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::mix::{Day, Kind, SERVICE, Site, around};
+use super::mix::{Kind, SERVICE, Scenario, Site, log_normal};
 use super::upstream::Upstream;
 
 /// Length of a replay, time in which jobs come, and the trouble within it, in milliseconds.
-const LENGTH_MS: u64 = 40_000;
+const REPLAY_MS: u64 = 40_000;
 const TRAFFIC_MS: u64 = 25_000;
-const TROUBLE_MS: (u64, u64) = (8_000, 12_000);
+const DISTURBANCE_MS: (u64, u64) = (8_000, 12_000);
 const LOSS_MS: (u64, u64) = (8_000, 14_000);
 
 /// Ways to the store, to a worker and between instances with their answers, in milliseconds.
 const APPEND_MS: u64 = 8;
-const ORDER_MS: u64 = 5;
+const COMMAND_MS: u64 = 5;
 const PEER_MS: u64 = 2;
 
 /// The machine looks at its own state at least this often, in milliseconds.
 const TICK_MS: u64 = 20;
 
 /// Wall clock at the start, in milliseconds.
-const UNIX_START: u64 = 1_700_000_000_000;
+const UNIX_START_MS: u64 = 1_700_000_000_000;
 
 /// Workers in a rack.
-const RACK: usize = 12;
+const WORKERS_PER_RACK: usize = 12;
 
 /// Time of the replay under way, for log lines.
 pub static NOW_MS: AtomicU64 = AtomicU64::new(0);
 
 enum Event {
     Arrival(usize),
-    Told(Message),
-    Looked(WorkerId, PollRequest),
-    Held(WorkerId, u64),
+    Deliver(Message),
+    Poll(WorkerId, PollRequest),
+    PollTimeout(WorkerId, u64),
     Finish(WorkerId, Run),
-    Present,
+    InstancesSeen,
     Crash(usize),
-    Return(usize),
+    Restart(usize),
 }
 
 struct Job {
     kind: usize,
     at: u64,
     /// Core-milliseconds of work.
-    size: f64,
+    core_ms: f64,
     /// What it earned, as a share of its worth.
     earned: f64,
     /// Time within which it earns all.
-    objective: f64,
-    begun: bool,
+    target_ms: f64,
+    started: bool,
     ended: bool,
 }
 
 /// A look that waits at its worker for an end.
-struct Parked {
-    look: PollRequest,
-    serial: u64,
+struct PendingPoll {
+    poll: PollRequest,
+    poll_id: u64,
     sent: u64,
 }
 
 pub struct Replay<'a> {
     site: &'a Site,
-    day: Day,
+    scenario: Scenario,
     rng: StdRng,
     machine: Machine,
     now: u64,
-    serial: u64,
+    event_count: u64,
     events: BTreeMap<(u64, u64), Event>,
     workers: BTreeMap<WorkerId, Upstream>,
-    parked: BTreeMap<WorkerId, Parked>,
-    askers: BTreeMap<SocketAddr, u64>,
+    pending_polls: BTreeMap<WorkerId, PendingPoll>,
+    proxy_busy_until: BTreeMap<SocketAddr, u64>,
     jobs: BTreeMap<Id, Job>,
     ids: u64,
     work: BTreeMap<StepKey, f64>,
-    outcome: Outcome,
+    measured: Measurements,
 }
 
 /// Figures of one replay.
-pub struct Outcome {
+pub struct Measurements {
     label: String,
     earned: f64,
-    owed: f64,
+    max_worth: f64,
     waiting: [Histogram<u64>; 3],
     /// Shares earned of each kind.
-    pub shares: [Share; 3],
+    pub shares: [ServedShare; 3],
     /// Time of the policy service's answers, in milliseconds.
-    asked_ms: u64,
-    packed: f64,
+    policy_busy_ms: u64,
+    packing_sum: f64,
     samples: u32,
     starts: u64,
     busy: Duration,
-    steps: Histogram<u64>,
+    step_us: Histogram<u64>,
     jobs: usize,
 }
 
 /// Shares of the jobs of one kind that earned something; late ones count in full.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Share {
+pub struct ServedShare {
     pub all: f64,
     /// Of the tenth with the most work.
     pub largest: f64,
 }
 
-impl Share {
+impl ServedShare {
     fn of(mut jobs: Vec<&Job>) -> Self {
-        jobs.sort_by(|one, other| other.size.total_cmp(&one.size));
+        jobs.sort_by(|one, other| other.core_ms.total_cmp(&one.core_ms));
         let served = |jobs: &[&Job]| {
             let served = jobs.iter().filter(|job| job.earned > 0.0).count();
             served as f64 / jobs.len().max(1) as f64
@@ -132,147 +132,152 @@
 }
 
 impl<'a> Replay<'a> {
-    pub fn new(site: &'a Site, day: Day, seed: u64) -> Self {
-        let (now, unix) = (Instant::from_millis(0), Unix::from_millis(UNIX_START));
+    pub fn new(site: &'a Site, scenario: Scenario, seed: u64) -> Self {
+        let (now, unix) = (Instant::from_millis(0), Unix::from_millis(UNIX_START_MS));
         let timings = Timings::default();
-        let machine = Machine::new(State::default(), 1, 0, site.table(), timings, now, unix);
+        let machine = Machine::new(State::default(), 1, 0, site.queue_config(), timings, now, unix);
         let histogram = || Histogram::new(3).expect("three digits");
-        let outcome = Outcome {
-            label: format!("{:<20} {:<13}", site.label, format!("{day:?}").to_lowercase()),
+        let measured = Measurements {
+            label: format!("{:<20} {:<13}", site.label, format!("{scenario:?}").to_lowercase()),
             earned: 0.0,
-            owed: 0.0,
+            max_worth: 0.0,
             waiting: [histogram(), histogram(), histogram()],
-            shares: [Share::default(); 3],
-            asked_ms: 0,
-            packed: 0.0,
+            shares: [ServedShare::default(); 3],
+            policy_busy_ms: 0,
+            packing_sum: 0.0,
             samples: 0,
             starts: 0,
             busy: Duration::ZERO,
-            steps: histogram(),
+            step_us: histogram(),
             jobs: 0,
         };
         let mut replay = Self {
             site,
-            day,
+            scenario,
             rng: StdRng::seed_from_u64(seed),
             machine,
             now: 0,
-            serial: 0,
+            event_count: 0,
             events: BTreeMap::new(),
             workers: BTreeMap::new(),
-            parked: BTreeMap::new(),
-            askers: (0..site.instances).map(|number| (instance(number), 0)).collect(),
+            pending_polls: BTreeMap::new(),
+            proxy_busy_until: (0..site.instances).map(|number| (instance(number), 0)).collect(),
             jobs: BTreeMap::new(),
             ids: 0,
             work: BTreeMap::new(),
-            outcome,
+            measured,
         };
         for number in 0..site.workers {
-            replay.revive(number, 0);
+            replay.add_worker(number, 0);
         }
         let roster = replay.roster();
-        replay.schedule(0, Event::Told(Message::WorkersChanged(roster)));
-        replay.schedule(0, Event::Present);
+        replay.schedule(0, Event::Deliver(Message::WorkersChanged(roster)));
+        replay.schedule(0, Event::InstancesSeen);
         for kind in 0..site.kinds.len() {
             replay.schedule(1_000, Event::Arrival(kind));
         }
-        if day == Day::Loss {
+        if scenario == Scenario::Loss {
             for number in (0..site.workers).step_by(4) {
                 replay.schedule(LOSS_MS.0, Event::Crash(number));
-                replay.schedule(LOSS_MS.1, Event::Return(number));
+                replay.schedule(LOSS_MS.1, Event::Restart(number));
             }
         }
         replay
     }
 
     /// Plays the day to its end.
-    pub fn run(mut self) -> Outcome {
+    pub fn run(mut self) -> Measurements {
         let mut tick = 0;
-        while self.now < LENGTH_MS {
-            let next = self.events.first_key_value().map_or(LENGTH_MS, |((at, _), _)| *at);
+        while self.now < REPLAY_MS {
+            let next = self.events.first_key_value().map_or(REPLAY_MS, |((at, _), _)| *at);
             self.now = next.min(tick);
             NOW_MS.store(self.now, Ordering::Relaxed);
             if tick <= self.now {
                 tick = self.now + TICK_MS;
                 self.sample();
-                self.note_ends();
+                self.record_completions();
             }
             while let Some(entry) = self.events.first_entry() {
                 if entry.key().0 > self.now {
                     break;
                 }
                 let event = entry.remove();
-                self.take(event);
+                self.handle_event(event);
             }
             self.step();
         }
         for job in self.jobs.values() {
-            self.outcome.owed += self.site.kinds[job.kind].worth;
+            self.measured.max_worth += self.site.kinds[job.kind].worth;
         }
-        for (kind, share) in self.outcome.shares.iter_mut().enumerate() {
-            *share = Share::of(self.jobs.values().filter(|job| job.kind == kind).collect());
+        for (kind, share) in self.measured.shares.iter_mut().enumerate() {
+            *share = ServedShare::of(self.jobs.values().filter(|job| job.kind == kind).collect());
         }
-        self.outcome.jobs = self.jobs.len();
-        self.outcome
+        self.measured.jobs = self.jobs.len();
+        self.measured
     }
 
     fn schedule(&mut self, delay: u64, event: Event) {
-        self.serial += 1;
-        self.events.insert((self.now + delay, self.serial), event);
+        self.event_count += 1;
+        self.events.insert((self.now + delay, self.event_count), event);
     }
 
-    fn times(&self) -> (Instant, Unix) {
-        (Instant::from_millis(self.now), Unix::from_millis(UNIX_START + self.now))
+    fn clocks(&self) -> (Instant, Unix) {
+        (Instant::from_millis(self.now), Unix::from_millis(UNIX_START_MS + self.now))
     }
 
-    fn tell(&mut self, message: Message) {
-        let (now, unix) = self.times();
-        let begun = Wall::now();
+    fn deliver(&mut self, message: Message) {
+        let (now, unix) = self.clocks();
+        let started = Wall::now();
         self.machine.handle(message, now, unix);
-        self.outcome.busy += begun.elapsed();
+        self.measured.busy += started.elapsed();
     }
 
     fn step(&mut self) {
-        let (now, unix) = self.times();
-        let begun = Wall::now();
+        let (now, unix) = self.clocks();
+        let started = Wall::now();
         let effects = self.machine.step(now, unix);
-        let took = begun.elapsed();
-        self.outcome.busy += took;
-        self.outcome.steps += took.as_micros() as u64;
+        let took = started.elapsed();
+        self.measured.busy += took;
+        self.measured.step_us += took.as_micros() as u64;
         for effect in effects {
-            self.carry_out(effect);
+            self.execute_effect(effect);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrival(kind) => self.arrive(kind),
-            Event::Told(message) => self.tell(message),
-            Event::Looked(worker, look) => self.look(worker, look),
-            Event::Held(worker, serial) => {
-                if self.parked.get(&worker).is_some_and(|parked| parked.serial == serial) {
-                    self.answer_parked(&worker);
+            Event::Deliver(message) => self.deliver(message),
+            Event::Poll(worker, poll) => self.poll(worker, poll),
+            Event::PollTimeout(worker, poll_id) => {
+                if self.pending_polls.get(&worker).is_some_and(|pending| pending.poll_id == poll_id)
+                {
+                    self.answer_poll(&worker);
                 }
             }
             Event::Finish(worker, run) => self.finish(&worker, run),
-            Event::Present => {
-                for peer in self.askers.keys().copied().collect::<Vec<_>>() {
-                    self.tell(Message::InstanceSeen { peer, strength: 1, domain: "hall".into() });
+            Event::InstancesSeen => {
+                for peer in self.proxy_busy_until.keys().copied().collect::<Vec<_>>() {
+                    self.deliver(Message::InstanceSeen {
+                        peer,
+                        strength: 1,
+                        domain: "hall".into(),
+                    });
                 }
-                self.schedule(200, Event::Present);
+                self.schedule(200, Event::InstancesSeen);
             }
             Event::Crash(number) => {
-                let worker = life(number, 0);
+                let worker = worker_id(number, 0);
                 self.workers.remove(&worker);
-                self.parked.remove(&worker);
+                self.pending_polls.remove(&worker);
                 let roster =
                     RosterUpdate { changed: Vec::new(), removed: vec![worker], is_complete: false };
-                self.schedule(3_000, Event::Told(Message::WorkersChanged(roster)));
+                self.schedule(3_000, Event::Deliver(Message::WorkersChanged(roster)));
             }
-            Event::Return(number) => {
-                self.revive(number, 1);
+            Event::Restart(number) => {
+                self.add_worker(number, 1);
                 let roster = self.roster();
-                self.schedule(10, Event::Told(Message::WorkersChanged(roster)));
+                self.schedule(10, Event::Deliver(Message::WorkersChanged(roster)));
             }
         }
     }
@@ -280,39 +285,40 @@
     fn arrive(&mut self, kind: usize) {
         let site = self.site;
         let model = &site.kinds[kind];
-        let (from, to) = TROUBLE_MS;
-        let rush = if (from..to).contains(&self.now) { self.day.rush() } else { 1.0 };
-        let rate = model.per_second * rush;
+        let (from, to) = DISTURBANCE_MS;
+        let factor =
+            if (from..to).contains(&self.now) { self.scenario.arrival_factor() } else { 1.0 };
+        let rate = model.jobs_per_second * factor;
         let gap = -self.rng.random_range(f64::EPSILON..1.0_f64).ln() * 1_000.0 / rate;
         if self.now < TRAFFIC_MS {
             self.schedule(gap as u64, Event::Arrival(kind));
         }
         self.ids += 1;
         let id: Id = format!("{:016x}", self.ids * 0x9e37_79b9).parse().expect("sixteen digits");
-        let job = model.draw(id, kind, &mut self.rng);
-        let mut chain = 0.0;
-        let mut size = 0.0;
+        let job = model.generate_job(id, kind, &mut self.rng);
+        let mut critical_path_ms = 0.0;
+        let mut core_ms = 0.0;
         for (number, step) in job.steps.iter().enumerate() {
-            let work = around(model.work_ms, 0.5, &mut self.rng);
-            size += work * f64::from(step.count) * step.demand.cpu_millis as f64 / 1_000.0;
-            chain += work + model.advice.0 + 30.0 * model.advice.1;
+            let work = log_normal(model.work_ms, 0.5, &mut self.rng);
+            core_ms += work * f64::from(step.count) * step.demand.cpu_millis as f64 / 1_000.0;
+            critical_path_ms += work + model.policy.0 + 30.0 * model.policy.1;
             self.work.insert(StepKey { job: id, occurrence: 0, step: number as u32 }, work);
         }
-        let objective = chain * model.stretch + model.target_ms as f64;
-        let (begun, ended) = (false, false);
-        let known = Job { kind, at: self.now, size, earned: 0.0, objective, begun, ended };
+        let target_ms = critical_path_ms * model.stretch + model.target_ms as f64;
+        let (started, ended) = (false, false);
+        let known = Job { kind, at: self.now, core_ms, earned: 0.0, target_ms, started, ended };
         self.jobs.insert(id, known);
-        self.tell(Message::Call { id: self.ids, call: Call::Submit(job) });
+        self.deliver(Message::Call { id: self.ids, call: Call::Submit(job) });
     }
 
-    fn carry_out(&mut self, effect: Effect) {
-        let (now, _) = self.times();
+    fn execute_effect(&mut self, effect: Effect) {
+        let (now, _) = self.clocks();
         match effect {
             Effect::Append { sequence, .. } => {
                 let message = Message::Appended { sequence, sent: now, outcome: Ok(sequence) };
-                self.schedule(APPEND_MS, Event::Told(message));
+                self.schedule(APPEND_MS, Event::Deliver(message));
             }
-            Effect::Poll { worker, poll, .. } => self.schedule(2, Event::Looked(worker, poll)),
+            Effect::Poll { worker, poll, .. } => self.schedule(2, Event::Poll(worker, poll)),
             Effect::Start { worker, start, .. } => self.start(worker, &start),
             Effect::Stop { worker, run, .. } => {
                 let epoch = self.machine.epoch;
@@ -320,10 +326,10 @@
                 let clock = upstream.clock_ms(self.now);
                 let outcome = upstream.stop(run, epoch).map(|_| clock);
                 let message = Message::Stopped { worker: worker.clone(), run, outcome };
-                self.schedule(ORDER_MS, Event::Told(message));
-                self.answer_parked(&worker);
+                self.schedule(COMMAND_MS, Event::Deliver(message));
+                self.answer_poll(&worker);
             }
-            Effect::QueryPolicy(question) => self.advise(&question),
+            Effect::QueryPolicy(query) => self.answer_query(&query),
             Effect::Reply { .. } | Effect::Save(_) => {}
             Effect::StepDown { reason } => panic!("the owner stepped down: {reason}"),
         }
@@ -336,72 +342,73 @@
         let outcome = upstream.start(start, demand, self.now);
         let clock = upstream.clock_ms(self.now);
         if outcome == Ok(true) {
-            self.outcome.starts += 1;
+            self.measured.starts += 1;
             let speed =
                 [0.8, 1.0, 1.25][xxhash_rust::xxh3::xxh3_64(worker.as_bytes()) as usize % 3];
             let work = self.work.get(&run.task.step).copied().unwrap_or(1_000.0);
             let took = (work / speed).max(1.0) as u64;
-            self.schedule(ORDER_MS + took, Event::Finish(worker.clone(), run));
+            self.schedule(COMMAND_MS + took, Event::Finish(worker.clone(), run));
             let now = self.now;
             if let Some(job) = self.jobs.get_mut(&run.task.step.job)
-                && !job.begun
+                && !job.started
             {
-                job.begun = true;
-                self.outcome.waiting[job.kind] += now - job.at;
+                job.started = true;
+                self.measured.waiting[job.kind] += now - job.at;
             }
         }
         let message = Message::Started { worker, run, outcome: outcome.map(|_| clock) };
-        self.schedule(ORDER_MS, Event::Told(message));
+        self.schedule(COMMAND_MS, Event::Deliver(message));
     }
 
     fn finish(&mut self, worker: &WorkerId, run: Run) {
         let Some(upstream) = self.workers.get_mut(worker) else { return };
         upstream.end(run, RunOutcome::Succeeded);
-        self.answer_parked(worker);
+        self.answer_poll(worker);
     }
 
-    fn look(&mut self, worker: WorkerId, look: PollRequest) {
+    fn poll(&mut self, worker: WorkerId, poll: PollRequest) {
         let Some(upstream) = self.workers.get_mut(&worker) else { return };
-        self.serial += 1;
-        let (serial, wait) = (self.serial, look.max_wait.as_millis() as u64);
-        let answered = upstream.look(&look, self.now).is_ok_and(|report| !report.ended.is_empty());
-        self.parked.insert(worker.clone(), Parked { look, serial, sent: self.now });
+        self.event_count += 1;
+        let (poll_id, wait) = (self.event_count, poll.max_wait.as_millis() as u64);
+        let answered = upstream.poll(&poll, self.now).is_ok_and(|report| !report.ended.is_empty());
+        self.pending_polls.insert(worker.clone(), PendingPoll { poll, poll_id, sent: self.now });
         if answered || wait == 0 {
-            self.answer_parked(&worker);
+            self.answer_poll(&worker);
         } else {
-            self.schedule(wait, Event::Held(worker, serial));
+            self.schedule(wait, Event::PollTimeout(worker, poll_id));
         }
     }
 
-    fn answer_parked(&mut self, worker: &WorkerId) {
-        let Some(parked) = self.parked.remove(worker) else { return };
+    fn answer_poll(&mut self, worker: &WorkerId) {
+        let Some(pending) = self.pending_polls.remove(worker) else { return };
         let Some(upstream) = self.workers.get_mut(worker) else { return };
-        let outcome = upstream.look(&parked.look, self.now);
-        let sent = Instant::from_millis(parked.sent);
+        let outcome = upstream.poll(&pending.poll, self.now);
+        let sent = Instant::from_millis(pending.sent);
         let message = Message::Polled { worker: worker.clone(), sent, outcome };
-        self.schedule(3, Event::Told(message));
+        self.schedule(3, Event::Deliver(message));
     }
 
     /// Each instance has one question answered after the other.
-    fn advise(&mut self, question: &PolicyQuery) {
-        let Some(job) = self.jobs.get(&question.step.job) else { return };
-        let (decide, each, good) = self.site.kinds[job.kind].advice;
-        let took = (decide + each * question.workers.len() as f64) as u64;
-        let from = self.askers.get(&question.proxy).copied().unwrap_or(0).max(self.now + PEER_MS);
-        self.askers.insert(question.proxy, from + took);
-        self.outcome.asked_ms += took;
+    fn answer_query(&mut self, query: &PolicyQuery) {
+        let Some(job) = self.jobs.get(&query.step.job) else { return };
+        let (decide, each, good) = self.site.kinds[job.kind].policy;
+        let took = (decide + each * query.workers.len() as f64) as u64;
+        let from =
+            self.proxy_busy_until.get(&query.proxy).copied().unwrap_or(0).max(self.now + PEER_MS);
+        self.proxy_busy_until.insert(query.proxy, from + took);
+        self.measured.policy_busy_ms += took;
         let may = |worker: &&WorkerId| {
-            let name = format!("{} {worker}", question.step);
+            let name = format!("{} {worker}", query.step);
             (xxhash_rust::xxh3::xxh3_64(name.as_bytes()) % 1_000) as f64 / 1_000.0 < good
         };
-        let allowed = question.workers.iter().filter(may);
+        let allowed = query.workers.iter().filter(may);
         let workers = allowed.map(|worker| (worker.clone(), "ticket".to_owned())).collect();
         let allowed = Some(Eligibility { workers, valid_ms: Some(1_500) });
-        let message = Message::PolicyAnswered { query: question.number, allowed };
-        self.schedule(from + took + PEER_MS - self.now, Event::Told(message));
+        let message = Message::PolicyAnswered { query: query.number, allowed };
+        self.schedule(from + took + PEER_MS - self.now, Event::Deliver(message));
     }
 
-    fn note_ends(&mut self) {
+    fn record_completions(&mut self) {
         let now = self.now;
         for id in self.machine.state.jobs.keys() {
             let Some(job) = self.jobs.get_mut(id) else { continue };
@@ -410,13 +417,13 @@
             }
             job.ended = true;
             let took = (now - job.at) as f64;
-            let Kind { worth, late, .. } = self.site.kinds[job.kind];
-            if took <= job.objective {
+            let Kind { worth, late_worth, .. } = self.site.kinds[job.kind];
+            if took <= job.target_ms {
                 job.earned = 1.0;
-            } else if took <= 3.0 * job.objective {
-                job.earned = late / worth;
+            } else if took <= 3.0 * job.target_ms {
+                job.earned = late_worth / worth;
             }
-            self.outcome.earned += worth * job.earned;
+            self.measured.earned += worth * job.earned;
         }
     }
 
@@ -424,24 +431,24 @@
         if self.now < 2_000 || self.now > TRAFFIC_MS {
             return;
         }
-        let used: u64 = self.workers.values().map(|worker| worker.used().cpu_millis).sum();
+        let used: u64 = self.workers.values().map(|worker| worker.allocated().cpu_millis).sum();
         let all: u64 = self.workers.values().map(|worker| worker.capacity.cpu_millis).sum();
-        self.outcome.packed += used as f64 / all as f64;
-        self.outcome.samples += 1;
+        self.measured.packing_sum += used as f64 / all as f64;
+        self.measured.samples += 1;
     }
 
-    fn revive(&mut self, number: usize, lives: u32) {
-        let room = Amount {
+    fn add_worker(&mut self, number: usize, incarnation: u32) {
+        let capacity = Amount {
             cpu_millis: self.site.cores * 1_000,
             memory_mib: self.site.gib * 1_024,
             accelerators: 0,
         };
-        self.workers.insert(life(number, lives), Upstream::new(room, 1_000));
+        self.workers.insert(worker_id(number, incarnation), Upstream::new(capacity, 1_000));
     }
 
     fn roster(&self) -> RosterUpdate {
         let listed = |(number, (id, worker)): (usize, (&WorkerId, &Upstream))| {
-            let rack = format!("r{}", number / RACK);
+            let rack = format!("r{}", number / WORKERS_PER_RACK);
             let listed = WorkerInfo {
                 address: SocketAddr::from(([127, 0, 0, 1], 1_000 + number as u16)),
                 service: SERVICE.to_owned(),
@@ -459,30 +466,30 @@
     }
 }
 
-fn life(number: usize, lives: u32) -> WorkerId {
-    format!("worker-{number:04}-{lives}").into()
+fn worker_id(number: usize, incarnation: u32) -> WorkerId {
+    format!("worker-{number:04}-{incarnation}").into()
 }
 
 fn instance(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7_540))
 }
 
-impl fmt::Display for Outcome {
+impl fmt::Display for Measurements {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let seconds = LENGTH_MS as f64 / 1_000.0;
-        write!(f, "{} {:>6.3}", self.label, self.earned / self.owed)?;
-        write!(f, " {:>7.3}", self.packed / f64::from(self.samples.max(1)))?;
+        let seconds = REPLAY_MS as f64 / 1_000.0;
+        write!(f, "{} {:>6.3}", self.label, self.earned / self.max_worth)?;
+        write!(f, " {:>7.3}", self.packing_sum / f64::from(self.samples.max(1)))?;
         for waiting in &self.waiting {
             let (half, most) = (waiting.value_at_quantile(0.5), waiting.value_at_quantile(0.99));
             write!(f, " {half:>10}/{most:>10}")?;
         }
-        for Share { all, largest } in self.shares {
+        for ServedShare { all, largest } in self.shares {
             write!(f, " {all:>5.2}/{largest:>4.2}")?;
         }
-        write!(f, " {:>7.1}", self.asked_ms as f64 / LENGTH_MS as f64)?;
+        write!(f, " {:>7.1}", self.policy_busy_ms as f64 / REPLAY_MS as f64)?;
         write!(f, " {:>7} {:>8.1}", self.jobs, self.starts as f64 * 1_000.0 / TRAFFIC_MS as f64)?;
         write!(f, " {:>8.1}", self.busy.as_secs_f64() * 1_000.0 / seconds)?;
-        let (p99, longest) = (self.steps.value_at_quantile(0.99), self.steps.max());
+        let (p99, longest) = (self.step_us.value_at_quantile(0.99), self.step_us.max());
         write!(f, " {:>8.2} {:>8.2}", p99 as f64 / 1_000.0, longest as f64 / 1_000.0)
     }
 }
--- a/benches/takeover.rs
+++ b/benches/takeover.rs
@@ -49,11 +49,11 @@
     cluster.entries[killed].process.kill();
     let started = eventually("a task is started", || first_start(cluster, at.after(IN_FLIGHT)));
     let span = millis(started.since(at));
-    let heir = owner(cluster, Some(killed));
-    println!("trial {trial}: {span} ms, {name} to {}", cluster.entries[heir].place.name);
+    let successor = owner(cluster, Some(killed));
+    println!("trial {trial}: {span} ms, {name} to {}", cluster.entries[successor].place.name);
     cluster.entries[killed].process.restart();
     cluster.entries[killed].wait_ready();
-    eventually("all tasks have ended", || idle(cluster, heir).then_some(()));
+    eventually("all tasks have ended", || idle(cluster, successor).then_some(()));
     cluster.runs();
     span
 }
--- a/tests/logic/cell/story.rs
+++ b/tests/logic/cell/harness.rs
@@ -14,94 +14,99 @@
 use super::model::{self, cores, id};
 
 /// Wall clock at the start of a story, in milliseconds.
-pub const UNIX: u64 = 1_700_000_000_000;
+pub const UNIX_START_MS: u64 = 1_700_000_000_000;
 
 /// Clock of every worker at the start of a story.
-pub const WORKER_CLOCK: u64 = 50_000;
+pub const WORKER_CLOCK_MS: u64 = 50_000;
 
 /// An owner with workers that answer what they are told to.
-pub struct Story {
+pub struct OwnerHarness {
     pub machine: Machine,
     pub now: u64,
     pub effects: Vec<Effect>,
 }
 
-impl Story {
+impl OwnerHarness {
     /// Begins with workers that have answered their first look.
-    pub fn begin(workers: usize) -> Self {
-        Self::with(model::machine(Instant::from_millis(0), Unix::from_millis(UNIX)), workers)
+    pub fn new(workers: usize) -> Self {
+        Self::start(
+            model::machine(Instant::from_millis(0), Unix::from_millis(UNIX_START_MS)),
+            workers,
+        )
     }
 
     /// Begins likewise, on a site whose timings are `timings`.
-    pub fn begin_with(timings: Timings, workers: usize) -> Self {
-        let (now, unix) = (Instant::from_millis(0), Unix::from_millis(UNIX));
+    pub fn with_timings(timings: Timings, workers: usize) -> Self {
+        let (now, unix) = (Instant::from_millis(0), Unix::from_millis(UNIX_START_MS));
         let mut state = State::default();
         state.apply_batch(model::claim(Epoch(1), unix));
-        Self::with(Machine::new(state, 0, 1, model::table(), timings, now, unix), workers)
+        Self::start(Machine::new(state, 0, 1, model::queue_config(), timings, now, unix), workers)
     }
 
     /// Begins with an owner that has read `state`.
-    pub fn take_over(state: State, workers: usize) -> Self {
-        let (now, unix) = (Instant::from_millis(0), Unix::from_millis(UNIX));
+    pub fn from_state(state: State, workers: usize) -> Self {
+        let (now, unix) = (Instant::from_millis(0), Unix::from_millis(UNIX_START_MS));
         let timings = Timings::default();
-        Self::with(Machine::new(state, 0, 1, model::table(), timings, now, unix), workers)
+        Self::start(Machine::new(state, 0, 1, model::queue_config(), timings, now, unix), workers)
     }
 
-    fn with(machine: Machine, workers: usize) -> Self {
-        let mut story = Self { machine, now: 0, effects: Vec::new() };
-        story.tell(Message::WorkersChanged(model::roster(workers, cores(8))));
-        story.pass(1);
+    fn start(machine: Machine, workers: usize) -> Self {
+        let mut harness = Self { machine, now: 0, effects: Vec::new() };
+        harness.deliver(Message::WorkersChanged(model::roster(workers, cores(8))));
+        harness.advance(1);
         for number in 0..workers {
-            story.report(number, &[], &[]);
+            harness.report(number, &[], &[]);
         }
-        story.pass(1);
-        story.effects.clear();
-        story
+        harness.advance(1);
+        harness.effects.clear();
+        harness
     }
 
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         self.now += millis;
-        let (now, unix) = (Instant::from_millis(self.now), Unix::from_millis(UNIX + self.now));
+        let (now, unix) =
+            (Instant::from_millis(self.now), Unix::from_millis(UNIX_START_MS + self.now));
         self.effects.extend(self.machine.step(now, unix));
     }
 
-    pub fn tell(&mut self, message: Message) {
-        let (now, unix) = (Instant::from_millis(self.now), Unix::from_millis(UNIX + self.now));
+    pub fn deliver(&mut self, message: Message) {
+        let (now, unix) =
+            (Instant::from_millis(self.now), Unix::from_millis(UNIX_START_MS + self.now));
         self.machine.handle(message, now, unix);
     }
 
     /// What the owner, which is as strong as any, says to its followers.
-    pub fn offer(&self) -> HandoverOffer {
+    pub fn handover_offer(&self) -> HandoverOffer {
         self.machine.offer(u32::MAX, Instant::from_millis(self.now))
     }
 
-    pub fn ask(&mut self, number: u64, call: Call) {
-        self.tell(Message::Call { id: number, call });
-        self.pass(10);
+    pub fn call(&mut self, number: u64, call: Call) {
+        self.deliver(Message::Call { id: number, call });
+        self.advance(10);
     }
 
     /// The store takes the batch that is under way.
-    pub fn store(&mut self) {
+    pub fn complete_append(&mut self) {
         let sequence = self.appends().pop().expect("an append");
         self.effects.retain(|effect| !matches!(effect, Effect::Append { .. }));
         let sent = Instant::from_millis(self.now);
-        self.tell(Message::Appended { sequence, sent, outcome: Ok(1) });
-        self.pass(1);
+        self.deliver(Message::Appended { sequence, sent, outcome: Ok(1) });
+        self.advance(1);
     }
 
     /// The store takes everything, and what follows from it.
-    pub fn store_all(&mut self) {
+    pub fn complete_appends(&mut self) {
         while !self.appends().is_empty() {
-            self.store();
+            self.complete_append();
         }
     }
 
-    pub fn refuse_append(&mut self) {
+    pub fn fail_append(&mut self) {
         let sequence = self.appends().pop().expect("an append");
         self.effects.retain(|effect| !matches!(effect, Effect::Append { .. }));
         let outcome = Err(AppendError::NotWritten("503".to_owned()));
         let sent = Instant::from_millis(self.now);
-        self.tell(Message::Appended { sequence, sent, outcome });
+        self.deliver(Message::Appended { sequence, sent, outcome });
     }
 
     pub fn report(&mut self, worker: usize, running: &[Run], ended: &[(u64, Run, RunOutcome)]) {
@@ -118,20 +123,24 @@
             checkpoint: String::new(),
         });
         let report = PollReport {
-            clock_ms: WORKER_CLOCK + self.now,
+            clock_ms: WORKER_CLOCK_MS + self.now,
             running: running.collect(),
             ended: ended.collect(),
             partial: false,
         };
         let sent = Instant::from_millis(self.now);
         let worker = format!("w{worker}").into();
-        self.tell(Message::Polled { worker, sent, outcome: Ok(report) });
+        self.deliver(Message::Polled { worker, sent, outcome: Ok(report) });
     }
 
-    pub fn started(&mut self, start: &(usize, StartCommand), outcome: Result<u64, WorkerError>) {
+    pub fn answer_start(
+        &mut self,
+        start: &(usize, StartCommand),
+        outcome: Result<u64, WorkerError>,
+    ) {
         let worker = format!("w{}", start.0).into();
-        self.tell(Message::Started { worker, run: start.1.run, outcome });
-        self.pass(1);
+        self.deliver(Message::Started { worker, run: start.1.run, outcome });
+        self.advance(1);
     }
 
     pub fn appends(&self) -> Vec<u64> {
@@ -143,7 +152,7 @@
     }
 
     /// Orders to start since the last call, with the number of their worker.
-    pub fn starts(&mut self) -> Vec<(usize, StartCommand)> {
+    pub fn drain_starts(&mut self) -> Vec<(usize, StartCommand)> {
         let mut starts = Vec::new();
         self.effects.retain(|effect| match effect {
             Effect::Start { worker, start, .. } => {
@@ -155,7 +164,7 @@
         starts
     }
 
-    pub fn stops(&mut self) -> Vec<Run> {
+    pub fn drain_stops(&mut self) -> Vec<Run> {
         let mut stops = Vec::new();
         self.effects.retain(|effect| match effect {
             Effect::Stop { run, .. } => {
@@ -176,47 +185,47 @@
 
     pub fn phase(&mut self, number: u64) -> Option<Answer> {
         let call = 9_000_000 + self.now;
-        self.ask(call, Call::Show(id(number)));
+        self.call(call, Call::Show(id(number)));
         self.answer(call)
     }
 
     /// Questions to the policy service since the last call.
-    pub fn questions(&mut self) -> Vec<PolicyQuery> {
-        let mut questions = Vec::new();
+    pub fn drain_queries(&mut self) -> Vec<PolicyQuery> {
+        let mut queries = Vec::new();
         self.effects.retain(|effect| match effect {
-            Effect::QueryPolicy(question) => {
-                questions.push(question.clone());
+            Effect::QueryPolicy(query) => {
+                queries.push(query.clone());
                 false
             }
             _ => true,
         });
-        questions
+        queries
     }
 
     /// An instance is there to ask.
-    pub fn present(&mut self, number: u16) {
+    pub fn see_instance(&mut self, number: u16) {
         let peer = ([127, 0, 0, 1], number).into();
-        self.tell(Message::InstanceSeen { peer, strength: 1, domain: "hall".into() });
+        self.deliver(Message::InstanceSeen { peer, strength: 1, domain: "hall".into() });
     }
 
     /// The policy service allows every worker asked about.
-    pub fn allow_all(&mut self, question: &PolicyQuery) {
-        let workers = question.workers.iter();
+    pub fn allow_all(&mut self, query: &PolicyQuery) {
+        let workers = query.workers.iter();
         let workers = workers.map(|worker| (worker.clone(), "ticket".to_owned())).collect();
         let allowed = Some(Eligibility { workers, valid_ms: None });
-        self.tell(Message::PolicyAnswered { query: question.number, allowed });
-        self.pass(20);
+        self.deliver(Message::PolicyAnswered { query: query.number, allowed });
+        self.advance(20);
     }
 
     /// Accepts a job and starts all its tasks.
-    pub fn running(&mut self, number: u64, step: Step) -> Vec<(usize, StartCommand)> {
-        self.ask(number, Call::Submit(model::job(number, step)));
-        self.store_all();
-        self.pass(10);
-        self.store_all();
-        let starts = self.starts();
+    pub fn start_job(&mut self, number: u64, step: Step) -> Vec<(usize, StartCommand)> {
+        self.call(number, Call::Submit(model::job(number, step)));
+        self.complete_appends();
+        self.advance(10);
+        self.complete_appends();
+        let starts = self.drain_starts();
         for start in &starts {
-            self.started(start, Ok(WORKER_CLOCK + self.now));
+            self.answer_start(start, Ok(WORKER_CLOCK_MS + self.now));
         }
         starts
     }
--- a/tests/logic/cell/lease.rs
+++ b/tests/logic/cell/lease.rs
@@ -25,13 +25,13 @@
 }
 
 #[test]
-fn lapse_covers_a_slow_clock() {
+fn expiry_covers_a_slow_clock() {
     let mut lease = Lease::default();
     lease.observe_clock(0, at(0));
     let until = lease.grant(at(0)).expect("the clock is known");
-    let lapse = lease.expires_at().expect("the clock is known");
+    let expiry = lease.expires_at().expect("the clock is known");
     // At that instant the slowest clock allowed has passed the end of the lease.
-    let slowest = lapse.as_millis() as f64 * 0.98;
+    let slowest = expiry.as_millis() as f64 * 0.98;
     assert!(slowest > until as f64, "{slowest} {until}");
 }
 
@@ -39,20 +39,20 @@
 /// first reading did not bound what others granted, the new owner would take the worker's tasks for
 /// lapsed at once when it falls silent, and start them elsewhere while they run.
 #[test]
-fn lapse_counts_grants_of_earlier_owners() {
+fn expiry_counts_grants_of_earlier_owners() {
     let mut lease = Lease::default();
     lease.observe_clock(50_000, at(0));
-    let lapse = lease.expires_at().expect("the clock is known");
-    assert!(lapse.since(at(0)) > LEASE - Duration::from_millis(1));
+    let expiry = lease.expires_at().expect("the clock is known");
+    assert!(expiry.since(at(0)) > LEASE - Duration::from_millis(1));
 }
 
 /// A renewal computed late never shortens what an earlier one granted.
 #[test]
-fn lapse_keeps_the_longest_grant() {
+fn expiry_keeps_the_longest_grant() {
     let mut lease = Lease::default();
     lease.observe_clock(0, at(0));
     lease.grant(at(4_000));
     let before = lease.expires_at();
     lease.observe_clock(100, at(100));
-    assert!(lease.expires_at() >= before.map(|lapse| lapse.before(Duration::from_millis(200))));
+    assert!(lease.expires_at() >= before.map(|expiry| expiry.before(Duration::from_millis(200))));
 }
--- a/tests/logic/cell/machine.rs
+++ b/tests/logic/cell/machine.rs
@@ -12,49 +12,49 @@
 use oriolefork::cell::state::State;
 use oriolefork::clock::{Instant, Unix};
 
+use super::harness::{OwnerHarness, UNIX_START_MS, WORKER_CLOCK_MS};
 use super::model::{self, QUEUE, cores, id};
-use super::story::{Story, UNIX, WORKER_CLOCK};
 
 #[test]
-fn submit_again_is_one_job() {
-    let mut story = Story::begin(1);
-    let starts = story.running(1, model::step(1, cores(1)));
-    story.ask(2, Call::Submit(model::job(1, model::step(1, cores(1)))));
-    assert_eq!(story.answer(2), Some(Answer::Accepted));
-    story.pass(100);
-    assert_eq!((starts.len(), story.starts().len()), (1, 0));
+fn repeated_submit_is_one_job() {
+    let mut harness = OwnerHarness::new(1);
+    let starts = harness.start_job(1, model::step(1, cores(1)));
+    harness.call(2, Call::Submit(model::job(1, model::step(1, cores(1)))));
+    assert_eq!(harness.answer(2), Some(Answer::Accepted));
+    harness.advance(100);
+    assert_eq!((starts.len(), harness.drain_starts().len()), (1, 0));
 }
 
 /// A placement alone does not begin a job: its order may never arrive. The count of waiting jobs
 /// would leave it out while nothing runs.
 #[test]
-fn waiting_counts_until_a_worker_said_so() {
-    let mut story = Story::begin(1);
-    story.ask(1, Call::Submit(model::job(1, model::step(1, cores(1)))));
-    story.store_all();
-    story.pass(10);
-    story.store_all();
-    let starts = story.starts();
-    story.ask(2, Call::Waiting(QUEUE.to_owned()));
-    assert_eq!(story.answer(2), Some(Answer::Waiting(1)));
-    story.started(&starts[0], Ok(WORKER_CLOCK));
-    story.ask(3, Call::Waiting(QUEUE.to_owned()));
-    assert_eq!(story.answer(3), Some(Answer::Waiting(0)));
+fn job_counts_as_waiting_until_a_start_is_confirmed() {
+    let mut harness = OwnerHarness::new(1);
+    harness.call(1, Call::Submit(model::job(1, model::step(1, cores(1)))));
+    harness.complete_appends();
+    harness.advance(10);
+    harness.complete_appends();
+    let starts = harness.drain_starts();
+    harness.call(2, Call::Waiting(QUEUE.to_owned()));
+    assert_eq!(harness.answer(2), Some(Answer::Waiting(1)));
+    harness.answer_start(&starts[0], Ok(WORKER_CLOCK_MS));
+    harness.call(3, Call::Waiting(QUEUE.to_owned()));
+    assert_eq!(harness.answer(3), Some(Answer::Waiting(0)));
 }
 
 /// An order to start gets no answer and is carried out seconds later. If the task were placed
 /// elsewhere at once, it would run twice; the same order again settles what became of it.
 #[test]
-fn start_without_answer_is_repeated_there() {
-    let mut story = Story::begin(2);
-    story.ask(1, Call::Submit(model::job(1, model::step(1, cores(1)))));
-    story.store_all();
-    story.pass(10);
-    story.store_all();
-    let first = story.starts();
-    story.started(&first[0], Err(WorkerError::Unknown("timeout".to_owned())));
-    story.pass(100);
-    let again = story.starts();
+fn unanswered_start_is_repeated_on_the_same_worker() {
+    let mut harness = OwnerHarness::new(2);
+    harness.call(1, Call::Submit(model::job(1, model::step(1, cores(1)))));
+    harness.complete_appends();
+    harness.advance(10);
+    harness.complete_appends();
+    let first = harness.drain_starts();
+    harness.answer_start(&first[0], Err(WorkerError::Unknown("timeout".to_owned())));
+    harness.advance(100);
+    let again = harness.drain_starts();
     assert_eq!(again.len(), 1);
     assert_eq!((again[0].0, again[0].1.run), (first[0].0, first[0].1.run));
 }
@@ -62,35 +62,35 @@
 /// After several tries without an answer the task is stopped there, and runs elsewhere only once the
 /// worker has taken the stop: what is stopped before it begins never begins.
 #[test]
-fn start_without_answers_moves_after_the_stop() {
-    let mut story = Story::begin(2);
-    story.ask(1, Call::Submit(model::job(1, model::step(1, cores(1)))));
-    story.store_all();
-    story.pass(10);
-    story.store_all();
-    let mut last = story.starts().remove(0);
+fn unanswered_start_moves_after_the_stop_is_confirmed() {
+    let mut harness = OwnerHarness::new(2);
+    harness.call(1, Call::Submit(model::job(1, model::step(1, cores(1)))));
+    harness.complete_appends();
+    harness.advance(10);
+    harness.complete_appends();
+    let mut last = harness.drain_starts().remove(0);
     for _ in 0..8 {
-        story.started(&last, Err(WorkerError::Unknown("timeout".to_owned())));
-        story.pass(50);
-        match story.starts().pop() {
+        harness.answer_start(&last, Err(WorkerError::Unknown("timeout".to_owned())));
+        harness.advance(50);
+        match harness.drain_starts().pop() {
             Some(start) => last = start,
             None => break,
         }
     }
-    let stops = story.stops();
+    let stops = harness.drain_stops();
     assert_eq!(stops, [last.1.run]);
-    story.pass(500);
-    story.store_all();
-    assert!(story.starts().is_empty(), "it may still begin at the first worker");
+    harness.advance(500);
+    harness.complete_appends();
+    assert!(harness.drain_starts().is_empty(), "it may still begin at the first worker");
     let worker = format!("w{}", last.0).into();
-    story.tell(Message::Stopped { worker, run: last.1.run, outcome: Ok(WORKER_CLOCK) });
-    story.pass(5);
-    story.report(last.0, &[], &[]);
-    story.pass(20);
-    story.store_all();
-    story.pass(20);
-    story.store_all();
-    let next = story.starts();
+    harness.deliver(Message::Stopped { worker, run: last.1.run, outcome: Ok(WORKER_CLOCK_MS) });
+    harness.advance(5);
+    harness.report(last.0, &[], &[]);
+    harness.advance(20);
+    harness.complete_appends();
+    harness.advance(20);
+    harness.complete_appends();
+    let next = harness.drain_starts();
     assert_eq!(next.len(), 1);
     assert!(next[0].1.run.number > last.1.run.number);
 }
@@ -98,140 +98,140 @@
 /// Another life of the worker answers at its address: all that ran there is gone for sure, and runs
 /// elsewhere without waiting for a lease.
 #[test]
-fn another_life_frees_its_tasks() {
-    let mut story = Story::begin(2);
-    let starts = story.running(1, model::step(1, cores(1)));
+fn new_incarnation_frees_tasks_of_the_former() {
+    let mut harness = OwnerHarness::new(2);
+    let starts = harness.start_job(1, model::step(1, cores(1)));
     let worker = format!("w{}", starts[0].0).into();
-    let sent = Instant::from_millis(story.now);
-    story.tell(Message::Polled { worker, sent, outcome: Err(WorkerError::OtherIncarnation) });
-    story.pass(20);
-    story.store_all();
-    story.pass(20);
-    story.store_all();
-    let again = story.starts();
+    let sent = Instant::from_millis(harness.now);
+    harness.deliver(Message::Polled { worker, sent, outcome: Err(WorkerError::OtherIncarnation) });
+    harness.advance(20);
+    harness.complete_appends();
+    harness.advance(20);
+    harness.complete_appends();
+    let again = harness.drain_starts();
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].0, starts[0].0);
 }
 
 /// A worker falls silent. Its tasks may run until their lease is over; only then they run elsewhere.
 #[test]
-fn silent_worker_keeps_its_tasks_for_a_lease() {
-    let mut story = Story::begin(2);
-    let starts = story.running(1, model::step(1, cores(1)));
-    let silent = |story: &mut Story| {
+fn silent_worker_keeps_its_tasks_until_the_lease_expires() {
+    let mut harness = OwnerHarness::new(2);
+    let starts = harness.start_job(1, model::step(1, cores(1)));
+    let fail_poll = |harness: &mut OwnerHarness| {
         let worker = format!("w{}", starts[0].0).into();
-        let sent = Instant::from_millis(story.now);
+        let sent = Instant::from_millis(harness.now);
         let fault = WorkerError::Unknown("timeout".to_owned());
-        story.tell(Message::Polled { worker, sent, outcome: Err(fault) });
+        harness.deliver(Message::Polled { worker, sent, outcome: Err(fault) });
     };
     for _ in 0..30 {
-        silent(&mut story);
-        story.pass(250);
-        story.store_all();
+        fail_poll(&mut harness);
+        harness.advance(250);
+        harness.complete_appends();
     }
-    assert!(story.starts().is_empty(), "after {} ms", story.now);
+    assert!(harness.drain_starts().is_empty(), "after {} ms", harness.now);
     for _ in 0..12 {
-        silent(&mut story);
-        story.pass(250);
-        story.store_all();
+        fail_poll(&mut harness);
+        harness.advance(250);
+        harness.complete_appends();
     }
-    assert_eq!(story.starts().len(), 1);
+    assert_eq!(harness.drain_starts().len(), 1);
 }
 
 /// A job that can never be done ends after its tries, and is said to have failed.
 #[test]
-fn attempts_bound_the_tries() {
-    let mut story = Story::begin(4);
-    let mut starts = story.running(1, model::step(1, cores(1)));
-    for attempt in 1..=model::ATTEMPTS {
+fn job_fails_after_max_failures() {
+    let mut harness = OwnerHarness::new(4);
+    let mut starts = harness.start_job(1, model::step(1, cores(1)));
+    for attempt in 1..=model::MAX_FAILURES {
         let (worker, run) = (starts[0].0, starts[0].1.run);
-        story.report(worker, &[], &[(u64::from(attempt), run, RunOutcome::Failed)]);
-        story.pass(10);
-        story.store_all();
-        story.pass(10);
-        story.store_all();
-        let next = story.starts();
-        if attempt == model::ATTEMPTS {
+        harness.report(worker, &[], &[(u64::from(attempt), run, RunOutcome::Failed)]);
+        harness.advance(10);
+        harness.complete_appends();
+        harness.advance(10);
+        harness.complete_appends();
+        let next = harness.drain_starts();
+        if attempt == model::MAX_FAILURES {
             assert!(next.is_empty());
             break;
         }
         assert_eq!(next.len(), 1, "try {attempt}");
-        story.started(&next[0], Ok(WORKER_CLOCK + story.now));
+        harness.answer_start(&next[0], Ok(WORKER_CLOCK_MS + harness.now));
         starts = next;
     }
-    assert_eq!(story.phase(1), Some(Answer::Phase(Phase::Failed)));
+    assert_eq!(harness.phase(1), Some(Answer::Phase(Phase::Failed)));
 }
 
 #[test]
-fn cancel_stops_what_runs() {
-    let mut story = Story::begin(1);
-    let starts = story.running(1, model::step(2, cores(1)));
-    story.ask(2, Call::Cancel(id(1)));
-    assert_eq!(story.stops().len(), starts.len());
-    assert_eq!(story.answer(2), None);
-    story.store_all();
-    assert_eq!(story.answer(2), Some(Answer::Cancelled));
-    assert_eq!(story.phase(1), Some(Answer::Phase(Phase::Cancelled)));
+fn cancel_stops_running_tasks() {
+    let mut harness = OwnerHarness::new(1);
+    let starts = harness.start_job(1, model::step(2, cores(1)));
+    harness.call(2, Call::Cancel(id(1)));
+    assert_eq!(harness.drain_stops().len(), starts.len());
+    assert_eq!(harness.answer(2), None);
+    harness.complete_appends();
+    assert_eq!(harness.answer(2), Some(Answer::Cancelled));
+    assert_eq!(harness.phase(1), Some(Answer::Phase(Phase::Cancelled)));
 }
 
 /// A lasting task fails, as it may at any time. It must be back at once, however long its job has
 /// waited and however often it has failed.
 #[test]
-fn lasting_task_is_always_restarted() {
-    let mut story = Story::begin(2);
-    let lasting = Step { long_running: true, ..model::step(1, cores(1)) };
-    let mut starts = story.running(1, lasting);
-    for number in 1..=u64::from(model::ATTEMPTS) + 2 {
+fn long_running_task_is_always_restarted() {
+    let mut harness = OwnerHarness::new(2);
+    let long_running = Step { long_running: true, ..model::step(1, cores(1)) };
+    let mut starts = harness.start_job(1, long_running);
+    for number in 1..=u64::from(model::MAX_FAILURES) + 2 {
         let (worker, run) = (starts[0].0, starts[0].1.run);
-        story.report(worker, &[], &[(number, run, RunOutcome::Failed)]);
-        story.pass(10);
-        story.store_all();
-        story.pass(10);
-        story.store_all();
-        starts = story.starts();
+        harness.report(worker, &[], &[(number, run, RunOutcome::Failed)]);
+        harness.advance(10);
+        harness.complete_appends();
+        harness.advance(10);
+        harness.complete_appends();
+        starts = harness.drain_starts();
         assert_eq!(starts.len(), 1, "failure {number}");
-        story.started(&starts[0].clone(), Ok(WORKER_CLOCK + story.now));
+        harness.answer_start(&starts[0].clone(), Ok(WORKER_CLOCK_MS + harness.now));
     }
 }
 
 /// Three tasks of different jobs fail on one worker and none goes well there: it gets nothing new
 /// for a while, so that it does not use up the tries of every job.
 #[test]
-fn failing_worker_rests() {
-    let mut story = Story::begin(1);
+fn failing_worker_gets_no_tasks_for_a_while() {
+    let mut harness = OwnerHarness::new(1);
     for number in 1..=3 {
-        let starts = story.running(number, model::step(1, cores(1)));
+        let starts = harness.start_job(number, model::step(1, cores(1)));
         let run = starts.first().map(|(_, start)| start.run);
         let Some(run) = run else { panic!("job {number} did not start") };
-        story.ask(100 + number, Call::Cancel(id(number)));
-        story.report(0, &[], &[(number, run, RunOutcome::Failed)]);
-        story.store_all();
+        harness.call(100 + number, Call::Cancel(id(number)));
+        harness.report(0, &[], &[(number, run, RunOutcome::Failed)]);
+        harness.complete_appends();
     }
-    assert!(story.running(4, model::step(1, cores(1))).is_empty());
-    story.pass(Duration::from_secs(5).as_millis() as u64);
-    story.report(0, &[], &[]);
-    story.pass(20);
-    story.store_all();
-    assert_eq!(story.starts().len(), 1);
+    assert!(harness.start_job(4, model::step(1, cores(1))).is_empty());
+    harness.advance(Duration::from_secs(5).as_millis() as u64);
+    harness.report(0, &[], &[]);
+    harness.advance(20);
+    harness.complete_appends();
+    assert_eq!(harness.drain_starts().len(), 1);
 }
 
 #[test]
 fn fenced_owner_steps_down() {
-    let mut story = Story::begin(1);
-    let sent = Instant::from_millis(story.now);
+    let mut harness = OwnerHarness::new(1);
+    let sent = Instant::from_millis(harness.now);
     let message = Message::Polled { worker: "w0".into(), sent, outcome: Err(WorkerError::Fenced) };
-    story.tell(message);
-    story.pass(1);
-    assert!(story.effects.iter().any(|effect| matches!(effect, Effect::StepDown { .. })));
+    harness.deliver(message);
+    harness.advance(1);
+    assert!(harness.effects.iter().any(|effect| matches!(effect, Effect::StepDown { .. })));
 }
 
 /// A job repeats. Its second occurrence still waits for room when the third one is placed, and the
 /// owner dies. Its successor reads of the third alone: counting what it knows of, it took the third
 /// for the next to begin, again and again without end, as did every owner after it.
 #[test]
-fn successor_begins_the_occurrence_that_is_missing() {
+fn successor_starts_the_missing_occurrence() {
     let mut state = State::default();
-    let at = Unix::from_millis(UNIX);
+    let at = Unix::from_millis(UNIX_START_MS);
     state.apply_batch(model::claim(Epoch(1), at));
     let mut job = model::job(1, model::step(1, cores(1)));
     job.schedule = Some(Schedule { first: at, interval_ms: 10, count: 3 });
@@ -240,30 +240,30 @@
     let records =
         vec![Record::Accepted { at, job }, Record::Placed { worker: "w0".into(), runs: vec![run] }];
     state.apply_batch(Batch { epoch: Epoch(1), at, records });
-    let mut story = Story::take_over(state, 1);
+    let mut harness = OwnerHarness::from_state(state, 1);
     for _ in 0..10 {
-        story.pass(100);
-        story.store_all();
+        harness.advance(100);
+        harness.complete_appends();
     }
     let begun: BTreeSet<u32> =
-        story.starts().iter().map(|(_, start)| start.run.task.step.occurrence).collect();
+        harness.drain_starts().iter().map(|(_, start)| start.run.task.step.occurrence).collect();
     assert!(begun.is_superset(&BTreeSet::from([0, 1])), "{begun:?}");
 }
 
 /// An entry in the list names a service that the operators never named: another program wrote it. It
 /// was called like any worker.
 #[test]
-fn look_passes_over_an_unknown_service() {
-    let mut story = Story::begin(1);
+fn worker_of_an_unknown_service_is_not_polled() {
+    let mut harness = OwnerHarness::new(1);
     let listed = WorkerInfo { service: "elsewhere".to_owned(), ..model::listed(7, cores(8)) };
     let present = vec![("w7".into(), Rc::new(listed))];
-    story.tell(Message::WorkersChanged(RosterUpdate {
+    harness.deliver(Message::WorkersChanged(RosterUpdate {
         changed: present,
         removed: Vec::new(),
         is_complete: false,
     }));
-    story.pass(400);
-    let looked_at =
+    harness.advance(400);
+    let is_polled =
         |effect: &Effect| matches!(effect, Effect::Poll { worker, .. } if &**worker == "w7");
-    assert!(!story.effects.iter().any(looked_at));
+    assert!(!harness.effects.iter().any(is_polled));
 }
--- a/tests/logic/cell/mod.rs
+++ b/tests/logic/cell/mod.rs
@@ -1,32 +1,32 @@
 //! Cells: the owner's machine alone, and over random histories with workers and a journal.
 
-mod advice;
-mod askers;
+mod activity;
+mod capacity_changes;
 mod crash;
-mod duty;
+mod departed_workers;
+mod harness;
 mod histories;
 mod lease;
-mod left_behind;
-mod looks;
 mod machine;
 #[path = "../../../benches/cell/mix.rs"]
 #[allow(dead_code)]
 mod mix;
 mod model;
-mod patience;
-mod place;
+mod placement;
+mod policy_queries;
+mod polls;
 mod preempt;
+mod proxy_shares;
 #[path = "../../../benches/cell/replay.rs"]
 #[allow(dead_code)]
 mod replay;
-mod shrink;
+mod retry;
+mod simulation;
 mod sizes;
-mod standstill;
+mod starvation;
 mod state;
 mod store;
-mod story;
 mod succession;
 mod ticket;
-mod unanswered;
+mod unanswered_commands;
 mod upstream;
-mod world;
--- a/tests/logic/cell/model.rs
+++ b/tests/logic/cell/model.rs
@@ -17,7 +17,7 @@
 pub const QUEUE: &str = "nightly";
 
 /// Failed tries after which a job has failed.
-pub const ATTEMPTS: u32 = 3;
+pub const MAX_FAILURES: u32 = 3;
 
 pub fn cores(cores: u64) -> Amount {
     Amount { cpu_millis: cores * 1_000, memory_mib: cores * 1_024, accelerators: 0 }
@@ -42,14 +42,14 @@
     Step { count, demand, estimate_ms: 400, ..Step::default() }
 }
 
-pub fn table() -> Rc<QueueConfig> {
+pub fn queue_config() -> Rc<QueueConfig> {
     let queue = Queue {
         name: QUEUE.to_owned(),
         host: "jobs.example".to_owned(),
         path_prefix: "/nightly/".to_owned(),
         service: "portal".to_owned(),
         priority: 1,
-        max_failures: ATTEMPTS,
+        max_failures: MAX_FAILURES,
         stretch: 2.0,
         target_ms: 1_000,
         policy: None,
@@ -88,5 +88,5 @@
 pub fn machine(now: Instant, unix: Unix) -> Machine {
     let mut state = State::default();
     state.apply_batch(claim(Epoch(1), unix));
-    Machine::new(state, 0, 1, table(), Timings::default(), now, unix)
+    Machine::new(state, 0, 1, queue_config(), Timings::default(), now, unix)
 }
--- a/tests/logic/cell/world/faults.rs
+++ b/tests/logic/cell/simulation/faults.rs
@@ -11,39 +11,39 @@
 use oriolefork::codec;
 use rand::Rng;
 
-use super::{Event, Owner, STEP_MS, World, name};
+use super::{Event, Owner, STEP_MS, Simulation, name};
 use crate::cell::model;
 use crate::cell::upstream::Upstream;
 
 /// Mean time for which the store answers nobody, and mean time between two outages.
 const OUTAGE_MS: u64 = 1_000;
-const OUTAGE_REST_MS: u64 = 5_000;
+const OUTAGE_INTERVAL_MS: u64 = 5_000;
 
 /// Mean time between two saves of the whole state, by all that take themselves for owners.
-const SAVE_REST_MS: u64 = 1_500;
+const SNAPSHOT_INTERVAL_MS: u64 = 1_500;
 
 /// Cores of a worker, and sizes that it can have.
 pub(super) const CORES: u64 = 16;
-const ROOMS: u64 = 4;
+const CAPACITY_LEVELS: u64 = 4;
 
 /// Time from a crash to the worker's next life.
 const RESTART_MS: std::ops::Range<u64> = 500..4_000;
 
-impl World {
+impl Simulation {
     pub(super) fn draw_faults(&mut self) {
         let every = |span: u64| if span == 0 { 0.0 } else { STEP_MS as f64 / span as f64 };
         if self.chance(every(self.faults.takeover_ms)) && !self.store_down {
             self.take_over();
         }
         if self.chance(every(self.faults.worker_ms)) {
-            self.disturb_worker();
+            self.draw_worker_fault();
         }
         // Not drawn where it is off, so that other histories stay as they are.
         if self.faults.resize_ms > 0 && self.chance(every(self.faults.resize_ms)) {
             self.resize_worker();
         }
-        let turn = if self.store_down { OUTAGE_MS } else { OUTAGE_REST_MS };
-        if self.chance(every(SAVE_REST_MS)) {
+        let turn = if self.store_down { OUTAGE_MS } else { OUTAGE_INTERVAL_MS };
+        if self.chance(every(SNAPSHOT_INTERVAL_MS)) {
             for owner in 0..self.owners.len() {
                 self.schedule(1, Event::Owner { owner, message: Message::SnapshotDue });
             }
@@ -53,16 +53,16 @@
         }
     }
 
-    pub(super) fn disturb_worker(&mut self) {
-        let number = self.rng.random_range(0..self.lives.len());
-        let life = self.lives[&number];
-        let current = name(number, life);
+    pub(super) fn draw_worker_fault(&mut self) {
+        let number = self.rng.random_range(0..self.incarnations.len());
+        let incarnation = self.incarnations[&number];
+        let current = name(number, incarnation);
         if self.down.contains(&current) {
             return;
         }
         if self.rng.random_bool(0.3) {
             // It crashes and comes back as another life at the same address.
-            self.lose(&current);
+            self.remove_worker(&current);
             self.restart(number);
         } else if let Some(upstream) = self.workers.get_mut(&current) {
             upstream.reachable = !upstream.reachable;
@@ -71,30 +71,31 @@
 
     /// A worker loses part of its room or has all of it again, and the list says so.
     fn resize_worker(&mut self) {
-        let number = self.rng.random_range(0..self.lives.len());
-        let capacity = model::cores(self.rng.random_range(1..=ROOMS) * CORES / ROOMS);
+        let number = self.rng.random_range(0..self.incarnations.len());
+        let capacity =
+            model::cores(self.rng.random_range(1..=CAPACITY_LEVELS) * CORES / CAPACITY_LEVELS);
         let now = self.now;
-        if let Some(upstream) = self.workers.get_mut(&name(number, self.lives[&number])) {
+        if let Some(upstream) = self.workers.get_mut(&name(number, self.incarnations[&number])) {
             upstream.resize(capacity, now);
-            self.tell_roster();
+            self.publish_roster();
         }
     }
 
     /// Another life of a worker begins.
     pub(super) fn restart(&mut self, number: usize) {
-        let life = self.lives[&number];
-        self.down.remove(&name(number, life));
-        self.lives.insert(number, life + 1);
+        let incarnation = self.incarnations[&number];
+        self.down.remove(&name(number, incarnation));
+        self.incarnations.insert(number, incarnation + 1);
         let offset = self.rng.random_range(0..1_000_000);
         let upstream = Upstream::new(model::cores(CORES), offset);
-        self.workers.insert(name(number, life + 1), upstream);
-        self.tell_roster();
+        self.workers.insert(name(number, incarnation + 1), upstream);
+        self.publish_roster();
     }
 
     /// A worker's life is over, and with it what runs there.
-    fn lose(&mut self, worker: &str) {
+    fn remove_worker(&mut self, worker: &str) {
         for run in self.workers.remove(worker).iter().flat_map(|upstream| upstream.runs.keys()) {
-            *self.crashed_under.entry(run.task).or_default() += 1;
+            *self.worker_crashes.entry(run.task).or_default() += 1;
         }
     }
 
@@ -105,18 +106,19 @@
         if !runs {
             return;
         }
-        self.crashes.entry(run.task).or_default().0 += 1;
-        self.lose(&worker);
-        let number = (0..self.lives.len()).find(|at| name(*at, self.lives[at]) == worker);
-        let number = number.expect("a worker's present life");
+        self.start_crashes.entry(run.task).or_default().0 += 1;
+        self.remove_worker(&worker);
+        let number =
+            (0..self.incarnations.len()).find(|at| name(*at, self.incarnations[at]) == worker);
+        let number = number.expect("a worker's present incarnation");
         self.down.insert(worker);
         let delay = self.rng.random_range(RESTART_MS);
         self.schedule(delay, Event::Restart { number });
     }
 
-    pub(super) fn tell_roster(&mut self) {
-        let present = self.lives.iter().map(|(number, life)| {
-            let name = name(*number, *life);
+    pub(super) fn publish_roster(&mut self) {
+        let present = self.incarnations.iter().map(|(number, incarnation)| {
+            let name = name(*number, *incarnation);
             let capacity =
                 self.workers.get(&name).map_or(model::cores(CORES), |upstream| upstream.capacity);
             (name.into(), Rc::new(model::listed(*number, capacity)))
@@ -134,10 +136,10 @@
     pub fn take_over(&mut self) {
         self.takeovers += 1;
         if let Some(owner) = self.owners.last_mut() {
-            owner.alive = self.faults.zombies && !self.calm;
+            owner.alive = self.faults.stale_owners && !self.faults_ended;
         }
         let (now, unix) = self.clocks();
-        let (mut state, from) = self.base();
+        let (mut state, from) = self.last_snapshot();
         for record in &self.journal[from..] {
             state.apply_batch(codec::decode::<Batch>(record).expect("a batch"));
         }
@@ -149,16 +151,23 @@
         self.claims += 1;
         self.sequence = self.claims * 1_000_000;
         let end = self.journal.len() as u64;
-        let machine =
-            Machine::new(state, self.sequence, end, model::table(), Timings::default(), now, unix);
+        let machine = Machine::new(
+            state,
+            self.sequence,
+            end,
+            model::queue_config(),
+            Timings::default(),
+            now,
+            unix,
+        );
         self.owners.push(Owner { machine, alive: true });
-        self.tell_roster();
+        self.publish_roster();
     }
 
     /// Where reading begins: at the state that was saved last.
-    pub(super) fn base(&self) -> (State, usize) {
-        let Some(base) = &self.saved else { return (State::default(), 0) };
-        let state = base.state.as_ref().expect("a saved state");
-        (codec::decode(state).expect("a state"), base.offset as usize)
+    pub(super) fn last_snapshot(&self) -> (State, usize) {
+        let Some(snapshot) = &self.saved else { return (State::default(), 0) };
+        let state = snapshot.state.as_ref().expect("a saved state");
+        (codec::decode(state).expect("a state"), snapshot.offset as usize)
     }
 }
--- a/tests/logic/cell/world/mod.rs
+++ b/tests/logic/cell/simulation/mod.rs
@@ -4,9 +4,9 @@
 //! What users were promised is checked at each start; what must come about in the end is checked
 //! after the faults are over.
 
-mod check;
 mod faults;
-mod orders;
+mod invariants;
+mod worker_calls;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
 use super::upstream::Upstream;
 
 /// Wall clock at the start, in milliseconds.
-const UNIX_START: u64 = 1_700_000_000_000;
+const UNIX_START_MS: u64 = 1_700_000_000_000;
 
 /// Time of one step of the world, in milliseconds.
 const STEP_MS: u64 = 5;
@@ -34,37 +34,37 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     /// Share of orders that get no answer and are carried out seconds later.
-    pub late: f64,
+    pub delayed_calls: f64,
     /// Share of appends whose answer is lost.
-    pub lost_appends: f64,
+    pub lost_append_answers: f64,
     /// Milliseconds between two changes of owner; zero for none.
     pub takeover_ms: u64,
     /// Whether the owner before goes on acting beside its successor.
-    pub zombies: bool,
+    pub stale_owners: bool,
     /// Milliseconds between two cuts or crashes of workers; zero for none.
     pub worker_ms: u64,
     /// Whether the store answers nobody at times.
     pub outages: bool,
     /// Workers that reset all orders, to the end, and answer looks; held up orders reach them.
-    pub resetting: usize,
+    pub resetting_workers: usize,
     /// Whether some jobs have a task that crashes each worker that starts it.
-    pub crashers: bool,
+    pub crashing_tasks: bool,
     /// Milliseconds between two changes of what a worker has; zero for none.
     pub resize_ms: u64,
 }
 
-enum Order {
-    Look(PollRequest),
+enum WorkerCall {
+    Poll(PollRequest),
     Start(StartCommand),
     Stop(Run, Epoch),
 }
 
 enum Event {
-    Worker { owner: usize, worker: String, order: Order, sent: u64, answered: bool },
+    Worker { owner: usize, worker: String, call: WorkerCall, sent: u64, answered: bool },
     Append { owner: usize, sequence: u64, batch: Bytes, epoch: Epoch, sent: u64, answered: bool },
     Owner { owner: usize, message: Message },
     Finish { worker: String, run: Run },
-    Alone { worker: String, run: Run },
+    GangTimeout { worker: String, run: Run },
     Crash { worker: String, run: Run },
     Restart { number: usize },
 }
@@ -75,7 +75,7 @@
 }
 
 /// What the world knows of a job.
-struct Watched {
+struct SubmittedJob {
     job: Job,
     accepted: bool,
     /// A cancellation without an answer may be carried out or not.
@@ -83,14 +83,14 @@
     cancelled_at: Option<u64>,
     fails: bool,
     /// Whether its first task crashes each worker that starts it.
-    crashes: bool,
+    crashes_workers: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     rng: StdRng,
     faults: Faults,
-    calm: bool,
+    faults_ended: bool,
     owners: Vec<Owner>,
     journal: Vec<Bytes>,
     epoch: Epoch,
@@ -100,42 +100,42 @@
     /// State that an owner saved last, as far as it got before it was replaced.
     saved: Option<JournalSnapshot>,
     workers: BTreeMap<String, Upstream>,
-    lives: BTreeMap<usize, u32>,
+    incarnations: BTreeMap<usize, u32>,
     /// Workers that have crashed and are not back yet.
     down: BTreeSet<String>,
     events: BTreeMap<(u64, u64), Event>,
-    serial: u64,
-    jobs: BTreeMap<Id, Watched>,
+    event_count: u64,
+    jobs: BTreeMap<Id, SubmittedJob>,
     calls: BTreeMap<(usize, u64), Id>,
     next_call: u64,
-    done_noted: BTreeSet<TaskKey>,
-    done: BTreeMap<TaskKey, u64>,
+    recorded_successes: BTreeSet<TaskKey>,
+    succeeded_at: BTreeMap<TaskKey, u64>,
     /// Tries that ended as failed, as far as that is in the journal.
     failures: BTreeMap<TaskKey, BTreeSet<u32>>,
     /// Crashes by task, and its starts after the third one.
-    crashes: BTreeMap<TaskKey, (u32, u32)>,
+    start_crashes: BTreeMap<TaskKey, (u32, u32)>,
     /// Workers that crashed while a task was there, by task.
-    crashed_under: BTreeMap<TaskKey, u32>,
+    worker_crashes: BTreeMap<TaskKey, u32>,
     pub starts: u64,
     pub takeovers: u64,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, workers: usize, faults: Faults) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let lives = (0..workers).map(|number| (number, 0)).collect();
+        let incarnations = (0..workers).map(|number| (number, 0)).collect();
         let mut upstreams = BTreeMap::new();
         for number in 0..workers {
             let offset = rng.random_range(0..1_000_000);
             let mut upstream = Upstream::new(model::cores(16), offset);
-            upstream.resetting = number < faults.resetting;
+            upstream.resets_commands = number < faults.resetting_workers;
             upstreams.insert(name(number, 0), upstream);
         }
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
             rng,
             faults,
-            calm: false,
+            faults_ended: false,
             owners: Vec::new(),
             journal: Vec::new(),
             epoch: Epoch(0),
@@ -144,23 +144,23 @@
             store_down: false,
             saved: None,
             workers: upstreams,
-            lives,
+            incarnations,
             down: BTreeSet::new(),
             events: BTreeMap::new(),
-            serial: 0,
+            event_count: 0,
             jobs: BTreeMap::new(),
             calls: BTreeMap::new(),
             next_call: 0,
-            done_noted: BTreeSet::new(),
-            done: BTreeMap::new(),
+            recorded_successes: BTreeSet::new(),
+            succeeded_at: BTreeMap::new(),
             failures: BTreeMap::new(),
-            crashes: BTreeMap::new(),
-            crashed_under: BTreeMap::new(),
+            start_crashes: BTreeMap::new(),
+            worker_crashes: BTreeMap::new(),
             starts: 0,
             takeovers: 0,
         };
-        world.take_over();
-        world
+        simulation.take_over();
+        simulation
     }
 
     /// Lets time pass with faults.
@@ -174,7 +174,7 @@
 
     /// Ends all faults and lets time pass.
     pub fn settle(&mut self, span_ms: u64) {
-        self.calm = true;
+        self.faults_ended = true;
         self.store_down = false;
         for upstream in self.workers.values_mut() {
             upstream.reachable = true;
@@ -188,35 +188,36 @@
         }
     }
 
-    pub fn submit(&mut self, job: Job, fails: bool, crashes: bool) {
+    pub fn submit(&mut self, job: Job, fails: bool, crashes_workers: bool) {
         let id = job.id;
-        let watched = Watched {
+        let submitted = SubmittedJob {
             job: job.clone(),
             accepted: false,
             cancel_asked: false,
             cancelled_at: None,
             fails,
-            crashes: crashes && self.faults.crashers,
+            crashes_workers: crashes_workers && self.faults.crashing_tasks,
         };
-        self.jobs.insert(id, watched);
-        self.ask(id, Call::Submit(job));
+        self.jobs.insert(id, submitted);
+        self.call_owner(id, Call::Submit(job));
     }
 
     pub fn cancel(&mut self, number: u64) {
         let id = model::id(number);
-        if let Some(watched) = self.jobs.get_mut(&id) {
-            watched.cancel_asked = true;
+        if let Some(submitted) = self.jobs.get_mut(&id) {
+            submitted.cancel_asked = true;
         }
-        self.ask(id, Call::Cancel(id));
+        self.call_owner(id, Call::Cancel(id));
     }
 
     /// Jobs that were accepted and not cancelled.
     pub fn accepted(&self) -> u64 {
-        let kept = |watched: &&Watched| watched.accepted && watched.cancelled_at.is_none();
+        let kept =
+            |submitted: &&SubmittedJob| submitted.accepted && submitted.cancelled_at.is_none();
         self.jobs.values().filter(kept).count() as u64
     }
 
-    fn ask(&mut self, id: Id, call: Call) {
+    fn call_owner(&mut self, id: Id, call: Call) {
         let owner = self.owners.len() - 1;
         self.next_call += 1;
         let number = self.next_call;
@@ -227,12 +228,12 @@
 
     fn step(&mut self) {
         self.now += STEP_MS;
-        self.lapse_workers();
+        self.expire_leases();
         while let Some(entry) = self.events.first_entry()
             && entry.key().0 <= self.now
         {
             let event = entry.remove();
-            self.carry_out(event);
+            self.handle_event(event);
         }
         for number in 0..self.owners.len() {
             if !self.owners[number].alive {
@@ -240,53 +241,53 @@
             }
             let (now, unix) = self.clocks();
             for effect in self.owners[number].machine.step(now, unix) {
-                self.take_effect(number, effect);
+                self.execute_effect(number, effect);
             }
         }
     }
 
     fn clocks(&self) -> (Instant, Unix) {
-        (Instant::from_millis(self.now), Unix::from_millis(UNIX_START + self.now))
+        (Instant::from_millis(self.now), Unix::from_millis(UNIX_START_MS + self.now))
     }
 
     fn schedule(&mut self, delay: u64, event: Event) {
-        self.serial += 1;
-        self.events.insert((self.now + delay, self.serial), event);
+        self.event_count += 1;
+        self.events.insert((self.now + delay, self.event_count), event);
     }
 
     fn chance(&mut self, share: f64) -> bool {
-        !self.calm && self.rng.random_bool(share)
+        !self.faults_ended && self.rng.random_bool(share)
     }
 
-    fn take_effect(&mut self, owner: usize, effect: Effect) {
+    fn execute_effect(&mut self, owner: usize, effect: Effect) {
         let delay = self.rng.random_range(1..6);
         let sent = self.now;
         match effect {
             Effect::Append { sequence, batch } => {
                 let epoch = self.owners[owner].machine.epoch;
-                let lost = self.faults.lost_appends;
+                let lost = self.faults.lost_append_answers;
                 let answered = !self.chance(lost);
                 let event = Event::Append { owner, sequence, batch, epoch, sent, answered };
                 self.schedule(delay + 4, event);
             }
             Effect::Poll { worker, poll, .. } => {
-                self.order(owner, worker.to_string(), Order::Look(poll), delay);
+                self.send_call(owner, worker.to_string(), WorkerCall::Poll(poll), delay);
             }
             Effect::Start { worker, start, .. } => {
-                self.order(owner, worker.to_string(), Order::Start(start), delay);
+                self.send_call(owner, worker.to_string(), WorkerCall::Start(start), delay);
             }
             Effect::Stop { worker, run, .. } => {
                 let epoch = self.owners[owner].machine.epoch;
-                self.order(owner, worker.to_string(), Order::Stop(run, epoch), delay);
+                self.send_call(owner, worker.to_string(), WorkerCall::Stop(run, epoch), delay);
             }
             Effect::QueryPolicy(_) => {}
-            Effect::Reply { id, answer } => self.answered(owner, id, answer),
-            Effect::Save(base) => self.saved = Some(base),
+            Effect::Reply { id, answer } => self.handle_answer(owner, id, answer),
+            Effect::Save(snapshot) => self.saved = Some(snapshot),
             Effect::StepDown { .. } => self.owners[owner].alive = false,
         }
     }
 
-    fn carry_out(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Owner { owner, message } => {
                 let (now, unix) = self.clocks();
@@ -297,11 +298,11 @@
             Event::Append { owner, sequence, batch, epoch, sent, answered } => {
                 self.append(owner, sequence, batch, epoch, sent, answered);
             }
-            Event::Worker { owner, worker, order, sent, answered } => {
-                self.deliver(owner, &worker, &order, sent, answered);
+            Event::Worker { owner, worker, call, sent, answered } => {
+                self.deliver(owner, &worker, &call, sent, answered);
             }
             Event::Finish { worker, run } => self.finish(&worker, run),
-            Event::Alone { worker, run } => self.alone(&worker, run),
+            Event::GangTimeout { worker, run } => self.time_out_gang(&worker, run),
             Event::Crash { worker, run } => self.crash(worker, run),
             Event::Restart { number } => self.restart(number),
         }
@@ -322,7 +323,7 @@
             Err(AppendError::Fenced)
         } else if sequence == self.sequence + 1 {
             self.sequence = sequence;
-            self.note_records(&batch);
+            self.observe_records(&batch);
             self.journal.push(batch);
             Ok(self.journal.len() as u64)
         } else {
@@ -335,18 +336,18 @@
         self.schedule(delay, Event::Owner { owner, message });
     }
 
-    fn note_records(&mut self, batch: &Bytes) {
+    fn observe_records(&mut self, batch: &Bytes) {
         use oriolefork::cell::record::Record;
         let batch: Batch = codec::decode(batch).expect("a batch");
         for record in batch.records {
             match record {
                 Record::Cancelled { job } => {
-                    if let Some(watched) = self.jobs.get_mut(&job) {
-                        watched.cancelled_at.get_or_insert(self.now);
+                    if let Some(submitted) = self.jobs.get_mut(&job) {
+                        submitted.cancelled_at.get_or_insert(self.now);
                     }
                 }
                 Record::Ended { run, outcome: RunOutcome::Succeeded, .. } => {
-                    self.done_noted.insert(run.task);
+                    self.recorded_successes.insert(run.task);
                 }
                 Record::Ended { run, outcome: RunOutcome::Failed, .. } => {
                     self.failures.entry(run.task).or_default().insert(run.number);
@@ -356,18 +357,18 @@
         }
     }
 
-    fn answered(&mut self, owner: usize, call: u64, answer: Answer) {
+    fn handle_answer(&mut self, owner: usize, call: u64, answer: Answer) {
         let Some(id) = self.calls.remove(&(owner, call)) else { return };
         if answer == Answer::Accepted
-            && let Some(watched) = self.jobs.get_mut(&id)
+            && let Some(submitted) = self.jobs.get_mut(&id)
         {
-            watched.accepted = true;
+            submitted.accepted = true;
         }
     }
 }
 
 /// Name of a worker's life: every other worker starts again under the name that it had.
-fn name(number: usize, life: u32) -> String {
+fn name(number: usize, incarnation: u32) -> String {
     let separator = if number.is_multiple_of(2) { '-' } else { '@' };
-    format!("w{number}{separator}{life}")
+    format!("w{number}{separator}{incarnation}")
 }
--- a/tests/logic/cell/world/orders.rs
+++ b/tests/logic/cell/simulation/worker_calls.rs
@@ -7,31 +7,37 @@
 use oriolefork::resource::Amount;
 use rand::Rng;
 
-use super::{Event, Order, World};
+use super::{Event, Simulation, WorkerCall};
 use crate::cell::upstream::Upstream;
 
 /// Time from the start of a task that crashes its worker to the crash.
 const CRASH_MS: u64 = 10;
 
-impl World {
-    pub(super) fn order(&mut self, owner: usize, worker: String, order: Order, delay: u64) {
+impl Simulation {
+    pub(super) fn send_call(&mut self, owner: usize, worker: String, call: WorkerCall, delay: u64) {
         let sent = self.now;
-        let late = self.faults.late;
+        let late = self.faults.delayed_calls;
         if self.chance(late) {
             // No answer, and carried out seconds later.
             let delay = self.rng.random_range(2_000..12_000);
-            self.no_answer(owner, &worker, &order, sent);
-            let event = Event::Worker { owner, worker, order, sent, answered: false };
+            self.reply_unknown(owner, &worker, &call, sent);
+            let event = Event::Worker { owner, worker, call, sent, answered: false };
             self.schedule(delay, event);
         } else {
-            let event = Event::Worker { owner, worker, order, sent, answered: true };
+            let event = Event::Worker { owner, worker, call, sent, answered: true };
             self.schedule(delay, event);
         }
     }
 
-    pub(super) fn no_answer(&mut self, owner: usize, worker: &str, order: &Order, sent: u64) {
+    pub(super) fn reply_unknown(
+        &mut self,
+        owner: usize,
+        worker: &str,
+        call: &WorkerCall,
+        sent: u64,
+    ) {
         let fault = || WorkerError::Unknown("timeout".to_owned());
-        let message = reply(worker, order, sent, Err(fault()), Err(fault()));
+        let message = reply(worker, call, sent, Err(fault()), Err(fault()));
         self.schedule(400, Event::Owner { owner, message });
     }
 
@@ -39,14 +45,14 @@
         &mut self,
         owner: usize,
         worker: &str,
-        order: &Order,
+        call: &WorkerCall,
         sent: u64,
         answered: bool,
     ) {
         if self.down.contains(worker) {
             if answered {
                 let refused = || WorkerError::NotSent("connection refused".to_owned());
-                let message = reply(worker, order, sent, Err(refused()), Err(refused()));
+                let message = reply(worker, call, sent, Err(refused()), Err(refused()));
                 self.schedule(2, Event::Owner { owner, message });
             }
             return;
@@ -55,7 +61,7 @@
             if answered {
                 let message = reply(
                     worker,
-                    order,
+                    call,
                     sent,
                     Err(WorkerError::OtherIncarnation),
                     Err(WorkerError::OtherIncarnation),
@@ -66,64 +72,64 @@
         };
         if !upstream.reachable {
             if answered {
-                self.no_answer(owner, worker, order, sent);
+                self.reply_unknown(owner, worker, call, sent);
             }
             return;
         }
-        if upstream.resetting && answered && !matches!(order, Order::Look(_)) {
+        if upstream.resets_commands && answered && !matches!(call, WorkerCall::Poll(_)) {
             let reset = || Err(WorkerError::Unknown("connection reset".to_owned()));
-            let message = reply(worker, order, sent, Ok(Default::default()), reset());
+            let message = reply(worker, call, sent, Ok(Default::default()), reset());
             return self.schedule(2, Event::Owner { owner, message });
         }
         let now = self.now;
         let clock = upstream.clock_ms(now);
-        let message = match order {
-            Order::Look(look) => {
-                let report = upstream.look(look, now);
-                reply(worker, order, sent, report, Ok(clock))
+        let message = match call {
+            WorkerCall::Poll(poll) => {
+                let report = upstream.poll(poll, now);
+                reply(worker, call, sent, report, Ok(clock))
             }
-            Order::Stop(run, epoch) => {
+            WorkerCall::Stop(run, epoch) => {
                 let stopped = upstream.stop(*run, *epoch);
                 if stopped == Ok(true) {
-                    self.break_gang(run);
+                    self.end_gang_members(run);
                 }
-                reply(worker, order, sent, Ok(Default::default()), stopped.map(|_| clock))
+                reply(worker, call, sent, Ok(Default::default()), stopped.map(|_| clock))
             }
-            Order::Start(start) => {
+            WorkerCall::Start(start) => {
                 let demand = demand(start);
                 let started = upstream.start(start, demand, now);
                 if started == Ok(true) {
                     self.check_start(worker, start, sent);
-                    self.begin(worker, start);
+                    self.begin_run(worker, start);
                 }
-                reply(worker, order, sent, Ok(Default::default()), started.map(|_| clock))
+                reply(worker, call, sent, Ok(Default::default()), started.map(|_| clock))
             }
         };
         if answered {
-            let wait = match order {
-                Order::Look(look) => (look.max_wait.as_millis() as u64).min(100),
+            let wait = match call {
+                WorkerCall::Poll(poll) => (poll.max_wait.as_millis() as u64).min(100),
                 _ => 0,
             };
             self.schedule(2 + wait, Event::Owner { owner, message });
         }
     }
 
-    pub(super) fn begin(&mut self, worker: &str, start: &StartCommand) {
+    pub(super) fn begin_run(&mut self, worker: &str, start: &StartCommand) {
         let run = start.run;
-        let model = &start.job.steps[run.task.step.step as usize];
-        if self.jobs[&run.task.step.job].crashes && run.task.index == 0 {
+        let step = &start.job.steps[run.task.step.step as usize];
+        if self.jobs[&run.task.step.job].crashes_workers && run.task.index == 0 {
             return self.schedule(CRASH_MS, Event::Crash { worker: worker.to_owned(), run });
         }
-        let took = self.rng.random_range(50..800);
-        if !model.gang {
-            return self.schedule(took, Event::Finish { worker: worker.to_owned(), run });
+        let duration = self.rng.random_range(50..800);
+        if !step.gang {
+            return self.schedule(duration, Event::Finish { worker: worker.to_owned(), run });
         }
         let members: Vec<(String, Run)> = self.members(&run);
-        if members.len() == model.count as usize {
+        if members.len() == step.count as usize {
             let (worker, run) = members[0].clone();
-            self.schedule(took, Event::Finish { worker, run });
+            self.schedule(duration, Event::Finish { worker, run });
         } else {
-            self.schedule(3_000, Event::Alone { worker: worker.to_owned(), run });
+            self.schedule(3_000, Event::GangTimeout { worker: worker.to_owned(), run });
         }
     }
 
@@ -156,14 +162,14 @@
             let Some(upstream) = self.workers.get_mut(&worker) else { continue };
             upstream.end(member, end);
             if end == RunOutcome::Succeeded {
-                self.done.insert(member.task, self.now);
+                self.succeeded_at.insert(member.task, self.now);
             }
         }
     }
 
-    pub(super) fn alone(&mut self, worker: &str, run: Run) {
-        let model = &self.jobs[&run.task.step.job].job.steps[run.task.step.step as usize];
-        let together = self.members(&run).len() == model.count as usize;
+    pub(super) fn time_out_gang(&mut self, worker: &str, run: Run) {
+        let step = &self.jobs[&run.task.step.job].job.steps[run.task.step.step as usize];
+        let together = self.members(&run).len() == step.count as usize;
         if let Some(upstream) = self.workers.get_mut(worker)
             && !together
         {
@@ -171,17 +177,17 @@
         }
     }
 
-    pub(super) fn lapse_workers(&mut self) {
+    pub(super) fn expire_leases(&mut self) {
         let now = self.now;
-        let lapsed: Vec<Run> =
-            self.workers.values_mut().flat_map(|upstream| upstream.lapse(now)).collect();
-        for run in lapsed {
-            self.break_gang(&run);
+        let expired: Vec<Run> =
+            self.workers.values_mut().flat_map(|upstream| upstream.expire_lease(now)).collect();
+        for run in expired {
+            self.end_gang_members(&run);
         }
     }
 
     /// The members of a gang end with the first of them.
-    pub(super) fn break_gang(&mut self, run: &Run) {
+    pub(super) fn end_gang_members(&mut self, run: &Run) {
         let step = run.task.step;
         if !self.jobs[&step.job].job.steps[step.step as usize].gang {
             return;
@@ -200,17 +206,17 @@
 
 fn reply(
     worker: &str,
-    order: &Order,
+    call: &WorkerCall,
     sent: u64,
     report: Result<oriolefork::cell::dependencies::PollReport, WorkerError>,
     clock: Result<u64, WorkerError>,
 ) -> Message {
     let worker = worker.into();
-    match order {
-        Order::Look(_) => {
+    match call {
+        WorkerCall::Poll(_) => {
             Message::Polled { worker, sent: Instant::from_millis(sent), outcome: report }
         }
-        Order::Start(start) => Message::Started { worker, run: start.run, outcome: clock },
-        Order::Stop(run, _) => Message::Stopped { worker, run: *run, outcome: clock },
+        WorkerCall::Start(start) => Message::Started { worker, run: start.run, outcome: clock },
+        WorkerCall::Stop(run, _) => Message::Stopped { worker, run: *run, outcome: clock },
     }
 }
--- a/tests/logic/cell/sizes.rs
+++ b/tests/logic/cell/sizes.rs
@@ -2,7 +2,7 @@
 
 use test_case::test_case;
 
-use super::mix::{Day, SITES};
+use super::mix::{SITES, Scenario};
 use super::replay::Replay;
 
 /// Kind of the jobs that are gangs, among those of a site.
@@ -16,14 +16,14 @@
 /// come too late and are then passed over, while a third of the room stands empty. A wide gang was asked
 /// about a hundred workers at a time, and its first tickets expired before the last answer came; asked
 /// about all it needs at once, it is served in the bursts and the loss below, as narrow ones are.
-#[test_case(Day::Burst, 2; "in_a_burst")]
-#[test_case(Day::Flood, 1; "in_a_flood")]
-#[test_case(Day::Flood, 4; "in_another_flood")]
-#[test_case(Day::Burst, 11; "in_another_burst")]
-#[test_case(Day::Burst, 18; "in_a_third_burst")]
-#[test_case(Day::Loss, 8; "while_workers_are_lost")]
-fn largest_gangs_served(day: Day, seed: u64) {
+#[test_case(Scenario::Burst, 2; "in_a_burst")]
+#[test_case(Scenario::Flood, 1; "in_a_flood")]
+#[test_case(Scenario::Flood, 4; "in_another_flood")]
+#[test_case(Scenario::Burst, 11; "in_another_burst")]
+#[test_case(Scenario::Burst, 18; "in_a_third_burst")]
+#[test_case(Scenario::Loss, 8; "while_workers_are_lost")]
+fn largest_gangs_served(scenario: Scenario, seed: u64) {
     let site = SITES.iter().find(|site| site.label == WIDE).expect("a site");
-    let share = Replay::new(site, day, seed).run().shares[GANGS];
+    let share = Replay::new(site, scenario, seed).run().shares[GANGS];
     assert!(share.largest >= share.all / 2.0, "{share:?}");
 }
--- a/tests/logic/cell/standstill.rs
+++ b/tests/logic/cell/starvation.rs
@@ -8,8 +8,8 @@
 use oriolefork::cell::queue::{PolicyTiming, Queue, QueueConfig};
 use test_case::test_case;
 
+use super::harness::{OwnerHarness, WORKER_CLOCK_MS};
 use super::model::{self, cores, id};
-use super::story::{Story, WORKER_CLOCK};
 
 /// Queue of gangs: each question about 100 workers takes a second.
 const WIDE: (&str, PolicyTiming) =
@@ -23,7 +23,7 @@
 const WORKERS: usize = 100;
 
 /// Instances that can ask.
-const ASKERS: u16 = 10;
+const PROXIES: u16 = 10;
 
 /// Gangs that find no room, and jobs of one small task each.
 const GANGS: u64 = 60;
@@ -34,84 +34,91 @@
 
 /// A cell with a policy service that answers each instance one question at a time.
 struct Site {
-    story: Story,
+    harness: OwnerHarness,
     /// Questions under way with the time of their answer.
-    asked: Vec<(u64, PolicyQuery)>,
-    advice: Vec<(&'static str, PolicyTiming)>,
+    pending: Vec<(u64, PolicyQuery)>,
+    policy_timings: Vec<(&'static str, PolicyTiming)>,
 }
 
 impl Site {
     /// `target_ms` is the time that small jobs may take.
     fn begin(target_ms: u64) -> Self {
-        let mut story = Story::begin(WORKERS);
-        let table = model::table();
-        let plain = table.queues[0].clone();
-        let advised = [WIDE, SMALL].into_iter().enumerate().map(|(priority, (name, advice))| {
-            let (name, priority) = (name.to_owned(), priority as u32);
-            Rc::new(Queue {
-                name,
-                priority,
-                target_ms,
-                policy: Some(advice),
-                ..Queue::clone(&plain)
-            })
-        });
-        let queues = [plain.clone()].into_iter().chain(advised).collect();
-        let table = QueueConfig { version: 2, queues, services: table.services.clone() };
-        story.tell(Message::ConfigChanged(Rc::new(table)));
-        Self { story, asked: Vec::new(), advice: vec![WIDE, SMALL] }
+        let mut harness = OwnerHarness::new(WORKERS);
+        let config = model::queue_config();
+        let plain = config.queues[0].clone();
+        let limited =
+            [WIDE, SMALL].into_iter().enumerate().map(|(priority, (name, policy_timings))| {
+                let (name, priority) = (name.to_owned(), priority as u32);
+                Rc::new(Queue {
+                    name,
+                    priority,
+                    target_ms,
+                    policy: Some(policy_timings),
+                    ..Queue::clone(&plain)
+                })
+            });
+        let queues = [plain.clone()].into_iter().chain(limited).collect();
+        let config = QueueConfig { version: 2, queues, services: config.services.clone() };
+        harness.deliver(Message::ConfigChanged(Rc::new(config)));
+        Self { harness, pending: Vec::new(), policy_timings: vec![WIDE, SMALL] }
     }
 
     fn submit(&mut self, number: u64, queue: &str, step: Step) {
         let job = Job { queue: queue.to_owned(), ..model::job(number, step) };
-        self.story.tell(Message::Call { id: number, call: Call::Submit(job) });
+        self.harness.deliver(Message::Call { id: number, call: Call::Submit(job) });
     }
 
     /// Takes one core of every worker for as long as the test runs.
     fn occupy(&mut self) {
         let step = Step { max_per_worker: 1, ..model::step(WORKERS as u32, cores(1)) };
-        self.story.running(999_999, step);
+        self.harness.start_job(999_999, step);
     }
 
     /// Lets time pass; instances are there, the store takes all, starts and questions are answered.
     fn run(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
-            (1..=ASKERS).for_each(|asker| self.story.present(asker));
-            self.story.pass(9);
-            self.story.store_all();
-            for start in self.story.starts() {
-                self.story.started(&start, Ok(WORKER_CLOCK + self.story.now));
+            (1..=PROXIES).for_each(|asker| self.harness.see_instance(asker));
+            self.harness.advance(9);
+            self.harness.complete_appends();
+            for start in self.harness.drain_starts() {
+                self.harness.answer_start(&start, Ok(WORKER_CLOCK_MS + self.harness.now));
             }
-            self.answer();
+            self.answer_queries();
         }
     }
 
-    fn answer(&mut self) {
-        let now = self.story.now;
-        for question in self.story.questions() {
-            let took = self.time_for(&question);
-            self.asked.push((now + took, question));
+    fn answer_queries(&mut self) {
+        let now = self.harness.now;
+        for query in self.harness.drain_queries() {
+            let took = self.answer_delay_ms(&query);
+            self.pending.push((now + took, query));
         }
-        let (due, out): (Vec<_>, Vec<_>) = self.asked.drain(..).partition(|(at, _)| *at <= now);
-        self.asked = out;
-        for (_, question) in due {
-            let workers = question.workers.iter().map(|worker| (worker.clone(), "t".to_owned()));
+        let (due, out): (Vec<_>, Vec<_>) = self.pending.drain(..).partition(|(at, _)| *at <= now);
+        self.pending = out;
+        for (_, query) in due {
+            let workers = query.workers.iter().map(|worker| (worker.clone(), "t".to_owned()));
             let allowed = Eligibility { workers: workers.collect(), valid_ms: None };
-            self.story
-                .tell(Message::PolicyAnswered { query: question.number, allowed: Some(allowed) });
+            self.harness
+                .deliver(Message::PolicyAnswered { query: query.number, allowed: Some(allowed) });
         }
     }
 
-    fn time_for(&self, question: &PolicyQuery) -> u64 {
-        let job = &self.story.machine.state.jobs[&question.step.job].job;
-        let advice = self.advice.iter().find(|(name, _)| *name == job.queue).expect("advice").1;
-        (advice.decide_ms + advice.per_worker_ms * question.workers.len() as f64) as u64
+    fn answer_delay_ms(&self, query: &PolicyQuery) -> u64 {
+        let job = &self.harness.machine.state.jobs[&query.step.job].job;
+        let policy_timings = self
+            .policy_timings
+            .iter()
+            .find(|(name, _)| *name == job.queue)
+            .expect("policy timing")
+            .1;
+        (policy_timings.decide_ms + policy_timings.per_worker_ms * query.workers.len() as f64)
+            as u64
     }
 
     /// Jobs among `numbers` that no task was placed for.
     fn waiting(&self, numbers: std::ops::Range<u64>) -> usize {
         let placed = |number: &u64| {
-            let entry = &self.story.machine.state.jobs[&id(*number)];
+            let entry = &self.harness.machine.state.jobs[&id(*number)];
             entry
                 .open
                 .values()
@@ -126,8 +133,8 @@
 /// questions and first in rank. All instances are busy for them, and small tasks wait for half a
 /// minute beside workers that are nearly free, without one question asked for them.
 #[test_case(60_000; "on_time")]
-#[test_case(0; "worthless")]
-fn small_tasks_are_asked_about_beside_gangs(target_ms: u64) {
+#[test_case(0; "late_without_worth")]
+fn small_tasks_are_placed_beside_waiting_gangs(target_ms: u64) {
     let mut site = Site::begin(target_ms);
     site.occupy();
     let gang = Step { gang: true, estimate_ms: 60_000, ..model::step(10, cores(8)) };
@@ -141,14 +148,14 @@
     }
     site.run(BOUND_MS);
     assert_eq!(site.waiting(1_000..1_000 + GANGS), GANGS as usize, "no gang fits");
-    assert_eq!(site.waiting(5_000..5_000 + JOBS), 0, "small tasks that stand still");
+    assert_eq!(site.waiting(5_000..5_000 + JOBS), 0, "small tasks not placed");
 }
 
 /// A gang comes that never fits: a little runs on every worker. It waits at the head of its queue, asks
 /// about all workers again and again, and the narrow gangs behind it, for which there is room, wait for
 /// as long as it does.
 #[test_case(60_000; "on_time")]
-#[test_case(0; "worthless")]
+#[test_case(0; "late_without_worth")]
 fn narrow_gangs_are_placed_beside_one_that_never_fits(target_ms: u64) {
     let mut site = Site::begin(target_ms);
     site.occupy();
@@ -163,5 +170,5 @@
     }
     site.run(2 * BOUND_MS);
     assert_eq!(site.waiting(1_000..1_003), 3, "no wide gang fits");
-    assert_eq!(site.waiting(5_000..5_005), 0, "narrow gangs that stand still");
+    assert_eq!(site.waiting(5_000..5_005), 0, "narrow gangs not placed");
 }
--- a/tests/logic/cell/state.rs
+++ b/tests/logic/cell/state.rs
@@ -31,8 +31,8 @@
 }
 
 fn end(state: &mut State, run: Run, end: RunOutcome) {
-    let (worker, saved) = ("w0".into(), String::new());
-    state.apply(Record::Ended { run, worker, outcome: end, checkpoint: saved }, AT);
+    let (worker, checkpoint) = ("w0".into(), String::new());
+    state.apply(Record::Ended { run, worker, outcome: end, checkpoint }, AT);
 }
 
 fn phase(state: &State, number: u64) -> Phase {
@@ -50,14 +50,14 @@
         (run(1, 0, 2), RunOutcome::WorkerLost),
         (run(1, 1, 1), RunOutcome::Succeeded),
     ];
-    for (run, how) in records {
+    for (run, outcome) in records {
         place(&mut state, run);
-        end(&mut state, run, how);
+        end(&mut state, run, outcome);
     }
     let before = state.clone();
-    for (run, how) in records {
+    for (run, outcome) in records {
         place(&mut state, run);
-        end(&mut state, run, how);
+        end(&mut state, run, outcome);
     }
     assert_eq!(state, before);
 }
@@ -72,7 +72,7 @@
 
 /// One end speaks for the whole gang, but the other members hold their room until they are listed.
 #[test]
-fn gang_done_with_one_end() {
+fn gang_completes_with_one_outcome() {
     let mut state = State::default();
     accept(&mut state, 1, Step { gang: true, ..model::step(2, cores(1)) });
     place(&mut state, run(1, 0, 1));
@@ -89,7 +89,7 @@
 /// fit into one append, no state could be saved, and the cell could not be taken over once the
 /// journal's first records are dropped.
 #[test]
-fn ended_jobs_take_little() {
+fn ended_jobs_are_compacted() {
     let mut state = State::default();
     for number in 0..5_000 {
         accept(&mut state, number, model::step(2, cores(1)));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn cancelled_job_is_stripped_with_its_last_try() {
+fn cancelled_job_is_compacted_after_its_last_run() {
     let mut state = State::default();
     accept(&mut state, 1, model::step(1, cores(1)));
     place(&mut state, run(1, 0, 1));
--- a/tests/logic/cell/succession.rs
+++ b/tests/logic/cell/succession.rs
@@ -7,7 +7,7 @@
 use oriolefork::clock::Instant;
 use test_case::test_case;
 
-use super::story::Story;
+use super::harness::OwnerHarness;
 
 /// Failure domains of a large site, and the instances in each.
 const DOMAINS: u8 = 5;
@@ -21,15 +21,15 @@
 #[test_case(3; "with_few_strong_ones")]
 #[test_case(20; "with_many_strong_ones")]
 fn succession_begins_in_different_domains(strong: u8) {
-    let mut story = Story::begin(1);
+    let mut harness = OwnerHarness::new(1);
     for domain in 0..DOMAINS {
         for number in 0..20 {
             let strength = if number < strong { 500 } else { 120 };
             let (peer, domain) = (peer(domain, number), format!("hall-{domain}").into());
-            story.tell(Message::InstanceSeen { peer, strength, domain });
+            harness.deliver(Message::InstanceSeen { peer, strength, domain });
         }
     }
-    let order = story.machine.present_instances(Instant::from_millis(story.now));
+    let order = harness.machine.present_instances(Instant::from_millis(harness.now));
     let domain = |peer: &SocketAddr| match peer.ip() {
         std::net::IpAddr::V4(ip) => ip.octets()[1],
         std::net::IpAddr::V6(_) => unreachable!("all have version 4"),
@@ -42,13 +42,13 @@
 /// by: those of the most processor come first, whatever their failure domain.
 #[test]
 fn succession_begins_with_the_strongest() {
-    let mut story = Story::begin(1);
+    let mut harness = OwnerHarness::new(1);
     let names = ["hall-0", "hall-0", "hall-1"];
     for (number, (strength, domain)) in [120, 500, 500].into_iter().zip(names).enumerate() {
         let peer = peer(0, number as u8);
-        story.tell(Message::InstanceSeen { peer, strength, domain: domain.into() });
+        harness.deliver(Message::InstanceSeen { peer, strength, domain: domain.into() });
     }
-    let order = story.machine.present_instances(Instant::from_millis(story.now));
+    let order = harness.machine.present_instances(Instant::from_millis(harness.now));
     assert_eq!(order, [peer(0, 1), peer(0, 2), peer(0, 0)]);
 }
 
@@ -56,23 +56,23 @@
 /// had no time left to place anything: an instance that knows the order is told it by a digest.
 #[test]
 fn succession_keeps_its_digest_until_it_changes() {
-    let mut story = Story::begin(1);
-    let present = |story: &mut Story, number: u8| {
+    let mut harness = OwnerHarness::new(1);
+    let present = |harness: &mut OwnerHarness, number: u8| {
         let peer = peer(0, number);
-        story.tell(Message::InstanceSeen { peer, strength: 500, domain: "hall".into() });
+        harness.deliver(Message::InstanceSeen { peer, strength: 500, domain: "hall".into() });
     };
-    (0..3).for_each(|number| present(&mut story, number));
-    story.pass(200);
-    let all = story.machine.succession().clone();
+    (0..3).for_each(|number| present(&mut harness, number));
+    harness.advance(200);
+    let all = harness.machine.succession().clone();
     assert_eq!(all.order.len(), 3);
-    (0..3).for_each(|number| present(&mut story, number));
-    story.pass(200);
-    assert_eq!(story.machine.succession().digest, all.digest);
+    (0..3).for_each(|number| present(&mut harness, number));
+    harness.advance(200);
+    assert_eq!(harness.machine.succession().digest, all.digest);
     for _ in 0..10 {
-        (0..2).for_each(|number| present(&mut story, number));
-        story.pass(200);
+        (0..2).for_each(|number| present(&mut harness, number));
+        harness.advance(200);
     }
-    let left = story.machine.succession();
+    let left = harness.machine.succession();
     assert_eq!(left.order.len(), 2);
     assert_ne!(left.digest, all.digest);
 }
--- a/tests/logic/cell/upstream.rs
+++ b/tests/logic/cell/upstream.rs
@@ -11,14 +11,14 @@
 use oriolefork::resource::Amount;
 
 /// Share by which the clock runs slow.
-const SLOW: f64 = 0.98;
+const CLOCK_RATE: f64 = 0.98;
 
 /// Longest lease that is granted, in milliseconds.
-const LEASE_CAP_MS: u64 = 10_000;
+const MAX_LEASE_MS: u64 = 10_000;
 
 /// Time for which the room before still counts once a worker has shrunk: a machine's contact with the
 /// platform and one heartbeat.
-const SHRUNK_MS: u64 = 4_500;
+const CAPACITY_GRACE_MS: u64 = 4_500;
 
 /// One life of a worker.
 pub struct Upstream {
@@ -26,18 +26,18 @@
     /// Whether messages reach it.
     pub reachable: bool,
     /// Whether it resets orders and answers looks alone.
-    pub resetting: bool,
+    pub resets_commands: bool,
     pub runs: BTreeMap<Run, Amount>,
     offset_ms: u64,
-    fence: Epoch,
-    until_ms: u64,
+    highest_epoch: Epoch,
+    lease_until_ms: u64,
     ended: Vec<EndedRun>,
     last_number: u64,
-    forgotten: u64,
+    acked_end: u64,
     /// Highest try of each task that ended or was stopped here.
-    over: BTreeMap<TaskKey, u32>,
+    last_ended_run: BTreeMap<TaskKey, u32>,
     /// What it had before it shrank, and until when that still counts.
-    shrunk: Vec<(Amount, u64)>,
+    previous_capacities: Vec<(Amount, u64)>,
 }
 
 impl Upstream {
@@ -45,36 +45,43 @@
         Self {
             capacity,
             reachable: true,
-            resetting: false,
+            resets_commands: false,
             runs: BTreeMap::new(),
             offset_ms,
-            fence: Epoch(0),
-            until_ms: 0,
+            highest_epoch: Epoch(0),
+            lease_until_ms: 0,
             ended: Vec::new(),
             last_number: 0,
-            forgotten: 0,
-            over: BTreeMap::new(),
-            shrunk: Vec::new(),
+            acked_end: 0,
+            last_ended_run: BTreeMap::new(),
+            previous_capacities: Vec::new(),
         }
     }
 
     pub fn clock_ms(&self, now: u64) -> u64 {
-        self.offset_ms + (now as f64 * SLOW) as u64
+        self.offset_ms + (now as f64 * CLOCK_RATE) as u64
     }
 
     pub fn resize(&mut self, capacity: Amount, now: u64) {
-        self.shrunk.retain(|(_, until)| *until > now);
-        self.shrunk.push((self.capacity, now + SHRUNK_MS));
+        self.previous_capacities.retain(|(_, until)| *until > now);
+        self.previous_capacities.push((self.capacity, now + CAPACITY_GRACE_MS));
         self.capacity = capacity;
     }
 
     /// What a start may bring it to: the largest of what it has and had lately.
-    pub fn granted(&self, now: u64) -> Amount {
-        let lately = self.shrunk.iter().filter(|(_, until)| *until > now).map(|(room, _)| *room);
-        lately.fold(self.capacity, |most, room| if most.fits(&room) { room } else { most })
+    pub fn max_allocation(&self, now: u64) -> Amount {
+        let recent = self
+            .previous_capacities
+            .iter()
+            .filter(|(_, until)| *until > now)
+            .map(|(capacity, _)| *capacity);
+        recent.fold(
+            self.capacity,
+            |most, capacity| if most.fits(&capacity) { capacity } else { most },
+        )
     }
 
-    pub fn used(&self) -> Amount {
+    pub fn allocated(&self) -> Amount {
         self.runs.values().fold(Amount::ZERO, |sum, demand| Amount {
             cpu_millis: sum.cpu_millis + demand.cpu_millis,
             memory_mib: sum.memory_mib + demand.memory_mib,
@@ -83,8 +90,8 @@
     }
 
     /// Ends what runs without a lease and returns it.
-    pub fn lapse(&mut self, now: u64) -> Vec<Run> {
-        if self.clock_ms(now) <= self.until_ms || self.runs.is_empty() {
+    pub fn expire_lease(&mut self, now: u64) -> Vec<Run> {
+        if self.clock_ms(now) <= self.lease_until_ms || self.runs.is_empty() {
             return Vec::new();
         }
         let runs: Vec<Run> = self.runs.keys().copied().collect();
@@ -94,12 +101,12 @@
         runs
     }
 
-    pub fn look(&mut self, look: &PollRequest, now: u64) -> Result<PollReport, WorkerError> {
-        self.check(look.epoch)?;
-        self.extend(look.lease_until_ms, now);
-        self.forgotten = self.forgotten.max(look.acked_end);
-        let forgotten = self.forgotten;
-        self.ended.retain(|end| end.number > forgotten);
+    pub fn poll(&mut self, poll: &PollRequest, now: u64) -> Result<PollReport, WorkerError> {
+        self.check_epoch(poll.epoch)?;
+        self.extend_lease(poll.lease_until_ms, now);
+        self.acked_end = self.acked_end.max(poll.acked_end);
+        let acked_end = self.acked_end;
+        self.ended.retain(|end| end.number > acked_end);
         let running =
             |run: &Run| RunStatus { run: *run, checkpoint: String::new(), percent: 0, load: 0 };
         Ok(PollReport {
@@ -117,36 +124,36 @@
         demand: Amount,
         now: u64,
     ) -> Result<bool, WorkerError> {
-        self.check(start.epoch)?;
+        self.check_epoch(start.epoch)?;
         if self.runs.contains_key(&start.run) {
             return Ok(false);
         }
-        let over = self.over.get(&start.run.task).copied().unwrap_or(0);
-        if start.run.number <= over {
-            self.extend(Some(start.lease_until_ms), now);
+        let last_ended_run = self.last_ended_run.get(&start.run.task).copied().unwrap_or(0);
+        if start.run.number <= last_ended_run {
+            self.extend_lease(Some(start.lease_until_ms), now);
             return Err(WorkerError::RunEnded);
         }
         if start.lease_until_ms <= self.clock_ms(now) {
             return Err(WorkerError::LeaseExpired);
         }
-        self.extend(Some(start.lease_until_ms), now);
+        self.extend_lease(Some(start.lease_until_ms), now);
         self.runs.insert(start.run, demand);
         Ok(true)
     }
 
     pub fn stop(&mut self, run: Run, epoch: Epoch) -> Result<bool, WorkerError> {
-        self.check(epoch)?;
-        let ran = self.runs.contains_key(&run);
-        if ran {
+        self.check_epoch(epoch)?;
+        let was_running = self.runs.contains_key(&run);
+        if was_running {
             self.end(run, RunOutcome::Stopped);
         }
-        let over = self.over.entry(run.task).or_insert(0);
-        *over = (*over).max(run.number);
-        Ok(ran)
+        let last_ended_run = self.last_ended_run.entry(run.task).or_insert(0);
+        *last_ended_run = (*last_ended_run).max(run.number);
+        Ok(was_running)
     }
 
     /// Whether the owner has been told that it need not hear of an end again.
-    pub fn has_forgotten_all(&self) -> bool {
+    pub fn has_no_unacked_ends(&self) -> bool {
         self.ended.is_empty()
     }
 
@@ -157,22 +164,22 @@
         self.last_number += 1;
         let number = self.last_number;
         self.ended.push(EndedRun { number, run, outcome: end, checkpoint: String::new() });
-        let over = self.over.entry(run.task).or_insert(0);
-        *over = (*over).max(run.number);
+        let last_ended_run = self.last_ended_run.entry(run.task).or_insert(0);
+        *last_ended_run = (*last_ended_run).max(run.number);
     }
 
-    fn check(&mut self, epoch: Epoch) -> Result<(), WorkerError> {
-        if epoch < self.fence {
+    fn check_epoch(&mut self, epoch: Epoch) -> Result<(), WorkerError> {
+        if epoch < self.highest_epoch {
             return Err(WorkerError::Fenced);
         }
-        self.fence = epoch;
+        self.highest_epoch = epoch;
         Ok(())
     }
 
-    fn extend(&mut self, until_ms: Option<u64>, now: u64) {
-        let cap = self.clock_ms(now) + LEASE_CAP_MS;
-        if let Some(until) = until_ms {
-            self.until_ms = self.until_ms.max(until.min(cap));
+    fn extend_lease(&mut self, lease_until_ms: Option<u64>, now: u64) {
+        let cap = self.clock_ms(now) + MAX_LEASE_MS;
+        if let Some(until) = lease_until_ms {
+            self.lease_until_ms = self.lease_until_ms.max(until.min(cap));
         }
     }
 }
