--- a/src/cell/machine/proxy_shares.rs
+++ b/src/cell/machine/proxy_shares.rs
@@ -25,7 +25,7 @@
 /// Share of free CPU above which all queues are entitled to equal shares; below it, waiting steps
 /// may be waiting for capacity. Without equal shares, of 40 small jobs that waited beside gangs
 /// without capacity, 12 that could be on time and all late ones had no query within 3 s (in the
-/// test `standstill`); with them, all have one.
+/// test `starvation`); with them, all have one.
 const MOSTLY_FREE: f64 = 0.5;
 
 /// A query that waits until the other queues have had their share.
--- a/tests/logic/cell/activity.rs
+++ b/tests/logic/cell/activity.rs
@@ -1,4 +1,4 @@
-//! What an owner's time is counted for.
+//! Profiling of an owner's thread time by activity.
 
 use std::future::ready;
 
--- a/tests/logic/cell/capacity_changes.rs
+++ b/tests/logic/cell/capacity_changes.rs
@@ -1,4 +1,4 @@
-//! Workers whose room shrinks and grows again while they run.
+//! Workers whose capacity shrinks and grows again while tasks run.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use super::harness::OwnerHarness;
 use super::model::{self, cores};
 
-/// The list says what worker `w0` has from now on.
+/// Updates the listed capacity of worker `w0`.
 fn resize(harness: &mut OwnerHarness, capacity: Amount) {
     let present = vec![("w0".into(), Rc::new(model::listed(0, capacity)))];
     harness.deliver(Message::WorkersChanged(RosterUpdate {
@@ -22,7 +22,7 @@
     harness.advance(1);
 }
 
-/// Four tasks of two cores each, placed on the one worker, their placement on its way to the store.
+/// Places four tasks of two cores each on the only worker; the append of the placement is pending.
 fn harness_with_placed_tasks() -> OwnerHarness {
     let mut harness = OwnerHarness::new(1);
     harness.call(1, Call::Submit(model::job(1, model::step(4, cores(2)))));
@@ -33,15 +33,15 @@
     starts.len() as u64 * cores(2).cpu_millis
 }
 
-/// Guards against orders that wait for the store while their worker's room shrinks, and that would
-/// bring it over what it has by then.
+/// Guards against start commands that wait for the store while their worker's capacity shrinks, and
+/// that would then exceed it.
 #[test]
 fn shrink_holds_back_starts_not_yet_sent() {
     let mut harness = harness_with_placed_tasks();
     assert_eq!(
         started_cpu_millis(&harness.drain_starts()),
         0,
-        "nothing leaves before its placement is stored"
+        "no start is sent before its placement is stored"
     );
     resize(&mut harness, cores(3));
     harness.complete_appends();
@@ -49,8 +49,8 @@
     assert_eq!(started_cpu_millis(&harness.drain_starts()), 2_000);
 }
 
-/// Guards against repeating an order that had no answer once the room for it is gone: the first one may
-/// not have arrived.
+/// Guards against repeating an unanswered start after the worker's capacity has shrunk below what
+/// the task needs: the first start may not have arrived.
 #[test]
 fn shrink_stops_unanswered_starts() {
     let mut harness = harness_with_placed_tasks();
@@ -62,13 +62,13 @@
         harness.answer_start(start, Err(WorkerError::Unknown("no answer".to_owned())));
     }
     harness.advance(50);
-    assert_eq!(started_cpu_millis(&harness.drain_starts()), 0, "nothing is sent again");
+    assert_eq!(started_cpu_millis(&harness.drain_starts()), 0, "no start is repeated");
     harness.advance(10);
     assert_eq!(harness.drain_stops().len(), 4);
 }
 
-/// Guards against what waited for the store going out by the room that a worker had before the store was
-/// away, for longer than such room counts.
+/// Guards against sending starts that waited for the store based on the worker's capacity from
+/// before the outage, when the outage lasts longer than a capacity reading is valid.
 #[test]
 fn stale_capacity_holds_back_starts() {
     const MAX_AGE: Duration = Duration::from_secs(3);
@@ -82,14 +82,14 @@
     harness.call(2, Call::Submit(model::job(2, model::step(1, cores(1)))));
     harness.complete_appends();
     harness.advance(10);
-    assert_eq!(started_cpu_millis(&harness.drain_starts()), 0, "its room may have shrunk");
+    assert_eq!(started_cpu_millis(&harness.drain_starts()), 0, "its capacity may have shrunk");
     resize(&mut harness, cores(3));
     harness.advance(50);
     harness.complete_appends();
     assert_eq!(started_cpu_millis(&harness.drain_starts()), 2_000);
 }
 
-/// Guards against room that stays unused after it has grown again.
+/// Guards against capacity that stays unused after it has grown again.
 #[test]
 fn regrown_capacity_is_used() {
     let mut harness = harness_with_placed_tasks();
--- a/tests/logic/cell/crash.rs
+++ b/tests/logic/cell/crash.rs
@@ -1,4 +1,4 @@
-//! Tasks under which their workers crash, and those that only ran beside them.
+//! Tasks that crash their workers, and tasks that only run on the same worker as those.
 
 use std::rc::Rc;
 
@@ -10,21 +10,21 @@
 use super::harness::{OwnerHarness, WORKER_CLOCK_MS};
 use super::model::{self, cores, id};
 
-/// Time from a start to the crash of its worker.
+/// Time from the start of a task to the crash of its worker.
 const CRASH_MS: u64 = 10;
 
-/// Time from a crash to the answer of the worker's next life.
+/// Time from a crash to the first response of the worker's next incarnation.
 const RESTART_MS: u64 = 2_500;
 
-/// Time in which a task that crashes its worker at the start has shown it.
+/// Time after its start within which a task that crashes its worker at the start has done so.
 const STARTUP_MS: u64 = 600;
 
-/// A worker is down: its connection breaks.
+/// Breaks the connection to a worker that is down.
 fn drop_connection(harness: &mut OwnerHarness, worker: usize) {
     fail_poll(harness, worker, WorkerError::Unknown("connection closed".to_owned()));
 }
 
-/// Another life answers in place of a worker, and the list names it as `next`.
+/// Replaces a worker by its next incarnation, which the list names with the number `next`.
 fn restart_worker(harness: &mut OwnerHarness, worker: usize, next: usize) {
     fail_poll(harness, worker, WorkerError::OtherIncarnation);
     let listed = Rc::new(model::listed(next, cores(8)));
@@ -53,7 +53,7 @@
     harness.complete_appends();
 }
 
-/// Orders that went out, each taken by its worker.
+/// Returns the start commands that were sent, each accepted by its worker.
 fn accept_starts(harness: &mut OwnerHarness) -> Vec<(usize, StartCommand)> {
     flush(harness);
     let starts = harness.drain_starts();
@@ -69,7 +69,7 @@
     harness.call(number, Call::Submit(model::job(number, model::step(tasks, cores(cpus)))));
 }
 
-/// Has the workers of `starts` crash at once and come back as `next` and on.
+/// Crashes the workers of `starts` at once and restarts them with numbers from `next`.
 fn crash(harness: &mut OwnerHarness, starts: &[(usize, StartCommand)], next: usize) {
     harness.advance(CRASH_MS);
     let mut workers: Vec<usize> = starts.iter().map(|start| start.0).collect();
@@ -82,7 +82,7 @@
     }
 }
 
-/// Guards against a task that crashes each worker that starts it and is started for ever.
+/// Guards against endless restarts of a task that crashes each worker that starts it.
 #[test]
 fn repeated_crashes_of_a_task_fail_its_job() {
     let mut harness = OwnerHarness::new(4);
@@ -97,7 +97,7 @@
     assert_eq!(harness.phase(1), Some(Answer::Phase(Phase::Failed)));
 }
 
-/// Guards against a gang of which one member crashes its workers and that is started for ever.
+/// Guards against endless restarts of a gang of which one member crashes its workers.
 #[test]
 fn repeated_crashes_of_a_gang_fail_its_job() {
     let mut harness = OwnerHarness::new(4);
@@ -126,7 +126,7 @@
     assert_eq!(harness.phase(1), Some(Answer::Phase(Phase::Failed)));
 }
 
-/// Guards against a job that is given up because it ran beside those that crash their workers.
+/// Guards against failing a job because it ran on the same workers as tasks that crash them.
 #[test]
 fn crash_counts_nothing_against_a_task_past_startup() {
     let mut harness = OwnerHarness::new(1);
@@ -147,7 +147,7 @@
     assert_ne!(harness.phase(1), Some(Answer::Phase(Phase::Failed)));
 }
 
-/// Guards against starting others beside a task that may crash its worker as it starts.
+/// Guards against starting other tasks on the same worker as a task that may crash it at its start.
 #[test]
 fn crash_with_two_suspects_retries_each_alone() {
     let mut harness = OwnerHarness::new(1);
@@ -169,7 +169,7 @@
     );
 }
 
-/// Guards against a stop of a worker that was announced being held against what ran there.
+/// Guards against counting the announced stop of a worker as a crash caused by its tasks.
 #[test]
 fn announced_stop_counts_against_no_task() {
     let mut harness = OwnerHarness::new(2);
@@ -191,7 +191,7 @@
     assert_ne!(harness.phase(1), Some(Answer::Phase(Phase::Failed)));
 }
 
-/// Guards against a crowd of workers that crash at once and leave their tasks to begin one by one.
+/// Guards against restarting tasks one by one after many workers have crashed at once.
 #[test]
 fn crash_with_tasks_past_startup_restarts_them_together() {
     let mut harness = OwnerHarness::new(1);
@@ -206,8 +206,8 @@
     assert_eq!(accept_starts(&mut harness).len(), 4);
 }
 
-/// Guards against a wide gang that waits until nothing begins on all its workers at once, for one member
-/// under which a worker has crashed.
+/// Guards against delaying a wide gang until no task is starting on any of its workers, although a
+/// worker has crashed under only one of its members.
 #[test]
 fn crash_isolates_only_the_suspect_gang_member() {
     let mut harness = OwnerHarness::new(2);
--- a/tests/logic/cell/departed_workers.rs
+++ b/tests/logic/cell/departed_workers.rs
@@ -1,4 +1,4 @@
-//! What earlier owners left on workers that no later one reaches.
+//! Runs that earlier owners placed on workers that later owners never reach.
 
 use std::rc::Rc;
 
@@ -14,13 +14,15 @@
 use super::harness::{OwnerHarness, UNIX_START_MS, WORKER_CLOCK_MS};
 use super::model::{self, cores, id};
 
-/// Time within which a job has to go on beside free workers once its site is calm, in milliseconds.
+/// Time within which a job must restart while workers are free and no faults occur, in
+/// milliseconds.
 const RESTART_BOUND_MS: u64 = 14_000;
 
-/// The same once a worker has answered in another life, in milliseconds.
+/// The same bound once another incarnation of the worker has answered, in milliseconds.
 const NEXT_INCARNATION_BOUND_MS: u64 = 1_000;
 
-/// A gang of two, one of them on a worker that left while its cell changed hands.
+/// Returns the state with a gang of two, one of whose members is on a worker that left while the
+/// cell's owner changed.
 fn state_with_departed_worker(first: &str) -> (State, [Run; 2]) {
     let job = model::job(1, Step { gang: true, ..model::step(2, cores(1)) });
     let step = StepKey { job: id(1), occurrence: 0, step: 0 };
@@ -35,9 +37,9 @@
     (state, runs)
 }
 
-/// Callers see a job stand still for 22 s beside free workers. Its gang has a member on a worker that
-/// drains and leaves while the cell changes hands; the last owner never reaches that worker, and waits
-/// until all that former owners could grant is over.
+/// A job was delayed by 22 s beside free workers. A member of its gang was on a worker that drained
+/// and left while the cell's owner changed. The last owner never reached that worker, and waited
+/// until all leases that former owners could grant had expired.
 #[test]
 fn gang_restarts_without_a_departed_worker() {
     let (state, runs) = state_with_departed_worker("w0");
@@ -59,8 +61,8 @@
     assert!(harness.now <= RESTART_BOUND_MS, "after {} ms", harness.now);
 }
 
-/// Guards against the rest of a gang that runs on for as long as its lease is renewed: its owner died between
-/// the end of one member and the orders to stop the others.
+/// Guards against the rest of a gang that keeps running as long as its leases are renewed, because
+/// the owner died between the end of one member and the commands to stop the others.
 #[test]
 fn gang_without_a_member_is_stopped_by_the_next_owner() {
     let (mut state, runs) = state_with_departed_worker("w3");
@@ -81,8 +83,8 @@
     assert_eq!(harness.drain_stops(), runs[..1]);
 }
 
-/// Guards against waiting for leases of a life that is over: its worker answers in its next one, under the
-/// name that it had.
+/// Guards against waiting for the leases of a former incarnation although its worker already
+/// answers as the next one, under the same name.
 #[test]
 fn gang_restarts_once_the_next_incarnation_of_its_worker_answers() {
     let (state, _) = state_with_departed_worker("w0@1");
@@ -106,8 +108,8 @@
     }
 }
 
-/// Guards against a worker that left the list and goes on getting tasks, since the list names it without
-/// its life.
+/// Guards against placing tasks on a worker that has left the list, where the removal names it
+/// without its incarnation.
 #[test]
 fn unlisted_worker_gets_no_tasks() {
     let mut harness = OwnerHarness::new(0);
@@ -130,7 +132,7 @@
     assert_eq!(harness.drain_starts().len(), 0);
 }
 
-/// Guards against tasks that are placed in a life that is over, since its worker stands in the list again.
+/// Guards against placing tasks on a former incarnation because its worker is listed again.
 #[test]
 fn former_incarnation_of_a_listed_worker_gets_no_tasks() {
     let mut harness = OwnerHarness::new(0);
@@ -158,8 +160,9 @@
     assert!(!placed, "a task is placed on the former incarnation");
 }
 
-/// The same worker is only cut off, and the former owner, which is cut off from the store with it, goes on
-/// renewing its lease. Were the task given up at once, it would run twice.
+/// The worker is only unreachable for the new owner, and the former owner, which has lost the store
+/// as well, keeps renewing its lease. If the run were counted as lost at once, the task would run
+/// twice.
 #[test]
 fn gang_waits_while_the_former_owner_may_renew_leases() {
     let (state, _) = state_with_departed_worker("w0");
--- a/tests/logic/cell/harness.rs
+++ b/tests/logic/cell/harness.rs
@@ -1,4 +1,4 @@
-//! An owner's machine whose store, workers and askers a test plays by hand.
+//! An owner's state machine whose store, workers and policy service are driven by a test.
 
 use oriolefork::cell::Epoch;
 use oriolefork::cell::dependencies::{
@@ -13,13 +13,13 @@
 
 use super::model::{self, cores, id};
 
-/// Wall clock at the start of a story, in milliseconds.
+/// Wall clock at the start of a test, in milliseconds.
 pub const UNIX_START_MS: u64 = 1_700_000_000_000;
 
-/// Clock of every worker at the start of a story.
+/// Clock of every worker at the start of a test, in milliseconds.
 pub const WORKER_CLOCK_MS: u64 = 50_000;
 
-/// An owner with workers that answer what they are told to.
+/// An owner with workers whose responses the test supplies.
 pub struct OwnerHarness {
     pub machine: Machine,
     pub now: u64,
@@ -27,7 +27,7 @@
 }
 
 impl OwnerHarness {
-    /// Begins with workers that have answered their first look.
+    /// Creates an owner whose workers have answered their first poll.
     pub fn new(workers: usize) -> Self {
         Self::start(
             model::machine(Instant::from_millis(0), Unix::from_millis(UNIX_START_MS)),
@@ -35,7 +35,7 @@
         )
     }
 
-    /// Begins likewise, on a site whose timings are `timings`.
+    /// The same with the given `timings`.
     pub fn with_timings(timings: Timings, workers: usize) -> Self {
         let (now, unix) = (Instant::from_millis(0), Unix::from_millis(UNIX_START_MS));
         let mut state = State::default();
@@ -43,7 +43,7 @@
         Self::start(Machine::new(state, 0, 1, model::queue_config(), timings, now, unix), workers)
     }
 
-    /// Begins with an owner that has read `state`.
+    /// Creates an owner that has replayed `state`.
     pub fn from_state(state: State, workers: usize) -> Self {
         let (now, unix) = (Instant::from_millis(0), Unix::from_millis(UNIX_START_MS));
         let timings = Timings::default();
@@ -75,7 +75,7 @@
         self.machine.handle(message, now, unix);
     }
 
-    /// What the owner, which is as strong as any, says to its followers.
+    /// Returns the handover offer of the owner, whose CPU is at least that of every follower.
     pub fn handover_offer(&self) -> HandoverOffer {
         self.machine.offer(u32::MAX, Instant::from_millis(self.now))
     }
@@ -85,7 +85,7 @@
         self.advance(10);
     }
 
-    /// The store takes the batch that is under way.
+    /// Completes the pending append.
     pub fn complete_append(&mut self) {
         let sequence = self.appends().pop().expect("an append");
         self.effects.retain(|effect| !matches!(effect, Effect::Append { .. }));
@@ -94,7 +94,7 @@
         self.advance(1);
     }
 
-    /// The store takes everything, and what follows from it.
+    /// Completes appends until none is pending.
     pub fn complete_appends(&mut self) {
         while !self.appends().is_empty() {
             self.complete_append();
@@ -151,7 +151,7 @@
         self.effects.iter().filter_map(sequence).collect()
     }
 
-    /// Orders to start since the last call, with the number of their worker.
+    /// Returns the start commands since the last call, each with the number of its worker.
     pub fn drain_starts(&mut self) -> Vec<(usize, StartCommand)> {
         let mut starts = Vec::new();
         self.effects.retain(|effect| match effect {
@@ -189,7 +189,7 @@
         self.answer(call)
     }
 
-    /// Questions to the policy service since the last call.
+    /// Returns the queries to the policy service since the last call.
     pub fn drain_queries(&mut self) -> Vec<PolicyQuery> {
         let mut queries = Vec::new();
         self.effects.retain(|effect| match effect {
@@ -202,13 +202,13 @@
         queries
     }
 
-    /// An instance is there to ask.
+    /// Reports that an instance is present and can query the policy service.
     pub fn see_instance(&mut self, number: u16) {
         let peer = ([127, 0, 0, 1], number).into();
         self.deliver(Message::InstanceSeen { peer, strength: 1, domain: "hall".into() });
     }
 
-    /// The policy service allows every worker asked about.
+    /// Answers a query so that all its workers are eligible.
     pub fn allow_all(&mut self, query: &PolicyQuery) {
         let workers = query.workers.iter();
         let workers = workers.map(|worker| (worker.clone(), "ticket".to_owned())).collect();
@@ -217,7 +217,7 @@
         self.advance(20);
     }
 
-    /// Accepts a job and starts all its tasks.
+    /// Submits a job and confirms the start of all its tasks.
     pub fn start_job(&mut self, number: u64, step: Step) -> Vec<(usize, StartCommand)> {
         self.call(number, Call::Submit(model::job(number, step)));
         self.complete_appends();
--- a/tests/logic/cell/histories.rs
+++ b/tests/logic/cell/histories.rs
@@ -1,4 +1,4 @@
-//! Random histories of a cell. `ORIOLEFORK_CELL_SEEDS` chooses how many seeds are played.
+//! Random histories of a cell. `ORIOLEFORK_CELL_SEEDS` sets the number of seeds to run.
 
 use oriolefork::cell::job::{Job, Step};
 use test_case::test_case;
@@ -6,7 +6,7 @@
 use super::model;
 use super::simulation::{Faults, Simulation};
 
-/// Seeds played by default.
+/// Default number of seeds.
 const SEEDS: u64 = 8;
 
 const NO_FAULTS: Faults = Faults {
@@ -25,7 +25,8 @@
     std::env::var("ORIOLEFORK_CELL_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(SEEDS)
 }
 
-/// Jobs of all shapes: single tasks, wide steps, gangs, steps that follow others, bounded spread.
+/// A job whose form varies with `number`: single tasks, wide steps, gangs, dependent steps, and a
+/// limit of tasks per worker.
 fn varied_job(number: u64) -> Job {
     let mut step = model::step((number % 5 + 1) as u32, model::cores(number % 4 + 1));
     step.gang = number.is_multiple_of(3);
@@ -59,10 +60,16 @@
 #[test_case(Faults { delayed_calls: 0.06, ..NO_FAULTS }; "calls_delayed")]
 #[test_case(Faults { lost_append_answers: 0.3, ..NO_FAULTS }; "append_answers_lost")]
 #[test_case(Faults { takeover_ms: 2_500, ..NO_FAULTS }; "owners_killed")]
-#[test_case(Faults { takeover_ms: 2_500, stale_owners: true, ..NO_FAULTS }; "stale_owners_beside_successors")]
+#[test_case(
+    Faults { takeover_ms: 2_500, stale_owners: true, ..NO_FAULTS };
+    "stale_owners_beside_successors"
+)]
 #[test_case(Faults { worker_ms: 700, ..NO_FAULTS }; "workers_cut_and_crashed")]
 #[test_case(Faults { outages: true, ..NO_FAULTS }; "store_down")]
-#[test_case(Faults { resetting_workers: 2, delayed_calls: 0.06, ..NO_FAULTS }; "workers_that_reset_commands")]
+#[test_case(
+    Faults { resetting_workers: 2, delayed_calls: 0.06, ..NO_FAULTS };
+    "workers_that_reset_commands"
+)]
 #[test_case(
     Faults { resetting_workers: 2, delayed_calls: 0.06, takeover_ms: 2_500, stale_owners: true, ..NO_FAULTS };
     "workers_that_reset_commands_of_every_owner"
--- a/tests/logic/cell/lease.rs
+++ b/tests/logic/cell/lease.rs
@@ -1,4 +1,4 @@
-//! Leases on workers' own clocks.
+//! Worker leases, which expire on the workers' own clocks.
 
 use std::time::Duration;
 
@@ -30,14 +30,15 @@
     lease.observe_clock(0, at(0));
     let until = lease.grant(at(0)).expect("the clock is known");
     let expiry = lease.expires_at().expect("the clock is known");
-    // At that instant the slowest clock allowed has passed the end of the lease.
+    // At `expiry` the slowest allowed clock has passed the end of the lease.
     let slowest = expiry.as_millis() as f64 * 0.98;
     assert!(slowest > until as f64, "{slowest} {until}");
 }
 
-/// An owner takes a worker over whose lease an earlier owner has renewed a moment before. If the
-/// first reading did not bound what others granted, the new owner would take the worker's tasks for
-/// lapsed at once when it falls silent, and start them elsewhere while they run.
+/// A new owner reads the clock of a worker whose lease the former owner has just renewed. If the
+/// first reading did not bound the leases of others, the new owner would count the worker's runs as
+/// expired as soon as the worker stops answering, and start the tasks elsewhere while they still
+/// run.
 #[test]
 fn expiry_counts_grants_of_earlier_owners() {
     let mut lease = Lease::default();
@@ -46,7 +47,7 @@
     assert!(expiry.since(at(0)) > LEASE - Duration::from_millis(1));
 }
 
-/// A renewal computed late never shortens what an earlier one granted.
+/// A renewal computed late never shortens an earlier grant.
 #[test]
 fn expiry_keeps_the_longest_grant() {
     let mut lease = Lease::default();
--- a/tests/logic/cell/machine.rs
+++ b/tests/logic/cell/machine.rs
@@ -1,4 +1,4 @@
-//! The owner's orders to workers, its tries and its begin, one story each.
+//! Commands of an owner to workers, attempts of its tasks, and its takeover.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -25,8 +25,8 @@
     assert_eq!((starts.len(), harness.drain_starts().len()), (1, 0));
 }
 
-/// A placement alone does not begin a job: its order may never arrive. The count of waiting jobs
-/// would leave it out while nothing runs.
+/// A placement alone does not start a job, since its command may never arrive. If it counted, the
+/// number of waiting jobs would leave the job out while nothing runs.
 #[test]
 fn job_counts_as_waiting_until_a_start_is_confirmed() {
     let mut harness = OwnerHarness::new(1);
@@ -42,8 +42,8 @@
     assert_eq!(harness.answer(3), Some(Answer::Waiting(0)));
 }
 
-/// An order to start gets no answer and is carried out seconds later. If the task were placed
-/// elsewhere at once, it would run twice; the same order again settles what became of it.
+/// A start command gets no response and is executed seconds later. If the task were placed
+/// elsewhere at once, it would run twice; repeating the same command shows its outcome.
 #[test]
 fn unanswered_start_is_repeated_on_the_same_worker() {
     let mut harness = OwnerHarness::new(2);
@@ -59,8 +59,9 @@
     assert_eq!((again[0].0, again[0].1.run), (first[0].0, first[0].1.run));
 }
 
-/// After several tries without an answer the task is stopped there, and runs elsewhere only once the
-/// worker has taken the stop: what is stopped before it begins never begins.
+/// After several unanswered commands the run is stopped on that worker, and the task starts
+/// elsewhere only once the worker has confirmed the stop: a run that is stopped before it starts
+/// never starts.
 #[test]
 fn unanswered_start_moves_after_the_stop_is_confirmed() {
     let mut harness = OwnerHarness::new(2);
@@ -81,7 +82,7 @@
     assert_eq!(stops, [last.1.run]);
     harness.advance(500);
     harness.complete_appends();
-    assert!(harness.drain_starts().is_empty(), "it may still begin at the first worker");
+    assert!(harness.drain_starts().is_empty(), "it may still start on the first worker");
     let worker = format!("w{}", last.0).into();
     harness.deliver(Message::Stopped { worker, run: last.1.run, outcome: Ok(WORKER_CLOCK_MS) });
     harness.advance(5);
@@ -95,8 +96,8 @@
     assert!(next[0].1.run.number > last.1.run.number);
 }
 
-/// Another life of the worker answers at its address: all that ran there is gone for sure, and runs
-/// elsewhere without waiting for a lease.
+/// Another incarnation of the worker answers at its address. All runs of the former one have ended,
+/// so their tasks start elsewhere without waiting for a lease to expire.
 #[test]
 fn new_incarnation_frees_tasks_of_the_former() {
     let mut harness = OwnerHarness::new(2);
@@ -113,7 +114,8 @@
     assert_ne!(again[0].0, starts[0].0);
 }
 
-/// A worker falls silent. Its tasks may run until their lease is over; only then they run elsewhere.
+/// A worker stops answering. Its tasks may run until their lease expires, and start elsewhere only
+/// then.
 #[test]
 fn silent_worker_keeps_its_tasks_until_the_lease_expires() {
     let mut harness = OwnerHarness::new(2);
@@ -138,7 +140,7 @@
     assert_eq!(harness.drain_starts().len(), 1);
 }
 
-/// A job that can never be done ends after its tries, and is said to have failed.
+/// A job that can never succeed fails after its maximum number of failures.
 #[test]
 fn job_fails_after_max_failures() {
     let mut harness = OwnerHarness::new(4);
@@ -155,7 +157,7 @@
             assert!(next.is_empty());
             break;
         }
-        assert_eq!(next.len(), 1, "try {attempt}");
+        assert_eq!(next.len(), 1, "attempt {attempt}");
         harness.answer_start(&next[0], Ok(WORKER_CLOCK_MS + harness.now));
         starts = next;
     }
@@ -174,7 +176,7 @@
     assert_eq!(harness.phase(1), Some(Answer::Phase(Phase::Cancelled)));
 }
 
-/// A lasting task fails, as it may at any time. It must be back at once, however long its job has
+/// A long-running task may fail at any time. It is restarted at once, however long its job has
 /// waited and however often it has failed.
 #[test]
 fn long_running_task_is_always_restarted() {
@@ -194,8 +196,8 @@
     }
 }
 
-/// Three tasks of different jobs fail on one worker and none goes well there: it gets nothing new
-/// for a while, so that it does not use up the tries of every job.
+/// Three tasks of different jobs fail on one worker and none succeeds there. The worker gets no new
+/// tasks for a while, so that it does not use up the attempts of every job.
 #[test]
 fn failing_worker_gets_no_tasks_for_a_while() {
     let mut harness = OwnerHarness::new(1);
@@ -225,9 +227,9 @@
     assert!(harness.effects.iter().any(|effect| matches!(effect, Effect::StepDown { .. })));
 }
 
-/// A job repeats. Its second occurrence still waits for room when the third one is placed, and the
-/// owner dies. Its successor reads of the third alone: counting what it knows of, it took the third
-/// for the next to begin, again and again without end, as did every owner after it.
+/// The second occurrence of a recurring job still waits for capacity when the third is placed, and
+/// the owner dies. The journal names only the third. A successor that counted recorded occurrences
+/// started the third one again without end, as did every owner after it.
 #[test]
 fn successor_starts_the_missing_occurrence() {
     let mut state = State::default();
@@ -245,13 +247,13 @@
         harness.advance(100);
         harness.complete_appends();
     }
-    let begun: BTreeSet<u32> =
+    let started: BTreeSet<u32> =
         harness.drain_starts().iter().map(|(_, start)| start.run.task.step.occurrence).collect();
-    assert!(begun.is_superset(&BTreeSet::from([0, 1])), "{begun:?}");
+    assert!(started.is_superset(&BTreeSet::from([0, 1])), "{started:?}");
 }
 
-/// An entry in the list names a service that the operators never named: another program wrote it. It
-/// was called like any worker.
+/// An entry in the list, written by another program, names a service that is not configured. Such
+/// an entry was polled like any worker.
 #[test]
 fn worker_of_an_unknown_service_is_not_polled() {
     let mut harness = OwnerHarness::new(1);
--- a/tests/logic/cell/mod.rs
+++ b/tests/logic/cell/mod.rs
@@ -1,4 +1,4 @@
-//! Cells: the owner's machine alone, and over random histories with workers and a journal.
+//! Cells: the owner's state machine alone, and in random histories with workers and a journal.
 
 mod activity;
 mod capacity_changes;
--- a/tests/logic/cell/model.rs
+++ b/tests/logic/cell/model.rs
@@ -1,4 +1,4 @@
-//! Jobs and workers that the tests of cells share.
+//! Jobs and workers shared by the tests of cells.
 
 use std::rc::Rc;
 
@@ -13,10 +13,10 @@
 use oriolefork::clock::{Instant, Unix};
 use oriolefork::resource::Amount;
 
-/// Name of the one queue.
+/// Name of the only queue.
 pub const QUEUE: &str = "nightly";
 
-/// Failed tries after which a job has failed.
+/// Number of failures after which a job fails.
 pub const MAX_FAILURES: u32 = 3;
 
 pub fn cores(cores: u64) -> Amount {
@@ -27,7 +27,7 @@
     format!("{number:016x}").parse().expect("sixteen digits")
 }
 
-/// A job of one step.
+/// Returns a job with one step.
 pub fn job(number: u64, step: Step) -> Job {
     Job {
         id: id(number),
@@ -78,13 +78,13 @@
     RosterUpdate { changed: present.collect(), removed: Vec::new(), is_complete: true }
 }
 
-/// The claim of `epoch`.
+/// Returns the batch that claims the cell for `epoch`.
 pub fn claim(epoch: Epoch, at: Unix) -> Batch {
     let peer = "127.0.0.1:7000".parse().expect("an address");
     Batch { epoch, at, records: vec![Record::Claimed { peer, incarnation: epoch.0 }] }
 }
 
-/// An owner that has just claimed an empty cell.
+/// Returns an owner that has just claimed an empty cell.
 pub fn machine(now: Instant, unix: Unix) -> Machine {
     let mut state = State::default();
     state.apply_batch(claim(Epoch(1), unix));
--- a/tests/logic/cell/placement.rs
+++ b/tests/logic/cell/placement.rs
@@ -1,4 +1,4 @@
-//! Which tasks an owner places where, one story each.
+//! Placement of tasks on workers.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use super::harness::OwnerHarness;
 use super::model::{self, cores};
 
-/// One member of a gang is lost. The others would hold their room and wait for it.
+/// One member of a gang fails. The others would hold their resources while they wait for it.
 #[test]
 fn gang_stops_when_a_member_fails() {
     let mut harness = OwnerHarness::new(3);
@@ -16,7 +16,7 @@
     let starts = harness.start_job(1, gang);
     assert_eq!(starts.len(), 3);
     let numbers: BTreeSet<u32> = starts.iter().map(|(_, start)| start.run.number).collect();
-    assert_eq!(numbers.len(), 1, "members share the number of their try");
+    assert_eq!(numbers.len(), 1, "members share a run number");
     harness.report(starts[0].0, &[], &[(1, starts[0].1.run, RunOutcome::Failed)]);
     harness.advance(5);
     assert_eq!(harness.drain_stops().len(), 2);
@@ -47,8 +47,8 @@
     assert!(harness.start_job(1, model::step(1, cores(1))).is_empty());
 }
 
-/// A nightly job fills the gaps of a worker that serves a mailbox, and its users wait. The two kinds of
-/// tasks never share a worker, whichever comes first.
+/// An opportunistic task of a nightly job uses the idle CPU of a worker that serves a mailbox, and
+/// the mailbox's users wait. The two kinds of tasks never share a worker, whichever starts first.
 #[test]
 fn opportunistic_task_never_shares_a_worker_with_a_latency_sensitive_one() {
     let mut harness = OwnerHarness::new(2);
@@ -59,11 +59,11 @@
     let second = harness.start_job(2, opportunistic);
     assert_ne!(first[0].0, second[0].0);
     let third = harness.start_job(3, serving);
-    assert_eq!(third[0].0, first[0].0, "not beside what fills");
+    assert_eq!(third[0].0, first[0].0, "not with the opportunistic task");
 }
 
-/// After an outage most open jobs are so late that they earn nothing, and rounds pass them over in
-/// favour of those that do; their callers still wait for the work to be done.
+/// After an outage most open jobs are so late that they are worth nothing, and placement prefers
+/// jobs that still are. Their callers still wait for the work to be done.
 #[test]
 fn late_job_without_worth_is_still_placed() {
     let mut harness = OwnerHarness::new(1);
@@ -74,7 +74,7 @@
         harness.advance(1_000);
         harness.report(0, &[long[0].1.run], &[]);
     }
-    assert!(harness.drain_starts().is_empty(), "the first one still runs");
+    assert!(harness.drain_starts().is_empty(), "the first job still runs");
     harness.report(0, &[], &[(1, long[0].1.run, RunOutcome::Succeeded)]);
     for _ in 0..20 {
         harness.advance(20);
--- a/tests/logic/cell/policy_queries.rs
+++ b/tests/logic/cell/policy_queries.rs
@@ -1,4 +1,4 @@
-//! Which instance asks the policy service, about which workers, and what its answers allow.
+//! Which instance queries the policy service, about which workers, and how its answers are used.
 
 use std::rc::Rc;
 
@@ -14,8 +14,8 @@
 const POLICY_TIMING: PolicyTiming =
     PolicyTiming { decide_ms: 20.0, per_worker_ms: 1.0, valid_ms: 1_500 };
 
-/// A cell whose one queue is subject to the policy service.
-fn begin(workers: usize) -> OwnerHarness {
+/// Creates a cell whose only queue is subject to the policy service.
+fn harness_with_policy(workers: usize) -> OwnerHarness {
     let mut harness = OwnerHarness::new(workers);
     let config = model::queue_config();
     let queues = config.queues.iter();
@@ -33,11 +33,12 @@
     harness.advance(20);
 }
 
-/// An instance has just gone. Every question given to it fails at once, so that it is always the
-/// first that is free to ask: job after job waits for its advice although others could ask.
+/// An instance has just stopped, so every query sent to it fails at once. Without a backoff it
+/// would always be the first free proxy, and job after job would wait for its answer although other
+/// instances could send the query.
 #[test]
 fn proxy_backs_off_after_a_failure() {
-    let mut harness = begin(2);
+    let mut harness = harness_with_policy(2);
     harness.see_instance(1);
     harness.see_instance(2);
     submit(&mut harness, 1);
@@ -49,14 +50,14 @@
     harness.allow_all(&second);
     submit(&mut harness, 2);
     let third = harness.drain_queries().pop().expect("a third query");
-    assert_eq!(third.proxy, second.proxy, "the one that failed still rests");
+    assert_eq!(third.proxy, second.proxy, "the proxy that failed is still in backoff");
 }
 
-/// An instance could not reach the policy service for a while and is well again: it must not stay
-/// idle for ever while jobs wait.
+/// An instance that could not reach the policy service for a while has recovered. It must not stay
+/// idle while jobs wait.
 #[test]
 fn proxy_is_used_again_after_its_backoff() {
-    let mut harness = begin(2);
+    let mut harness = harness_with_policy(2);
     harness.see_instance(1);
     submit(&mut harness, 1);
     let first = harness.drain_queries().pop().expect("a query");
@@ -67,25 +68,26 @@
     harness.advance(1_000);
     harness.see_instance(1);
     harness.advance(20);
-    let second = harness.drain_queries().pop().expect("the same asker again");
+    let second = harness.drain_queries().pop().expect("a query to the same proxy");
     assert_eq!(second.proxy, first.proxy);
     harness.allow_all(&second);
     harness.complete_appends();
     assert_eq!(harness.drain_starts().len(), 1);
 }
 
-/// A site is full. Steps that find no room anywhere keep asking for new tickets as the old ones
-/// expire, all instances are busy with that, and a new job waits for its first answer beside room
-/// that has just come free. So a step asks only where an answer may let it begin.
+/// On a full site, steps that fit on no worker kept requesting new tickets as the old ones expired.
+/// All instances were busy with these queries, and a new job waited for its first answer beside
+/// capacity that had just become free. A step is therefore queried only if an answer may let it
+/// start.
 #[test]
 fn full_site_sends_no_queries() {
-    let mut harness = begin(2);
+    let mut harness = harness_with_policy(2);
     harness.see_instance(1);
     for number in 1..=2 {
         harness.call(number, Call::Submit(model::job(number, model::step(1, cores(8)))));
         harness.complete_appends();
         harness.advance(20);
-        let query = harness.drain_queries().pop().expect("room is left");
+        let query = harness.drain_queries().pop().expect("capacity is left");
         harness.allow_all(&query);
         harness.complete_appends();
     }
@@ -100,23 +102,23 @@
     assert!(harness.drain_queries().is_empty());
 }
 
-/// The workers with the most room are named first, and no more than are needed: each name costs the
-/// policy service time, and so the caller.
+/// The workers with the most free capacity are named first, and no more than needed: each name
+/// costs the policy service time, and so delays the caller.
 #[test]
 fn query_names_as_many_workers_as_needed() {
-    let mut harness = begin(60);
+    let mut harness = harness_with_policy(60);
     harness.see_instance(1);
     submit(&mut harness, 1);
     let query = harness.drain_queries().pop().expect("a query");
     assert_eq!(query.workers.len(), 10);
 }
 
-/// The site is idle. The first answer allows one worker, with room for three of a gang's four tasks.
-/// That is nearly all, so the gang kept this ticket fresh and waited for the last task's room, while
-/// nobody asked about the other workers, until its caller gave the job up for lost.
+/// On an idle site, the first answer allowed one worker, with capacity for three of a gang's four
+/// tasks. Since that is nearly enough, the gang renewed this ticket and waited for capacity for the
+/// last task, and no query about the other workers was sent until the caller gave up the job.
 #[test]
 fn gang_queries_more_workers_while_too_few_are_eligible() {
-    let mut harness = begin(40);
+    let mut harness = harness_with_policy(40);
     harness.see_instance(1);
     let demand = Amount { cpu_millis: 2_500, ..cores(1) };
     let gang = Step { gang: true, ..model::step(4, demand) };
--- a/tests/logic/cell/polls.rs
+++ b/tests/logic/cell/polls.rs
@@ -1,4 +1,4 @@
-//! What a report says of tries that it does not list.
+//! What a poll report implies for runs that it does not list, and when workers are polled.
 
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 use super::harness::{OwnerHarness, WORKER_CLOCK_MS};
 use super::model::{self, cores};
 
-/// Looks at `worker` with a report that lists nothing, of a look that was sent at `sent`.
+/// Reports that `worker` has no runs, in response to a poll that was sent at `sent`.
 fn report_no_runs(harness: &mut OwnerHarness, worker: usize, sent: u64) {
     report(harness, worker, sent, false);
 }
@@ -26,23 +26,24 @@
     harness.complete_appends();
 }
 
-/// A task ran twice at once, with two starts of one owner 17 ms apart. A look and an order to start it
-/// left within the same millisecond; the worker in the owner's own failure domain, 0.1 ms away, answered
-/// the look, then began the task, and both answers were in before the millisecond was over. The owner
-/// took the report, which did not list the task, for later than the start: it took the task for lost
-/// and started it again. Proved by the log: `end=lost took_ms=3`, then `task.stray` for the same try.
+/// A task ran twice at once, started by one owner twice within 17 ms. A poll and a start command
+/// left within the same millisecond. The worker, in the owner's own failure domain and 0.1 ms away,
+/// answered the poll, then started the task, and both responses arrived before the millisecond was
+/// over. The owner treated the report, which did not list the run, as newer than the start, counted
+/// the run as lost and started the task again. The log showed `end=lost took_ms=3`, then
+/// `task.stray` for the same run.
 #[test]
 fn report_concurrent_with_a_start_proves_no_loss() {
     let mut harness = OwnerHarness::new(2);
     let starts = harness.start_job(1, model::step(1, cores(1)));
     let since = harness.now - 1;
     report_no_runs(&mut harness, starts[0].0, since);
-    assert!(harness.drain_starts().is_empty(), "it runs");
+    assert!(harness.drain_starts().is_empty(), "the task still runs");
     assert!(harness.machine.runs.contains_key(&starts[0].1.run));
 }
 
-/// The same with the order to stop it: the report may be older than the stop, after which the worker
-/// refuses the start that is on its way.
+/// The same for a stop command: the report may be older than the stop, after which the worker
+/// refuses the start that is still in transit.
 #[test]
 fn report_concurrent_with_a_stop_proves_no_end() {
     let mut harness = OwnerHarness::new(2);
@@ -59,7 +60,7 @@
     assert!(harness.machine.runs.contains_key(&run), "its end has not been listed");
 }
 
-/// A report of a look that left later than the start was answered does prove it.
+/// A report of a poll sent after the start was confirmed does prove the loss.
 #[test]
 fn report_after_a_start_proves_the_loss() {
     let mut harness = OwnerHarness::new(2);
@@ -67,11 +68,11 @@
     harness.advance(100);
     let sent = harness.now;
     report_no_runs(&mut harness, starts[0].0, sent);
-    assert_eq!(harness.drain_starts().len(), 1, "it is started again");
+    assert_eq!(harness.drain_starts().len(), 1, "the task is started again");
 }
 
-/// A worker has more ends to tell of than fit into one report. A try that ended as done stands on the
-/// next page: taken for lost, it ran a second time.
+/// A worker has more ended runs than fit into one report. A run that succeeded was on the next
+/// page; it was counted as lost and the task ran a second time.
 #[test]
 fn partial_report_proves_no_loss() {
     let mut harness = OwnerHarness::new(2);
@@ -82,8 +83,8 @@
     assert!(harness.drain_starts().is_empty(), "its end may be on the next page");
 }
 
-/// Only workers that are due are gone through; one whose service is configured after it was listed has no
-/// other sign that it is due from then on, and would get no work for as long as its owner lives.
+/// Only workers that are due are examined. Nothing else makes a worker due whose service is
+/// configured after it was listed; it would get no tasks as long as the owner lives.
 #[test]
 fn worker_is_polled_once_its_service_is_configured() {
     let mut harness = OwnerHarness::new(1);
@@ -109,7 +110,7 @@
     assert!(is_polled(&harness));
 }
 
-/// Likewise a worker that was told of while its look got lost on the way, with no answer at all.
+/// The same for a poll whose result never arrives.
 #[test]
 fn worker_is_polled_again_after_a_poll_without_result() {
     let mut harness = OwnerHarness::new(1);
--- a/tests/logic/cell/preempt.rs
+++ b/tests/logic/cell/preempt.rs
@@ -1,5 +1,5 @@
-//! Tasks that make room for more urgent ones: a burst of wide gangs, or a failure domain cut off, on
-//! workers full of small tasks that can wait.
+//! Preemption of running tasks for more urgent ones: a burst of wide gangs, or the loss of a
+//! failure domain, while workers are full of small tasks that can wait.
 
 use std::rc::Rc;
 
@@ -41,7 +41,7 @@
     assert_eq!(choice.victims, [run(2)]);
 }
 
-/// A small victim does not suffice and a large one alone does: the small one is left to run.
+/// The small victim does not suffice and the large one alone does: the small one keeps running.
 #[test]
 fn choose_spares_unneeded_victims() {
     let choice = choose_victims(&cores(8), 1, vec![candidate(0, &[(1, 2), (2, 8)])]);
@@ -60,7 +60,7 @@
     assert_eq!(choose_victims(&cores(2), 3, vec![bounded]).placeable, 1);
 }
 
-/// A cell with a queue that goes before the usual one.
+/// Creates a cell with a second queue of higher priority.
 fn harness_with_urgent_queue(workers: usize) -> OwnerHarness {
     let mut harness = OwnerHarness::new(workers);
     let config = model::queue_config();
@@ -80,7 +80,7 @@
     Step { estimate_ms: 1_000, ..model::step(count, demand) }
 }
 
-/// Lets a job of `step` run on the only worker for a while.
+/// Runs a job of `step` on the only worker for a while.
 fn fill(harness: &mut OwnerHarness, step: Step) -> Vec<Run> {
     let runs: Vec<Run> = harness.start_job(1, step).iter().map(|start| start.1.run).collect();
     harness.advance(1_500);
@@ -95,8 +95,8 @@
     harness.advance(300);
 }
 
-/// Small tasks that save their progress fill the only worker when an urgent job comes. It used to
-/// wait until one of them ended; now one makes room, and goes on later from where it was.
+/// Small checkpointing tasks fill the only worker when an urgent job arrives, which used to wait
+/// until one of them ended. One of them is preempted, and resumes later from its checkpoint.
 #[test]
 fn placement_preempts_checkpointing_task_for_urgent_step() {
     let mut harness = harness_with_urgent_queue(1);
@@ -113,7 +113,7 @@
     assert_eq!(next[0].1.job.queue, URGENT);
 }
 
-/// A task that saves nothing would lose all it has done.
+/// A task without checkpoints would lose all its work.
 #[test]
 fn placement_spares_tasks_without_checkpoints() {
     let mut harness = harness_with_urgent_queue(1);
@@ -123,7 +123,7 @@
     assert!(harness.drain_stops().is_empty());
 }
 
-/// Stopping costs half a second of each victim's work, more than a tiny task gains.
+/// Preemption costs half a second of each victim's work, more than a tiny task gains.
 #[test]
 fn placement_spares_tasks_worth_more_than_the_gain() {
     let mut harness = harness_with_urgent_queue(1);
@@ -132,7 +132,7 @@
     assert!(harness.drain_stops().is_empty());
 }
 
-/// Two jobs of one queue would stop each other in turn, and neither would end.
+/// Two jobs of one queue would preempt each other in turn, and neither would end.
 #[test]
 fn placement_spares_tasks_of_equal_priority() {
     let mut harness = harness_with_urgent_queue(1);
@@ -144,7 +144,8 @@
     assert!(harness.drain_stops().is_empty());
 }
 
-/// A gang that could not begin with the room that is made would have tasks stopped for nothing.
+/// If the gang cannot start with the capacity that preemption frees, the victims would be stopped
+/// for nothing.
 #[test]
 fn placement_preempts_nothing_for_part_of_a_gang() {
     let mut harness = harness_with_urgent_queue(1);
--- a/tests/logic/cell/proxy_shares.rs
+++ b/tests/logic/cell/proxy_shares.rs
@@ -1,4 +1,4 @@
-//! Which queue gets the instances that can ask the policy service.
+//! How the instances that query the policy service are shared among queues.
 
 use std::rc::Rc;
 
@@ -12,17 +12,18 @@
 const POLICY_TIMING: PolicyTiming =
     PolicyTiming { decide_ms: 20.0, per_worker_ms: 1.0, valid_ms: 1_500 };
 
-/// Queue of the next lower priority.
+/// Name of the queue with the next lower priority.
 const LOWER: &str = "thumbnails";
 
-/// Instances that can ask: two thirds of them are the upper queue's share.
+/// Number of instances that can send queries; two thirds are the upper queue's share.
 const PROXIES: u16 = 12;
 
 const WORKERS: u32 = 60;
 
-/// A cell with most of its room taken and two queues, one of a lower priority, both subject to the
-/// policy service. The lower one's jobs should end within `lower_target_ms` beyond their work.
-fn begin(lower_target_ms: u64) -> OwnerHarness {
+/// Creates a cell with most of its capacity allocated and two queues of different priority, both
+/// subject to the policy service. Jobs of the lower queue have a target of `lower_target_ms` beyond
+/// their work.
+fn harness_with_two_queues(lower_target_ms: u64) -> OwnerHarness {
     let mut harness = OwnerHarness::new(WORKERS as usize);
     harness.start_job(999, Step { max_per_worker: 1, ..model::step(WORKERS, cores(5)) });
     let config = model::queue_config();
@@ -52,8 +53,8 @@
     }
 }
 
-/// All instances become free to ask at once: how many ask for the jobs numbered below 100, and how
-/// many for the others.
+/// Makes all instances available at once and returns the number of queries for jobs numbered below
+/// 100, and for the others.
 fn queries_by_queue(harness: &mut OwnerHarness) -> (usize, usize) {
     for number in 1..=PROXIES {
         harness.see_instance(number);
@@ -64,22 +65,23 @@
     (upper, queries.len() - upper)
 }
 
-/// A site is nearly full. Questions of one queue take a second each, are many, and are asked anew
-/// whenever their tickets lapse, so that all instances are busy with them. Jobs of the queue below
-/// are not asked about once for half a minute, beside a third of the workers' room, and come too late.
+/// The site is nearly full. The queries of one queue take a second each, are many, and are repeated
+/// whenever their tickets expire, so they keep all instances busy. Without a share, no query was
+/// sent for the jobs of the lower queue for half a minute, although a third of the workers'
+/// capacity was free, and the jobs were late.
 #[test]
 fn proxies_lower_priority_queue_has_a_share() {
-    let mut harness = begin(5_000);
+    let mut harness = harness_with_two_queues(5_000);
     submit(&mut harness, QUEUE, 1..21, &model::step(1, cores(1)));
     submit(&mut harness, LOWER, 101..121, &model::step(1, cores(1)));
     assert_eq!(queries_by_queue(&mut harness), (8, 4));
 }
 
-/// Most of the room is free all the same, as at the end of a busy day. What waits then waits for a
-/// question alone: the queues have equal shares, and the lower one's late jobs have theirs.
+/// Most capacity is free, as at the end of a busy day, so steps wait only for a query. Queues have
+/// equal shares, and late jobs of the lower queue count as well.
 #[test]
 fn proxies_shared_equally_while_capacity_is_free() {
-    let mut harness = begin(0);
+    let mut harness = harness_with_two_queues(0);
     let done = |number: u32, run: &Run| (u64::from(number + 1), *run, RunOutcome::Succeeded);
     let runs: Vec<Run> = harness.machine.runs.keys().copied().collect();
     for (worker, run) in runs.iter().enumerate() {
@@ -91,30 +93,30 @@
     assert_eq!(queries_by_queue(&mut harness), (6, 6));
 }
 
-/// The queue below has one job only. What it leaves of its share asks for the queue above at once.
+/// The lower queue has only one job. Instances of its unused share serve the upper queue at once.
 #[test]
 fn proxies_of_an_unused_share_serve_other_queues() {
-    let mut harness = begin(5_000);
+    let mut harness = harness_with_two_queues(5_000);
     submit(&mut harness, QUEUE, 1..21, &model::step(1, cores(1)));
     submit(&mut harness, LOWER, 101..102, &model::step(1, cores(1)));
     assert_eq!(queries_by_queue(&mut harness), (11, 1));
 }
 
-/// The jobs of the queue below fit nowhere, so that there is nothing to ask for them, and no instance
-/// waits for them.
+/// The jobs of the lower queue fit on no worker, so there is nothing to query for them and no
+/// instance is kept for them.
 #[test]
 fn proxies_not_kept_for_steps_that_fit_nowhere() {
-    let mut harness = begin(5_000);
+    let mut harness = harness_with_two_queues(5_000);
     submit(&mut harness, QUEUE, 1..21, &model::step(1, cores(1)));
     submit(&mut harness, LOWER, 101..121, &model::step(1, cores(9)));
     assert_eq!(queries_by_queue(&mut harness), (12, 0));
 }
 
-/// The jobs of the queue below have waited too long to be on time. They have no share any more while
-/// jobs that can be on time have questions.
+/// The jobs of the lower queue can no longer be on time. They have no share while jobs that can be
+/// on time have queries.
 #[test]
 fn proxies_late_jobs_have_no_share() {
-    let mut harness = begin(0);
+    let mut harness = harness_with_two_queues(0);
     submit(&mut harness, LOWER, 101..121, &model::step(1, cores(1)));
     submit(&mut harness, QUEUE, 1..21, &model::step(1, cores(1)));
     assert_eq!(queries_by_queue(&mut harness), (12, 0));
--- a/tests/logic/cell/retry.rs
+++ b/tests/logic/cell/retry.rs
@@ -1,4 +1,4 @@
-//! How long a caller's call is held, and when it is refused.
+//! How long a caller's call waits for an owner, and when it is refused.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use oriolefork::cell::timings::{ANSWER_MARGIN, NO_OWNER_WAIT};
 use oriolefork::clock::Instant;
 
-/// What callers of the sites wait.
+/// Time for which callers of the sites wait.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(3);
 
 const NOW: Instant = Instant::from_millis(60_000);
@@ -15,8 +15,9 @@
     RetryPolicy::new(NOW, CALLER_TIMEOUT, Some(NOW))
 }
 
-/// The store is away for four seconds. Callers were held for 0.7 s at each try, so that the second
-/// try ended with too little time left for a third, and the store's return found nobody there.
+/// The store is unreachable for four seconds. Callers were held for 0.7 s at each attempt, so that
+/// the second attempt left too little time for a third, and no caller was left when the store
+/// recovered.
 #[test]
 fn refused_attempt_ends_the_call() {
     let mut policy = in_contact();
@@ -38,15 +39,16 @@
     );
 }
 
-/// A failure domain is cut off from the owner. Its instances held each call as if an owner might
-/// come; their callers had one try more, instead of three, when the platform sent them elsewhere.
+/// A failure domain is cut off from the owner. Its instances held each call as if an owner could
+/// appear, so that callers had one more attempt instead of three when the platform sent them
+/// elsewhere.
 #[test]
 fn call_without_owner_contact_fails_at_once() {
     let policy = RetryPolicy::new(NOW, CALLER_TIMEOUT, Some(NOW.before(NO_OWNER_WAIT)));
     assert_eq!(policy.next(NOW), RetryDecision::NotExecuted);
 }
 
-/// A process has just begun and knows of no owner yet.
+/// A process that has just started has not heard of an owner yet.
 #[test]
 fn call_before_the_first_contact_is_attempted() {
     assert!(matches!(
@@ -55,8 +57,8 @@
     ));
 }
 
-/// A call goes out on a connection that a cut has killed. It was held until its caller's time was up,
-/// though the caller's own repeat elsewhere would have settled it.
+/// A call is sent on a connection that a network cut has broken. It was held until its caller timed
+/// out, although the caller's own retry elsewhere would have settled it.
 #[test]
 fn unknown_outcome_is_reported_when_the_wait_ends() {
     let mut policy = in_contact();
@@ -68,7 +70,7 @@
     assert_eq!(policy.after_attempt(AttemptOutcome::NotDelivered, end), RetryDecision::Unknown);
 }
 
-/// Once a try may have been carried out, no later one makes *not done* true again.
+/// Once an attempt may have been executed, no later attempt can show that the call was not.
 #[test]
 fn refused_after_unknown_stays_unknown() {
     let mut policy = in_contact();
--- a/tests/logic/cell/simulation/faults.rs
+++ b/tests/logic/cell/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from the seed, and owners replaced.
+//! Faults drawn from the seed, and changes of owner.
 
 use std::rc::Rc;
 
@@ -15,18 +15,19 @@
 use crate::cell::model;
 use crate::cell::upstream::Upstream;
 
-/// Mean time for which the store answers nobody, and mean time between two outages.
+/// Mean length of a store outage and mean time between two outages, in milliseconds.
 const OUTAGE_MS: u64 = 1_000;
 const OUTAGE_INTERVAL_MS: u64 = 5_000;
 
-/// Mean time between two saves of the whole state, by all that take themselves for owners.
+/// Mean time between two snapshots, saved by every owner that has not stepped down, in
+/// milliseconds.
 const SNAPSHOT_INTERVAL_MS: u64 = 1_500;
 
-/// Cores of a worker, and sizes that it can have.
+/// Number of cores of a worker, and number of capacities that it can have.
 pub(super) const CORES: u64 = 16;
 const CAPACITY_LEVELS: u64 = 4;
 
-/// Time from a crash to the worker's next life.
+/// Range of the time from a crash to the worker's next incarnation, in milliseconds.
 const RESTART_MS: std::ops::Range<u64> = 500..4_000;
 
 impl Simulation {
@@ -38,7 +39,7 @@
         if self.chance(every(self.faults.worker_ms)) {
             self.draw_worker_fault();
         }
-        // Not drawn where it is off, so that other histories stay as they are.
+        // Not drawn when disabled, so that histories without resizing keep their random sequence.
         if self.faults.resize_ms > 0 && self.chance(every(self.faults.resize_ms)) {
             self.resize_worker();
         }
@@ -61,7 +62,7 @@
             return;
         }
         if self.rng.random_bool(0.3) {
-            // It crashes and comes back as another life at the same address.
+            // The worker crashes and restarts as another incarnation at the same address.
             self.remove_worker(&current);
             self.restart(number);
         } else if let Some(upstream) = self.workers.get_mut(&current) {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// A worker loses part of its room or has all of it again, and the list says so.
+    /// Changes the capacity of a worker and publishes the new list.
     fn resize_worker(&mut self) {
         let number = self.rng.random_range(0..self.incarnations.len());
         let capacity =
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Another life of a worker begins.
+    /// Starts the next incarnation of a worker.
     pub(super) fn restart(&mut self, number: usize) {
         let incarnation = self.incarnations[&number];
         self.down.remove(&name(number, incarnation));
@@ -92,14 +93,14 @@
         self.publish_roster();
     }
 
-    /// A worker's life is over, and with it what runs there.
+    /// Ends an incarnation of a worker and all its runs.
     fn remove_worker(&mut self, worker: &str) {
         for run in self.workers.remove(worker).iter().flat_map(|upstream| upstream.runs.keys()) {
             *self.worker_crashes.entry(run.task).or_default() += 1;
         }
     }
 
-    /// A worker crashes under a task that it has just started, and is back seconds later.
+    /// Crashes a worker under a task that it has just started; it restarts seconds later.
     pub(super) fn crash(&mut self, worker: String, run: Run) {
         let runs =
             self.workers.get(&worker).is_some_and(|upstream| upstream.runs.contains_key(&run));
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Another instance claims the cell with the state that the journal adds up to.
+    /// Lets another instance replay the journal and claim the cell.
     pub fn take_over(&mut self) {
         self.takeovers += 1;
         if let Some(owner) = self.owners.last_mut() {
@@ -164,7 +165,7 @@
         self.publish_roster();
     }
 
-    /// Where reading begins: at the state that was saved last.
+    /// Returns the last snapshot and the journal offset at which replay continues.
     pub(super) fn last_snapshot(&self) -> (State, usize) {
         let Some(snapshot) = &self.saved else { return (State::default(), 0) };
         let state = snapshot.state.as_ref().expect("a saved state");
--- a/tests/logic/cell/simulation/invariants.rs
+++ b/tests/logic/cell/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! What users were promised.
+//! Invariants that hold at each start and after the faults have ended.
 
 use std::collections::BTreeSet;
 
@@ -8,21 +8,22 @@
 use super::Simulation;
 use crate::cell::model;
 
-/// Time after a stored cancellation in which starts may still happen.
+/// Time after a stored cancellation within which runs may still start, in milliseconds.
 const CANCEL_MS: u64 = 3_000;
 
-/// Time after it in which orders may still leave.
+/// Time after a stored cancellation within which start commands may still be sent, in milliseconds.
 const CANCEL_SEND_MS: u64 = 100;
 
-/// Crashes under one task after which it may be started twice more, and no third time.
+/// Number of crashes under one task after which it may be started twice more but not a third time.
 const MAX_CRASHES: u32 = 3;
-const MAX_FURTHER_STARTS: u32 = 3;
+const FURTHER_START_LIMIT: u32 = 3;
 
-/// Workers that must have crashed under a task before it may be given up.
+/// Number of worker crashes under a task from which its job may be failed.
 const CRASHES_BEFORE_ABANDONING: u32 = 2;
 
 impl Simulation {
-    /// Checks that every accepted job came to its end, and that nothing is left anywhere.
+    /// Checks that every accepted job has ended as expected and that no worker has runs or
+    /// unacknowledged ends left.
     pub fn check_end(&mut self) {
         let owner = self.owners.last().expect("an owner");
         for (id, submitted) in self.jobs.iter().filter(|(_, submitted)| submitted.accepted) {
@@ -44,11 +45,11 @@
         }
         for (name, upstream) in &self.workers {
             assert!(upstream.runs.is_empty(), "{name} still runs {:?}", upstream.runs);
-            assert!(upstream.has_no_unacked_ends(), "{name} was not told to forget its ends");
+            assert!(upstream.has_no_unacked_ends(), "{name} has unacknowledged ends");
         }
     }
 
-    /// Whether workers have crashed under a task of the job often enough for it to be given up.
+    /// Whether enough workers have crashed under a task of the job for the job to be failed.
     fn may_be_abandoned(&self, job: Id) -> bool {
         let of_job = |task: &TaskKey| task.step.job == job;
         self.worker_crashes
@@ -56,14 +57,17 @@
             .any(|(task, crashes)| of_job(task) && *crashes >= CRASHES_BEFORE_ABANDONING)
     }
 
-    /// The promises that hold at every start, of an order that left its owner at `sent`.
+    /// Checks the invariants at the start of a run whose command was sent at `sent`.
     pub(super) fn check_start(&mut self, worker: &str, start: &StartCommand, sent: u64) {
         self.starts += 1;
         let (run, now) = (start.run, self.now);
         let upstream = &self.workers[worker];
         let used = upstream.allocated();
         let limit = upstream.max_allocation(now);
-        assert!(used.fits(&limit), "{now}: {worker}, which has {limit}, is given {used} for {run}");
+        assert!(
+            used.fits(&limit),
+            "{now}: {run} raises the allocation of {worker} to {used}, above its {limit}"
+        );
         for (other, upstream) in &self.workers {
             let other_run = upstream
                 .runs
@@ -78,12 +82,12 @@
         }
         assert!(
             !self.recorded_successes.contains(&run.task),
-            "{now}: {run} starts after it was done"
+            "{now}: {run} starts after its task has succeeded"
         );
         let submitted = &self.jobs[&run.task.step.job];
         assert_eq!(start.job.payload, submitted.job.payload);
         if let Some(cancelled) = submitted.cancelled_at {
-            // A stop overtakes an order that is held up on its way, but for a worker that resets it.
+            // A stop overtakes a delayed start command, except on a worker that resets it.
             let in_time = if upstream.resets_commands {
                 sent < cancelled + CANCEL_SEND_MS
             } else {
@@ -108,7 +112,7 @@
         {
             *further += 1;
             assert!(
-                *further < MAX_FURTHER_STARTS,
+                *further < FURTHER_START_LIMIT,
                 "{now}: {run} starts again and again after {crashes} crashes"
             );
         }
--- a/tests/logic/cell/simulation/mod.rs
+++ b/tests/logic/cell/simulation/mod.rs
@@ -1,8 +1,9 @@
-//! A cell's owners, journal and workers in one thread, with messages delayed, lost and late, owners
-//! killed and replaced, and workers cut off, crashed and born again, all drawn from a seed.
+//! A single-threaded simulation of a cell's owners, journal and workers. Messages are delayed, lost
+//! and late, owners are killed and replaced, and workers become unreachable, crash and restart, all
+//! drawn from a seed.
 //!
-//! What users were promised is checked at each start; what must come about in the end is checked
-//! after the faults are over.
+//! Safety is checked at each start; what must happen eventually is checked after the faults have
+//! ended.
 
 mod faults;
 mod invariants;
@@ -27,29 +28,31 @@
 /// Wall clock at the start, in milliseconds.
 const UNIX_START_MS: u64 = 1_700_000_000_000;
 
-/// Time of one step of the world, in milliseconds.
+/// Length of one simulation step, in milliseconds.
 const STEP_MS: u64 = 5;
 
-/// How the faults of a history are mixed.
+/// Kinds and rates of the faults in a history.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Share of orders that get no answer and are carried out seconds later.
+    /// Fraction of calls to workers that get no response and are executed seconds later.
     pub delayed_calls: f64,
-    /// Share of appends whose answer is lost.
+    /// Fraction of appends whose response is lost.
     pub lost_append_answers: f64,
-    /// Milliseconds between two changes of owner; zero for none.
+    /// Mean interval between changes of owner, in milliseconds; zero for none.
     pub takeover_ms: u64,
-    /// Whether the owner before goes on acting beside its successor.
+    /// Whether a replaced owner keeps acting beside its successor.
     pub stale_owners: bool,
-    /// Milliseconds between two cuts or crashes of workers; zero for none.
+    /// Mean interval between losses of connection or crashes of workers, in milliseconds; zero for
+    /// none.
     pub worker_ms: u64,
-    /// Whether the store answers nobody at times.
+    /// Whether the store has outages.
     pub outages: bool,
-    /// Workers that reset all orders, to the end, and answer looks; held up orders reach them.
+    /// Number of workers that reset commands throughout the history and answer only polls; delayed
+    /// commands still reach them.
     pub resetting_workers: usize,
     /// Whether some jobs have a task that crashes each worker that starts it.
     pub crashing_tasks: bool,
-    /// Milliseconds between two changes of what a worker has; zero for none.
+    /// Mean interval between changes of a worker's capacity, in milliseconds; zero for none.
     pub resize_ms: u64,
 }
 
@@ -74,11 +77,11 @@
     alive: bool,
 }
 
-/// What the world knows of a job.
+/// A submitted job and what is expected of it.
 struct SubmittedJob {
     job: Job,
     accepted: bool,
-    /// A cancellation without an answer may be carried out or not.
+    /// Whether cancellation was requested; an unanswered request may or may not be executed.
     cancel_asked: bool,
     cancelled_at: Option<u64>,
     fails: bool,
@@ -97,11 +100,11 @@
     sequence: u64,
     claims: u64,
     store_down: bool,
-    /// State that an owner saved last, as far as it got before it was replaced.
+    /// Last snapshot, saved by an owner that may have been replaced since.
     saved: Option<JournalSnapshot>,
     workers: BTreeMap<String, Upstream>,
     incarnations: BTreeMap<usize, u32>,
-    /// Workers that have crashed and are not back yet.
+    /// Workers that have crashed and not restarted yet.
     down: BTreeSet<String>,
     events: BTreeMap<(u64, u64), Event>,
     event_count: u64,
@@ -110,11 +113,11 @@
     next_call: u64,
     recorded_successes: BTreeSet<TaskKey>,
     succeeded_at: BTreeMap<TaskKey, u64>,
-    /// Tries that ended as failed, as far as that is in the journal.
+    /// Numbers of failed runs in the journal, by task.
     failures: BTreeMap<TaskKey, BTreeSet<u32>>,
-    /// Crashes by task, and its starts after the third one.
+    /// Crashes at the start of each task, and its starts after the third crash.
     start_crashes: BTreeMap<TaskKey, (u32, u32)>,
-    /// Workers that crashed while a task was there, by task.
+    /// Number of workers that crashed while they ran a task, by task.
     worker_crashes: BTreeMap<TaskKey, u32>,
     pub starts: u64,
     pub takeovers: u64,
@@ -163,7 +166,7 @@
         simulation
     }
 
-    /// Lets time pass with faults.
+    /// Advances the clock while faults are drawn.
     pub fn run(&mut self, span_ms: u64) {
         let end = self.now + span_ms;
         while self.now < end {
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Ends all faults and lets time pass.
+    /// Ends all faults and advances the clock.
     pub fn settle(&mut self, span_ms: u64) {
         self.faults_ended = true;
         self.store_down = false;
@@ -210,7 +213,7 @@
         self.call_owner(id, Call::Cancel(id));
     }
 
-    /// Jobs that were accepted and not cancelled.
+    /// Returns the number of jobs that were accepted and not cancelled.
     pub fn accepted(&self) -> u64 {
         let kept =
             |submitted: &&SubmittedJob| submitted.accepted && submitted.cancelled_at.is_none();
@@ -327,7 +330,7 @@
             self.journal.push(batch);
             Ok(self.journal.len() as u64)
         } else {
-            assert!(sequence <= self.sequence, "a gap in the numbers of batches");
+            assert!(sequence <= self.sequence, "a gap in the sequence numbers of batches");
             Ok(self.journal.len() as u64)
         };
         let outcome = if answered { outcome } else { Err(AppendError::Unknown("lost".to_owned())) };
@@ -367,7 +370,8 @@
     }
 }
 
-/// Name of a worker's life: every other worker starts again under the name that it had.
+/// Returns the name of a worker's incarnation: names with `@` keep the worker's own name across
+/// incarnations, names with `-` do not.
 fn name(number: usize, incarnation: u32) -> String {
     let separator = if number.is_multiple_of(2) { '-' } else { '@' };
     format!("w{number}{separator}{incarnation}")
--- a/tests/logic/cell/simulation/worker_calls.rs
+++ b/tests/logic/cell/simulation/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Orders at the workers: on time, late or lost; and what becomes of the tries there.
+//! Calls to workers, delivered on time, late or not at all, and the runs that they start and end.
 
 use oriolefork::cell::dependencies::{StartCommand, WorkerError};
 use oriolefork::cell::job::{Run, RunOutcome};
@@ -10,7 +10,7 @@
 use super::{Event, Simulation, WorkerCall};
 use crate::cell::upstream::Upstream;
 
-/// Time from the start of a task that crashes its worker to the crash.
+/// Time from the start of a task that crashes its worker to the crash, in milliseconds.
 const CRASH_MS: u64 = 10;
 
 impl Simulation {
@@ -18,7 +18,7 @@
         let sent = self.now;
         let late = self.faults.delayed_calls;
         if self.chance(late) {
-            // No answer, and carried out seconds later.
+            // The call gets no response and is executed seconds later.
             let delay = self.rng.random_range(2_000..12_000);
             self.reply_unknown(owner, &worker, &call, sent);
             let event = Event::Worker { owner, worker, call, sent, answered: false };
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Members of a gang's try that run.
+    /// Returns the running members of the gang that share the number of `run`.
     pub(super) fn members(&self, run: &Run) -> Vec<(String, Run)> {
         let same = |other: &&Run| other.task.step == run.task.step && other.number == run.number;
         let of = |(name, upstream): (&String, &Upstream)| {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// The members of a gang end with the first of them.
+    /// Ends all members of a gang after one of them has ended.
     pub(super) fn end_gang_members(&mut self, run: &Run) {
         let step = run.task.step;
         if !self.jobs[&step.job].job.steps[step.step as usize].gang {
--- a/tests/logic/cell/sizes.rs
+++ b/tests/logic/cell/sizes.rs
@@ -1,21 +1,22 @@
-//! What a job's size does to its chance, on a whole site.
+//! How a job's size affects whether it is served in time, on a whole simulated site.
 
 use test_case::test_case;
 
 use super::mix::{SITES, Scenario};
 use super::replay::Replay;
 
-/// Kind of the jobs that are gangs, among those of a site.
+/// Index of the job kind whose steps are gangs.
 const GANGS: usize = 1;
 
 /// Label of the site whose gangs are wide: 20 tasks on average, of 18 cores each, up to 120.
 const WIDE: &str = "waitaki grown 350";
 
-/// Callers see that of the largest backups less than half as many are served as of all. For some
-/// seconds more jobs come than the site has room for; narrow gangs find their place, wide ones wait,
-/// come too late and are then passed over, while a third of the room stands empty. A wide gang was asked
-/// about a hundred workers at a time, and its first tickets expired before the last answer came; asked
-/// about all it needs at once, it is served in the bursts and the loss below, as narrow ones are.
+/// Of the largest backups, less than half as many were served as of all jobs. For some seconds more
+/// jobs arrive than the site has capacity for: narrow gangs are placed, while wide ones wait,
+/// become too late and are skipped, although a third of the capacity is free. Queries for a wide
+/// gang named a hundred workers at a time, and its first tickets expired before the last answer
+/// arrived. With one query for all the workers that it needs, a wide gang is served as often as a
+/// narrow one in the bursts and the loss below.
 #[test_case(Scenario::Burst, 2; "in_a_burst")]
 #[test_case(Scenario::Flood, 1; "in_a_flood")]
 #[test_case(Scenario::Flood, 4; "in_another_flood")]
--- a/tests/logic/cell/starvation.rs
+++ b/tests/logic/cell/starvation.rs
@@ -1,4 +1,4 @@
-//! Steps that wait beside free workers because nobody asks the policy service about them.
+//! Steps that wait beside free workers because no query to the policy service is sent for them.
 
 use std::rc::Rc;
 
@@ -11,38 +11,38 @@
 use super::harness::{OwnerHarness, WORKER_CLOCK_MS};
 use super::model::{self, cores, id};
 
-/// Queue of gangs: each question about 100 workers takes a second.
+/// Queue of gangs: each query about 100 workers takes a second.
 const WIDE: (&str, PolicyTiming) =
     ("wide", PolicyTiming { decide_ms: 400.0, per_worker_ms: 6.0, valid_ms: 2_500 });
 
-/// Queue of small tasks, which come after the gangs.
+/// Queue of small tasks, which has a lower priority than the gangs.
 const SMALL: (&str, PolicyTiming) =
     ("small", PolicyTiming { decide_ms: 100.0, per_worker_ms: 1.0, valid_ms: 2_500 });
 
-/// Workers, each with eight cores.
+/// Number of workers, each with eight cores.
 const WORKERS: usize = 100;
 
-/// Instances that can ask.
+/// Number of instances that can send queries.
 const PROXIES: u16 = 10;
 
-/// Gangs that find no room, and jobs of one small task each.
+/// Number of gangs that fit nowhere, and of jobs with one small task each.
 const GANGS: u64 = 60;
 const JOBS: u64 = 40;
 
-/// Within what a task whose turn has come must be placed while most of the room is free.
+/// Time within which a small task must be placed while most capacity is free, in milliseconds.
 const BOUND_MS: u64 = 3_000;
 
-/// A cell with a policy service that answers each instance one question at a time.
-struct Site {
+/// A cell with a policy service that answers each query after the time it takes to decide.
+struct SimulatedSite {
     harness: OwnerHarness,
-    /// Questions under way with the time of their answer.
+    /// Pending queries, each with the time of its answer.
     pending: Vec<(u64, PolicyQuery)>,
     policy_timings: Vec<(&'static str, PolicyTiming)>,
 }
 
-impl Site {
-    /// `target_ms` is the time that small jobs may take.
-    fn begin(target_ms: u64) -> Self {
+impl SimulatedSite {
+    /// `target_ms` is the target of the queues that are subject to the policy service.
+    fn new(target_ms: u64) -> Self {
         let mut harness = OwnerHarness::new(WORKERS);
         let config = model::queue_config();
         let plain = config.queues[0].clone();
@@ -68,13 +68,13 @@
         self.harness.deliver(Message::Call { id: number, call: Call::Submit(job) });
     }
 
-    /// Takes one core of every worker for as long as the test runs.
+    /// Allocates one core of every worker until the test ends.
     fn occupy(&mut self) {
         let step = Step { max_per_worker: 1, ..model::step(WORKERS as u32, cores(1)) };
         self.harness.start_job(999_999, step);
     }
 
-    /// Lets time pass; instances are there, the store takes all, starts and questions are answered.
+    /// Advances the clock while instances are present and appends, starts and queries are answered.
     fn run(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             (1..=PROXIES).for_each(|asker| self.harness.see_instance(asker));
@@ -115,7 +115,7 @@
             as u64
     }
 
-    /// Jobs among `numbers` that no task was placed for.
+    /// Returns the number of jobs among `numbers` without a placed task.
     fn waiting(&self, numbers: std::ops::Range<u64>) -> usize {
         let placed = |number: &u64| {
             let entry = &self.harness.machine.state.jobs[&id(*number)];
@@ -129,13 +129,13 @@
     }
 }
 
-/// Gangs that find no room, since a little runs on every worker, ask about all workers, with long
-/// questions and first in rank. All instances are busy for them, and small tasks wait for half a
-/// minute beside workers that are nearly free, without one question asked for them.
+/// Gangs fit nowhere, since a small task runs on every worker. Their queries cover all workers,
+/// take long and rank first, and kept all instances busy: small tasks waited half a minute beside
+/// nearly free workers without a single query.
 #[test_case(60_000; "on_time")]
 #[test_case(0; "late_without_worth")]
 fn small_tasks_are_placed_beside_waiting_gangs(target_ms: u64) {
-    let mut site = Site::begin(target_ms);
+    let mut site = SimulatedSite::new(target_ms);
     site.occupy();
     let gang = Step { gang: true, estimate_ms: 60_000, ..model::step(10, cores(8)) };
     for number in 0..GANGS {
@@ -151,13 +151,13 @@
     assert_eq!(site.waiting(5_000..5_000 + JOBS), 0, "small tasks not placed");
 }
 
-/// A gang comes that never fits: a little runs on every worker. It waits at the head of its queue, asks
-/// about all workers again and again, and the narrow gangs behind it, for which there is room, wait for
-/// as long as it does.
+/// A gang never fits, since a small task runs on every worker. It stayed at the head of its queue
+/// and repeated queries about all workers, and the narrow gangs behind it, for which there was
+/// capacity, waited as long.
 #[test_case(60_000; "on_time")]
 #[test_case(0; "late_without_worth")]
 fn narrow_gangs_are_placed_beside_one_that_never_fits(target_ms: u64) {
-    let mut site = Site::begin(target_ms);
+    let mut site = SimulatedSite::new(target_ms);
     site.occupy();
     for number in 0..3 {
         let gang = Step { gang: true, estimate_ms: 1, ..model::step(WORKERS as u32, cores(8)) };
--- a/tests/logic/cell/state.rs
+++ b/tests/logic/cell/state.rs
@@ -1,4 +1,4 @@
-//! What the records of a journal add up to.
+//! State that results from replaying the records of a journal.
 
 use oriolefork::cell::Epoch;
 use oriolefork::cell::job::{Phase, Run, RunOutcome, Step, StepKey, TaskKey};
@@ -11,7 +11,7 @@
 
 const AT: Unix = Unix::from_millis(1_700_000_000_000);
 
-/// Largest state that one append of the store takes.
+/// Largest state that one append of the store accepts, in bytes.
 const APPEND_BYTES: usize = 2_000_000;
 
 fn run(job: u64, index: u32, number: u32) -> Run {
@@ -39,8 +39,8 @@
     state.jobs[&id(number)].phase()
 }
 
-/// A successor begins with a saved state and reads records that it holds already. Were they counted
-/// again, a job would have failed after half of its tries.
+/// A successor starts from a snapshot and replays records that it already contains. If they counted
+/// again, a job would fail after half of its attempts.
 #[test]
 fn apply_again_changes_nothing() {
     let mut state = State::default();
@@ -70,7 +70,8 @@
     assert!(!state.apply_batch(late));
 }
 
-/// One end speaks for the whole gang, but the other members hold their room until they are listed.
+/// One outcome applies to the whole gang, but the other members keep their resources until their
+/// own ends are recorded.
 #[test]
 fn gang_completes_with_one_outcome() {
     let mut state = State::default();
@@ -85,9 +86,9 @@
     assert_eq!(phase(&state, 1), Phase::Completed);
 }
 
-/// Callers may ask for ended jobs for two minutes. With their texts the state of a busy site would not
-/// fit into one append, no state could be saved, and the cell could not be taken over once the
-/// journal's first records are dropped.
+/// Callers may query ended jobs for two minutes. With their payloads the state of a busy site would
+/// not fit into one append. No snapshot could be saved, and no instance could take over the cell
+/// once the journal's first records are dropped.
 #[test]
 fn ended_jobs_are_compacted() {
     let mut state = State::default();
@@ -110,7 +111,7 @@
     accept(&mut state, 1, model::step(1, cores(1)));
     place(&mut state, run(1, 0, 1));
     state.apply(Record::Cancelled { job: id(1) }, AT);
-    assert!(!state.jobs[&id(1)].job.steps.is_empty(), "a try still runs");
+    assert!(!state.jobs[&id(1)].job.steps.is_empty(), "an attempt still runs");
     end(&mut state, run(1, 0, 1), RunOutcome::Stopped);
     assert!(state.jobs[&id(1)].job.steps.is_empty());
     assert_eq!(phase(&state, 1), Phase::Cancelled);
--- a/tests/logic/cell/store.rs
+++ b/tests/logic/cell/store.rs
@@ -1,4 +1,4 @@
-//! What waits for the store, and what an owner does while the store is slow or away, one story each.
+//! What waits for the store, and how an owner behaves while the store is slow or unreachable.
 
 use oriolefork::cell::job::{Phase, RunOutcome};
 use oriolefork::cell::machine::{Answer, Call};
@@ -8,8 +8,8 @@
 use super::harness::OwnerHarness;
 use super::model::{self, cores, id};
 
-/// A caller is told that its job is accepted, and the owner dies before the record is stored: the
-/// job is gone without a trace. So the answer waits for the store.
+/// If the owner died between its answer to a caller and the append of the record, an accepted job
+/// would be lost. The answer therefore waits for the store.
 #[test]
 fn submit_answers_once_stored() {
     let mut harness = OwnerHarness::new(1);
@@ -19,21 +19,21 @@
     assert_eq!(harness.answer(1), Some(Answer::Accepted));
 }
 
-/// An owner starts a task whose placement is not stored and dies; its successor, which cannot
-/// reach that worker, starts the task a second time beside the first.
+/// An owner starts a task whose placement is not stored and dies; its successor, which cannot reach
+/// that worker, starts the task a second time while the first run continues.
 #[test]
 fn start_waits_for_its_placement() {
     let mut harness = OwnerHarness::new(1);
     harness.call(1, Call::Submit(model::job(1, model::step(1, cores(1)))));
     harness.advance(20);
-    assert!(!harness.machine.runs.is_empty(), "it is placed");
+    assert!(!harness.machine.runs.is_empty(), "the task is placed");
     assert!(harness.drain_starts().is_empty(), "the placement is not stored yet");
     harness.complete_appends();
     assert_eq!(harness.drain_starts().len(), 1);
 }
 
-/// The store answers nobody for seconds. Callers whose jobs are queued behind the hanging append
-/// could only be told that nobody knows whether they run; most of them would give up.
+/// The store does not respond for seconds. Callers whose jobs wait behind the hanging append could
+/// only be answered that the outcome is unknown, and most of them would give up.
 #[test]
 fn submit_refused_while_the_store_is_stuck() {
     let mut harness = OwnerHarness::new(1);
@@ -43,14 +43,15 @@
     assert_eq!(harness.answer(2), None);
     harness.advance(OFFER_TO_ANYONE_AFTER.as_millis() as u64);
     assert_eq!(harness.answer(2), Some(Answer::Unavailable));
-    assert_eq!(harness.answer(1), None, "it may be stored");
+    assert_eq!(harness.answer(1), None, "the record may be stored");
     harness.call(3, Call::Submit(model::job(3, model::step(1, cores(1)))));
     assert_eq!(harness.answer(3), Some(Answer::Unavailable));
     assert!(!harness.machine.state.jobs.contains_key(&id(2)));
 }
 
-/// The store answers all instances but the owner. Callers waited for a second until another took the
-/// cell over, since the owner offered it only after the time that a slow store takes.
+/// The store responds to all instances but the owner. Callers waited a second until another
+/// instance took over the cell, since the owner offered it only after the response time of a slow
+/// store.
 #[test]
 fn handover_offer_widens_while_an_append_hangs() {
     let mut harness = OwnerHarness::new(1);
@@ -76,8 +77,8 @@
     assert_eq!(harness.answer(2), Some(Answer::Accepted));
 }
 
-/// The store is back, but the last append hangs on a dead connection: without a second try every
-/// caller waits for its timeout.
+/// The store has recovered, but the last append hangs on a broken connection: without a second
+/// append every caller waits for its timeout.
 #[test]
 fn hanging_append_is_repeated() {
     let mut harness = OwnerHarness::new(1);
@@ -85,7 +86,7 @@
     harness.advance(250);
     let appends = harness.appends();
     assert_eq!(appends.len(), 2);
-    assert_eq!(appends[0], appends[1], "the same number is taken once");
+    assert_eq!(appends[0], appends[1], "the store accepts a sequence number once");
 }
 
 #[test]
@@ -98,8 +99,9 @@
     assert_eq!(harness.appends().last(), first.last());
 }
 
-/// A worker ends a task, the owner tells a caller *completed* and dies before the end is stored; the
-/// worker crashes as well. The successor runs a task again that the caller knows to be done.
+/// A worker ends a task, the owner answers *completed* to a caller and dies before the end is
+/// stored, and the worker crashes as well. The successor would run a task again that the caller has
+/// seen completed.
 #[test]
 fn completed_is_reported_once_stored() {
     let mut harness = OwnerHarness::new(1);
@@ -112,7 +114,8 @@
     assert_eq!(harness.phase(1), Some(Answer::Phase(Phase::Completed)));
 }
 
-/// The worker may forget an end only when it is stored, or a successor would never hear of it.
+/// A worker may drop an ended run only once the end is stored; otherwise a successor would never
+/// receive it.
 #[test]
 fn end_is_acknowledged_once_stored() {
     let mut harness = OwnerHarness::new(1);
@@ -124,7 +127,7 @@
     assert_eq!(harness.machine.workers["w0"].last_recorded_end, 7);
 }
 
-/// An owner that was replaced without knowing must not say that a job does not exist: its successor
+/// A replaced owner that has not noticed must not answer that a job does not exist: its successor
 /// may have accepted it.
 #[test]
 fn unknown_job_is_reported_only_with_the_store_reachable() {
--- a/tests/logic/cell/succession.rs
+++ b/tests/logic/cell/succession.rs
@@ -1,4 +1,4 @@
-//! Who takes over from an owner, and in which order.
+//! The order in which instances take over from an owner.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,15 +9,16 @@
 
 use super::harness::OwnerHarness;
 
-/// Failure domains of a large site, and the instances in each.
+/// Number of failure domains of a large site.
 const DOMAINS: u8 = 5;
 
 fn peer(domain: u8, number: u8) -> SocketAddr {
     SocketAddr::from(([10, domain, 0, number], 7_160))
 }
 
-/// A cut of one failure domain takes the owner and all that would follow it: their addresses stand next
-/// to each other, and instances elsewhere begin with megabytes of journal.
+/// A network cut of one failure domain affects the owner and, where successors are ordered by
+/// address, all instances that would take over first, since their addresses are adjacent. Instances
+/// elsewhere then start with megabytes of journal to replay.
 #[test_case(3; "with_few_strong_ones")]
 #[test_case(20; "with_many_strong_ones")]
 fn succession_begins_in_different_domains(strong: u8) {
@@ -38,8 +39,8 @@
     assert_eq!(first.len(), usize::from(DOMAINS), "{order:?}");
 }
 
-/// A weak instance owns the cell, and small machines choke on the owner's work, while strong ones stand
-/// by: those of the most processor come first, whatever their failure domain.
+/// A weak instance owned the cell and was overloaded by the owner's work while strong ones
+/// followed. Instances with the most CPU come first, whatever their failure domain.
 #[test]
 fn succession_begins_with_the_strongest() {
     let mut harness = OwnerHarness::new(1);
@@ -52,8 +53,9 @@
     assert_eq!(order, [peer(0, 1), peer(0, 2), peer(0, 0)]);
 }
 
-/// On a site of hundreds of instances each was told of all others several times a second, and the owner
-/// had no time left to place anything: an instance that knows the order is told it by a digest.
+/// On a site of hundreds of instances the owner sent each of them the whole order several times a
+/// second, and had no time left for placement. An instance that has the current order gets only its
+/// digest.
 #[test]
 fn succession_keeps_its_digest_until_it_changes() {
     let mut harness = OwnerHarness::new(1);
--- a/tests/logic/cell/ticket.rs
+++ b/tests/logic/cell/ticket.rs
@@ -45,8 +45,8 @@
     assert_eq!(stale, [&WorkerId::from("w1")]);
 }
 
-/// The instance that asks dies with the question. The workers it named must count as unasked
-/// again, or the step would wait for ever for an answer that nobody sends.
+/// The instance that sent the query dies. The workers in the query must count as not queried again,
+/// or the step would wait without end for an answer.
 #[test]
 fn answer_missing_can_be_asked_again() {
     let mut tickets = Tickets::default();
--- a/tests/logic/cell/unanswered_commands.rs
+++ b/tests/logic/cell/unanswered_commands.rs
@@ -1,12 +1,12 @@
-//! A worker that answers looks and takes no order.
+//! Workers that answer polls but no commands.
 //!
-//! Users saw accepted tasks stand still for half a minute beside free workers, after all instances had
-//! lost power. One worker reset each order of the new owner: the connections of two former owners, which
-//! nobody closes once their machines have no power, used up those that it takes. The one connection
-//! that was left carried the looks. Each order to start ended with an unknown outcome, and the task
-//! waited for a stop that never got through, while the looks went on renewing the worker's lease.
-//! Proved by the log lines on lost connections: 32 and 31 of the two former owners at that worker,
-//! and fresh ones of the new owner reset while it had two.
+//! After all instances had lost power, accepted tasks waited for half a minute beside free workers.
+//! One worker reset each command of the new owner: connections of two former owners, which nobody
+//! closes once their machines have no power, used up the worker's connection limit, and the one
+//! remaining connection carried the polls. Each start command ended with an unknown outcome, and
+//! the task waited for a stop that never arrived, while the polls kept renewing the worker's lease.
+//! The log lines on lost connections showed 32 and 31 of the two former owners at that worker, and
+//! new ones of the new owner being reset while it had two.
 
 use oriolefork::cell::dependencies::{StartCommand, WorkerError};
 use oriolefork::cell::job::Run;
@@ -17,14 +17,14 @@
 use super::harness::{OwnerHarness, WORKER_CLOCK_MS};
 use super::model::{self, cores, id};
 
-/// Time between two of the worker's answers to looks.
+/// Interval between the worker's responses to polls, in milliseconds.
 const POLL_MS: u64 = 100;
 
 fn reset() -> WorkerError {
     WorkerError::Unknown("connection reset".to_owned())
 }
 
-/// A job with one task whose order has just been sent to the worker returned.
+/// Submits a job with one task; returns its start command and the worker to which it was sent.
 fn send_start(harness: &mut OwnerHarness, number: u64) -> (usize, StartCommand) {
     harness.call(number, Call::Submit(model::job(number, model::step(1, cores(1)))));
     harness.complete_appends();
@@ -33,9 +33,9 @@
     harness.drain_starts().remove(0)
 }
 
-/// Lets time pass in which the worker `resetting` answers looks and resets orders; returns the orders to
-/// start that went elsewhere.
-fn pass_resetting(
+/// Advances the clock while the worker `resetting` answers polls and resets commands; returns the
+/// start commands to other workers.
+fn advance_resetting(
     harness: &mut OwnerHarness,
     resetting: usize,
     millis: u64,
@@ -65,9 +65,9 @@
     starts.iter().map(|(_, start)| start.run).collect()
 }
 
-/// The task may begin at the worker as long as the lease that its order names; from then on the worker
-/// refuses the order. Once the worker's own clock has passed that, and it still does not list the task,
-/// the task goes elsewhere without any stop.
+/// The task may start on the worker until the lease in its command expires; after that the worker
+/// refuses the command. Once the worker's own clock has passed that time and its reports still do
+/// not list the run, the task moves elsewhere without a stop.
 #[test]
 fn unanswered_start_moves_once_its_lease_expires() {
     let mut harness = OwnerHarness::new(2);
@@ -75,50 +75,50 @@
     harness.answer_start(&(resetting, first.clone()), Err(reset()));
     let lease = LEASE.as_millis() as u64;
     assert_eq!(
-        runs(&pass_resetting(&mut harness, resetting, lease - 500)),
+        runs(&advance_resetting(&mut harness, resetting, lease - 500)),
         [],
-        "it may still begin there"
+        "it may still start on the first worker"
     );
-    let moved = pass_resetting(&mut harness, resetting, 1_500);
+    let moved = advance_resetting(&mut harness, resetting, 1_500);
     assert_eq!(moved.len(), 1, "the order's lease has expired");
     assert_eq!(moved[0].1.run.task, first.run.task);
     assert!(moved[0].1.run.number > first.run.number);
 }
 
-/// An order is held up on its way and arrives within its lease, after the owner has given it up. The
-/// worker lists the task, which therefore stays there.
+/// A command is delayed in transit and arrives before its lease expires, after the owner has given
+/// it up. The worker lists the run, so the task stays there.
 #[test]
 fn unanswered_start_that_runs_is_kept() {
     let mut harness = OwnerHarness::new(2);
     let (resetting, first) = send_start(&mut harness, 1);
     harness.answer_start(&(resetting, first.clone()), Err(reset()));
-    pass_resetting(&mut harness, resetting, 4_000);
+    advance_resetting(&mut harness, resetting, 4_000);
     let until = harness.now + (LEASE + LEASE_MARGIN * 2).as_millis() as u64;
     while harness.now < until {
         harness.report(resetting, &[first.run], &[]);
         harness.advance(POLL_MS);
         harness.complete_appends();
-        assert_eq!(runs(&harness.drain_starts()), [], "it runs there");
+        assert_eq!(runs(&harness.drain_starts()), [], "it runs on the first worker");
     }
     assert!(harness.machine.runs.contains_key(&first.run));
 }
 
-/// The owner went on placing tasks on the worker whose orders it had given up, since its looks were
-/// answered; each was stuck in its turn.
+/// The owner kept placing tasks on a worker whose commands had failed, since the worker answered
+/// polls; each of these tasks was delayed in turn.
 #[test]
 fn unanswered_start_keeps_new_tasks_away() {
     let mut harness = OwnerHarness::new(2);
     let (resetting, first) = send_start(&mut harness, 1);
     harness.answer_start(&(resetting, first), Err(reset()));
-    pass_resetting(&mut harness, resetting, 500);
+    advance_resetting(&mut harness, resetting, 500);
     harness.call(2, Call::Submit(model::job(2, model::step(1, cores(1)))));
-    let starts = pass_resetting(&mut harness, resetting, 200);
-    assert_eq!(starts.len(), 1, "the other worker takes it");
+    let starts = advance_resetting(&mut harness, resetting, 200);
+    assert_eq!(starts.len(), 1, "it starts on the other worker");
     assert_eq!(starts[0].1.run.task.step.job, id(2));
 }
 
-/// A worker is cut off for 1.7 s while eight tasks are on their way to it. It is sound, and a new task
-/// finds no other: counted once for each task, the worker rested for eight seconds.
+/// A worker is unreachable for 1.7 s while eight starts to it are pending. The worker is healthy
+/// and the only one for a new task. When each start counted, the backoff lasted eight seconds.
 #[test]
 fn unanswered_starts_back_off_a_healthy_worker_briefly() {
     const TASKS: u32 = 8;
@@ -149,8 +149,9 @@
     }
 }
 
-/// The tries of a start never leave: no connection. The worker answers looks ever after, and gets no
-/// order that it could answer; it came last among the workers for good.
+/// The starts fail before they are sent because there is no connection. The worker answers polls
+/// afterwards but gets no command whose response would clear its backoff, and stayed last in
+/// preference forever.
 #[test]
 fn unanswered_start_backoff_expires() {
     let mut harness = OwnerHarness::new(2);
--- a/tests/logic/cell/upstream.rs
+++ b/tests/logic/cell/upstream.rs
@@ -1,5 +1,5 @@
-//! A worker as the owner meets it: fencing, leases on a clock of its own, ends until they are
-//! forgotten, and gangs.
+//! Model of a worker: fencing, leases on its own clock, ended runs until they are acknowledged, and
+//! highest ended run numbers.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,22 @@
 use oriolefork::cell::job::{Run, RunOutcome, TaskKey};
 use oriolefork::resource::Amount;
 
-/// Share by which the clock runs slow.
+/// Rate of the worker's clock relative to real time.
 const CLOCK_RATE: f64 = 0.98;
 
-/// Longest lease that is granted, in milliseconds.
+/// Longest lease that the worker accepts, in milliseconds.
 const MAX_LEASE_MS: u64 = 10_000;
 
-/// Time for which the room before still counts once a worker has shrunk: a machine's contact with the
-/// platform and one heartbeat.
+/// Time for which the previous capacity still counts after a worker has shrunk, in milliseconds:
+/// one contact of its machine with the platform and one heartbeat.
 const CAPACITY_GRACE_MS: u64 = 4_500;
 
-/// One life of a worker.
+/// One incarnation of a worker.
 pub struct Upstream {
     pub capacity: Amount,
     /// Whether messages reach it.
     pub reachable: bool,
-    /// Whether it resets orders and answers looks alone.
+    /// Whether it resets commands and answers only polls.
     pub resets_commands: bool,
     pub runs: BTreeMap<Run, Amount>,
     offset_ms: u64,
@@ -34,9 +34,9 @@
     ended: Vec<EndedRun>,
     last_number: u64,
     acked_end: u64,
-    /// Highest try of each task that ended or was stopped here.
-    last_ended_run: BTreeMap<TaskKey, u32>,
-    /// What it had before it shrank, and until when that still counts.
+    /// Highest run number of each task that ended or was stopped here.
+    highest_ended_run: BTreeMap<TaskKey, u32>,
+    /// Capacities before it was resized, each with the time until which it still counts.
     previous_capacities: Vec<(Amount, u64)>,
 }
 
@@ -53,7 +53,7 @@
             ended: Vec::new(),
             last_number: 0,
             acked_end: 0,
-            last_ended_run: BTreeMap::new(),
+            highest_ended_run: BTreeMap::new(),
             previous_capacities: Vec::new(),
         }
     }
@@ -68,7 +68,7 @@
         self.capacity = capacity;
     }
 
-    /// What a start may bring it to: the largest of what it has and had lately.
+    /// Returns the limit for starts: the largest of its current and recent capacities.
     pub fn max_allocation(&self, now: u64) -> Amount {
         let recent = self
             .previous_capacities
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Ends what runs without a lease and returns it.
+    /// Ends all runs if the lease has expired, and returns them.
     pub fn expire_lease(&mut self, now: u64) -> Vec<Run> {
         if self.clock_ms(now) <= self.lease_until_ms || self.runs.is_empty() {
             return Vec::new();
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Takes an order to start; `true` when the try begins with it.
+    /// Handles a start command; `true` if the run starts with it.
     pub fn start(
         &mut self,
         start: &StartCommand,
@@ -128,8 +128,8 @@
         if self.runs.contains_key(&start.run) {
             return Ok(false);
         }
-        let last_ended_run = self.last_ended_run.get(&start.run.task).copied().unwrap_or(0);
-        if start.run.number <= last_ended_run {
+        let highest_ended_run = self.highest_ended_run.get(&start.run.task).copied().unwrap_or(0);
+        if start.run.number <= highest_ended_run {
             self.extend_lease(Some(start.lease_until_ms), now);
             return Err(WorkerError::RunEnded);
         }
@@ -147,12 +147,12 @@
         if was_running {
             self.end(run, RunOutcome::Stopped);
         }
-        let last_ended_run = self.last_ended_run.entry(run.task).or_insert(0);
-        *last_ended_run = (*last_ended_run).max(run.number);
+        let highest_ended_run = self.highest_ended_run.entry(run.task).or_insert(0);
+        *highest_ended_run = (*highest_ended_run).max(run.number);
         Ok(was_running)
     }
 
-    /// Whether the owner has been told that it need not hear of an end again.
+    /// Whether the owner has acknowledged all ended runs.
     pub fn has_no_unacked_ends(&self) -> bool {
         self.ended.is_empty()
     }
@@ -164,8 +164,8 @@
         self.last_number += 1;
         let number = self.last_number;
         self.ended.push(EndedRun { number, run, outcome: end, checkpoint: String::new() });
-        let last_ended_run = self.last_ended_run.entry(run.task).or_insert(0);
-        *last_ended_run = (*last_ended_run).max(run.number);
+        let highest_ended_run = self.highest_ended_run.entry(run.task).or_insert(0);
+        *highest_ended_run = (*highest_ended_run).max(run.number);
     }
 
     fn check_epoch(&mut self, epoch: Epoch) -> Result<(), WorkerError> {
