--- a/benches/cell/main.rs
+++ b/benches/cell/main.rs
@@ -1,12 +1,13 @@
-//! Replays job mixes through a cell's machine, without any network, and tells what the policy earns
-//! and what deciding costs.
+//! Replays job mixes through a cell's state machine without a network, and measures how well jobs
+//! are scheduled and what scheduling costs.
 //!
-//! `cargo bench --bench cell` prints a line for each site and mix: share of the worth earned, waiting,
-//! packing, starts a second, and the owner's processor time for each second replayed. Name one site
-//! (`cargo bench --bench cell -- grown 7`) to replay only those whose label holds that word, and a seed
-//! to draw other jobs. `served` tells, for each kind, which share of its jobs ended in time or late, and
-//! of the tenth of them with the most work; `askers`, how many instances were busy asking on average. `--log` prints the owner's
-//! log lines to standard error, each after the time of the replay in seconds.
+//! `cargo bench --bench cell` prints a line for each site and scenario: share of the jobs' worth
+//! that is earned, waiting times, packing, starts per second, and the owner's CPU time per
+//! simulated second. `cargo bench --bench cell -- grown 7` replays only the sites whose label
+//! contains the first word, with the second one as the seed of the random jobs. The column `served`
+//! gives, for each job kind, the share of jobs that end in time or late, and the same for the tenth
+//! with the most work; `askers` gives the average number of instances busy with policy queries.
+//! `--log` prints the owner's log lines to standard error, each with the simulated time in seconds.
 
 use std::sync::atomic::Ordering;
 
--- a/benches/cell/mix.rs
+++ b/benches/cell/mix.rs
@@ -1,4 +1,4 @@
-//! Sites and the jobs that come there.
+//! Sites and the job mixes that they receive.
 
 use std::rc::Rc;
 
@@ -8,23 +8,23 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-/// Service whose workers run everything.
+/// Service of all workers.
 pub const SERVICE: &str = "portal";
 
-/// What happens while jobs come.
+/// Disturbance during a replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing.
+    /// No disturbance.
     Calm,
-    /// Twice the jobs for four seconds.
+    /// Twice the usual jobs for four seconds.
     Burst,
-    /// A quarter of the workers is lost for six seconds.
+    /// A quarter of the workers fails for six seconds.
     Loss,
-    /// Six times the jobs for four seconds, as when callers come back after an outage.
+    /// Six times the usual jobs for four seconds, as when callers retry after an outage.
     Flood,
 }
 
-/// Instances, workers and queues of a site.
+/// Workers, instances and job kinds of a site.
 pub struct Site {
     pub label: &'static str,
     pub workers: usize,
@@ -34,22 +34,31 @@
     pub kinds: [Kind; 3],
 }
 
-/// Jobs of one queue.
+/// Jobs of one queue: arrival rate and mean values from which each job is drawn.
 pub struct Kind {
     pub jobs_per_second: f64,
+    /// Mean number of steps of a job.
     pub steps: f64,
+    /// Mean number of tasks of a step.
     pub width: f64,
+    /// Mean run time of a task.
     pub work_ms: f64,
+    /// Mean number of cores of a task.
     pub cores: f64,
+    /// Mean memory of a task.
     pub gib: f64,
+    /// Probability that the steps of a job are gangs.
     pub gang: f64,
+    /// What a job earns when it ends within its target.
     pub worth: f64,
+    /// What it earns when it ends within three times its target.
     pub late_worth: f64,
     pub priority: u32,
     pub max_failures: u32,
     pub stretch: f64,
     pub target_ms: u64,
-    /// RetryDecision, each worker named, share of workers that may run a step.
+    /// Policy service: decision time and time per worker in the query, both in milliseconds, and
+    /// share of workers that may run a step.
     pub policy: (f64, f64, f64),
 }
 
@@ -155,8 +164,8 @@
     Kind { jobs_per_second: 24.0, ..GROWN[2] },
 ];
 
-/// As many jobs as come to the site of 1,000 workers, on three times the workers and four times the
-/// instances, all of which the owner looks after.
+/// As many jobs as the site of 1,000 workers receives, on three times the workers and four times
+/// the instances, all of which the owner serves.
 const WIDE: [Kind; 3] = [
     Kind { jobs_per_second: 70.0, cores: 16.0, gib: 32.0, policy: (26.0, 0.364, 0.7), ..GROWN[0] },
     Kind {
@@ -193,7 +202,7 @@
 ];
 
 impl Site {
-    /// The configuration in force.
+    /// Returns the site's queue configuration.
     pub fn queue_config(&self) -> Rc<QueueConfig> {
         let queue = |(number, kind): (usize, &Kind)| Queue {
             name: number.to_string(),
@@ -217,7 +226,7 @@
 }
 
 impl Scenario {
-    /// How many times the usual number of jobs comes while the trouble lasts.
+    /// Returns the factor by which the arrival rate rises during the disturbance.
     pub const fn arrival_factor(self) -> f64 {
         match self {
             Self::Calm | Self::Loss => 1.0,
@@ -228,7 +237,7 @@
 }
 
 impl Kind {
-    /// A job of this kind for queue `queue`.
+    /// Draws a job of this kind for queue `queue`.
     pub fn generate_job(&self, id: Id, queue: usize, rng: &mut StdRng) -> Job {
         let steps = log_normal(self.steps, 0.4, rng).round().clamp(1.0, 4.0) as usize;
         let gang = rng.random_bool(self.gang);
@@ -251,7 +260,8 @@
     }
 }
 
-/// A value around `mean`, spread like a logarithmic normal distribution of that deviation.
+/// Draws a log-normal value with the given mean; `spread` is the standard deviation of its
+/// logarithm.
 pub fn log_normal(mean: f64, spread: f64, rng: &mut StdRng) -> f64 {
     let (one, two): (f64, f64) = (rng.random_range(f64::EPSILON..1.0), rng.random());
     let normal = (-2.0 * one.ln()).sqrt() * (std::f64::consts::TAU * two).cos();
--- a/benches/cell/replay.rs
+++ b/benches/cell/replay.rs
@@ -1,5 +1,5 @@
-//! One day of a site: workers, the policy service and the journal answer the machine after the
-//! delays that were measured for them.
+//! Replay of one scenario on a site: workers, policy service and journal respond to the state
+//! machine after their measured delays.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -23,27 +23,28 @@
 use super::mix::{Kind, SERVICE, Scenario, Site, log_normal};
 use super::upstream::Upstream;
 
-/// Length of a replay, time in which jobs come, and the trouble within it, in milliseconds.
+/// Length of a replay, time for which jobs arrive, and start and end of the disturbances, in
+/// milliseconds.
 const REPLAY_MS: u64 = 40_000;
 const TRAFFIC_MS: u64 = 25_000;
 const DISTURBANCE_MS: (u64, u64) = (8_000, 12_000);
 const LOSS_MS: (u64, u64) = (8_000, 14_000);
 
-/// Ways to the store, to a worker and between instances with their answers, in milliseconds.
+/// Round-trip times to the store, to a worker and between instances, in milliseconds.
 const APPEND_MS: u64 = 8;
 const COMMAND_MS: u64 = 5;
 const PEER_MS: u64 = 2;
 
-/// The machine looks at its own state at least this often, in milliseconds.
+/// Maximum interval between two steps of the state machine, in milliseconds.
 const TICK_MS: u64 = 20;
 
 /// Wall clock at the start, in milliseconds.
 const UNIX_START_MS: u64 = 1_700_000_000_000;
 
-/// Workers in a rack.
+/// Number of workers in a rack.
 const WORKERS_PER_RACK: usize = 12;
 
-/// Time of the replay under way, for log lines.
+/// Simulated time of the current replay in milliseconds, for log lines.
 pub static NOW_MS: AtomicU64 = AtomicU64::new(0);
 
 enum Event {
@@ -60,17 +61,17 @@
 struct Job {
     kind: usize,
     at: u64,
-    /// Core-milliseconds of work.
+    /// Work of all its tasks, in core-milliseconds.
     core_ms: f64,
-    /// What it earned, as a share of its worth.
+    /// Share of its worth that it earned.
     earned: f64,
-    /// Time within which it earns all.
+    /// Time within which it earns its whole worth, in milliseconds.
     target_ms: f64,
     started: bool,
     ended: bool,
 }
 
-/// A look that waits at its worker for an end.
+/// A poll held by its worker until a run ends or the poll's wait is over.
 struct PendingPoll {
     poll: PollRequest,
     poll_id: u64,
@@ -89,20 +90,20 @@
     pending_polls: BTreeMap<WorkerId, PendingPoll>,
     proxy_busy_until: BTreeMap<SocketAddr, u64>,
     jobs: BTreeMap<Id, Job>,
-    ids: u64,
+    job_count: u64,
     work: BTreeMap<StepKey, f64>,
     measured: Measurements,
 }
 
-/// Figures of one replay.
+/// Results of one replay.
 pub struct Measurements {
     label: String,
     earned: f64,
     max_worth: f64,
     waiting: [Histogram<u64>; 3],
-    /// Shares earned of each kind.
+    /// Shares of served jobs, by kind.
     pub shares: [ServedShare; 3],
-    /// Time of the policy service's answers, in milliseconds.
+    /// Time that the policy service spends on queries, in milliseconds.
     policy_busy_ms: u64,
     packing_sum: f64,
     samples: u32,
@@ -112,11 +113,11 @@
     jobs: usize,
 }
 
-/// Shares of the jobs of one kind that earned something; late ones count in full.
+/// Share of the jobs of one kind that earned anything; late ones count in full.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServedShare {
     pub all: f64,
-    /// Of the tenth with the most work.
+    /// The same for the tenth with the most work.
     pub largest: f64,
 }
 
@@ -163,7 +164,7 @@
             pending_polls: BTreeMap::new(),
             proxy_busy_until: (0..site.instances).map(|number| (instance(number), 0)).collect(),
             jobs: BTreeMap::new(),
-            ids: 0,
+            job_count: 0,
             work: BTreeMap::new(),
             measured,
         };
@@ -185,7 +186,7 @@
         replay
     }
 
-    /// Plays the day to its end.
+    /// Runs the replay to its end.
     pub fn run(mut self) -> Measurements {
         let mut tick = 0;
         while self.now < REPLAY_MS {
@@ -293,8 +294,9 @@
         if self.now < TRAFFIC_MS {
             self.schedule(gap as u64, Event::Arrival(kind));
         }
-        self.ids += 1;
-        let id: Id = format!("{:016x}", self.ids * 0x9e37_79b9).parse().expect("sixteen digits");
+        self.job_count += 1;
+        let id: Id =
+            format!("{:016x}", self.job_count * 0x9e37_79b9).parse().expect("sixteen digits");
         let job = model.generate_job(id, kind, &mut self.rng);
         let mut critical_path_ms = 0.0;
         let mut core_ms = 0.0;
@@ -308,7 +310,7 @@
         let (started, ended) = (false, false);
         let known = Job { kind, at: self.now, core_ms, earned: 0.0, target_ms, started, ended };
         self.jobs.insert(id, known);
-        self.deliver(Message::Call { id: self.ids, call: Call::Submit(job) });
+        self.deliver(Message::Call { id: self.job_count, call: Call::Submit(job) });
     }
 
     fn execute_effect(&mut self, effect: Effect) {
@@ -388,7 +390,7 @@
         self.schedule(3, Event::Deliver(message));
     }
 
-    /// Each instance has one question answered after the other.
+    /// Answers a query after those that the same instance sent before.
     fn answer_query(&mut self, query: &PolicyQuery) {
         let Some(job) = self.jobs.get(&query.step.job) else { return };
         let (decide, each, good) = self.site.kinds[job.kind].policy;
--- a/benches/takeover.rs
+++ b/benches/takeover.rs
@@ -1,8 +1,8 @@
 //! Time from the death of a failure domain's owner to the next start of a task on a worker.
 //!
-//! Real processes on loopback with default settings: three entry instances, two workers, and more
-//! tasks waiting than there is room. Each trial kills the owner, waits until its successor starts a
-//! task, and starts the killed instance anew.
+//! Runs real processes on loopback with default settings: three entry instances, two workers, and
+//! more tasks than the workers have capacity for. Each trial kills the owner, waits until its
+//! successor starts a task, and restarts the killed instance.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -21,11 +21,12 @@
 }
 
 const TRIALS: usize = 10;
-/// Tasks submitted for one trial; they keep the workers busy for longer than any takeover.
+/// Number of tasks submitted for one trial; they keep the workers busy for longer than any
+/// takeover.
 const TASKS: u32 = 800;
-/// Length of each task in milliseconds.
+/// Duration of each task in milliseconds.
 const RUN_MS: u64 = 100;
-/// Time within which the last commands of the killed owner have surely started their tasks.
+/// Time within which the last commands of the killed owner have started their tasks.
 const IN_FLIGHT: Duration = Duration::from_millis(100);
 
 fn main() {
