--- a/tests/logic/cell/state.rs
+++ b/tests/logic/cell/state.rs
@@ -1,4 +1,4 @@
-//! What the records of a journal add up to.
+//! State that results from replaying the records of a journal.
 
 use oriolefork::cell::Epoch;
 use oriolefork::cell::job::{Phase, Run, RunOutcome, Step, StepKey, TaskKey};
@@ -11,7 +11,7 @@
 
 const AT: Unix = Unix::from_millis(1_700_000_000_000);
 
-/// Largest state that one append of the store takes.
+/// Largest state that one append of the store accepts, in bytes.
 const APPEND_BYTES: usize = 2_000_000;
 
 fn run(job: u64, index: u32, number: u32) -> Run {
@@ -31,16 +31,16 @@
 }
 
 fn end(state: &mut State, run: Run, end: RunOutcome) {
-    let (worker, saved) = ("w0".into(), String::new());
-    state.apply(Record::Ended { run, worker, outcome: end, checkpoint: saved }, AT);
+    let (worker, checkpoint) = ("w0".into(), String::new());
+    state.apply(Record::Ended { run, worker, outcome: end, checkpoint }, AT);
 }
 
 fn phase(state: &State, number: u64) -> Phase {
     state.jobs[&id(number)].phase()
 }
 
-/// A successor begins with a saved state and reads records that it holds already. Were they counted
-/// again, a job would have failed after half of its tries.
+/// A successor starts from a snapshot and replays records that it already contains. If they counted
+/// again, a job would fail after half of its attempts.
 #[test]
 fn apply_again_changes_nothing() {
     let mut state = State::default();
@@ -50,14 +50,14 @@
         (run(1, 0, 2), RunOutcome::WorkerLost),
         (run(1, 1, 1), RunOutcome::Succeeded),
     ];
-    for (run, how) in records {
+    for (run, outcome) in records {
         place(&mut state, run);
-        end(&mut state, run, how);
+        end(&mut state, run, outcome);
     }
     let before = state.clone();
-    for (run, how) in records {
+    for (run, outcome) in records {
         place(&mut state, run);
-        end(&mut state, run, how);
+        end(&mut state, run, outcome);
     }
     assert_eq!(state, before);
 }
@@ -70,9 +70,10 @@
     assert!(!state.apply_batch(late));
 }
 
-/// One end speaks for the whole gang, but the other members hold their room until they are listed.
+/// One outcome applies to the whole gang, but the other members keep their resources until their
+/// own ends are recorded.
 #[test]
-fn gang_done_with_one_end() {
+fn gang_completes_with_one_outcome() {
     let mut state = State::default();
     accept(&mut state, 1, Step { gang: true, ..model::step(2, cores(1)) });
     place(&mut state, run(1, 0, 1));
@@ -85,11 +86,11 @@
     assert_eq!(phase(&state, 1), Phase::Completed);
 }
 
-/// Callers may ask for ended jobs for two minutes. With their texts the state of a busy site would not
-/// fit into one append, no state could be saved, and the cell could not be taken over once the
-/// journal's first records are dropped.
+/// Callers may query ended jobs for two minutes. With their payloads the state of a busy site would
+/// not fit into one append. No snapshot could be saved, and no instance could take over the cell
+/// once the journal's first records are dropped.
 #[test]
-fn ended_jobs_take_little() {
+fn ended_jobs_are_compacted() {
     let mut state = State::default();
     for number in 0..5_000 {
         accept(&mut state, number, model::step(2, cores(1)));
@@ -105,12 +106,12 @@
 }
 
 #[test]
-fn cancelled_job_is_stripped_with_its_last_try() {
+fn cancelled_job_is_compacted_after_its_last_run() {
     let mut state = State::default();
     accept(&mut state, 1, model::step(1, cores(1)));
     place(&mut state, run(1, 0, 1));
     state.apply(Record::Cancelled { job: id(1) }, AT);
-    assert!(!state.jobs[&id(1)].job.steps.is_empty(), "a try still runs");
+    assert!(!state.jobs[&id(1)].job.steps.is_empty(), "an attempt still runs");
     end(&mut state, run(1, 0, 1), RunOutcome::Stopped);
     assert!(state.jobs[&id(1)].job.steps.is_empty());
     assert_eq!(phase(&state, 1), Phase::Cancelled);
--- a/tests/logic/cell/succession.rs
+++ b/tests/logic/cell/succession.rs
@@ -1,4 +1,4 @@
-//! Who takes over from an owner, and in which order.
+//! The order in which instances take over from an owner.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,29 +7,30 @@
 use oriolefork::clock::Instant;
 use test_case::test_case;
 
-use super::story::Story;
+use super::harness::OwnerHarness;
 
-/// Failure domains of a large site, and the instances in each.
+/// Number of failure domains of a large site.
 const DOMAINS: u8 = 5;
 
 fn peer(domain: u8, number: u8) -> SocketAddr {
     SocketAddr::from(([10, domain, 0, number], 7_160))
 }
 
-/// A cut of one failure domain takes the owner and all that would follow it: their addresses stand next
-/// to each other, and instances elsewhere begin with megabytes of journal.
+/// A network cut of one failure domain affects the owner and, where successors are ordered by
+/// address, all instances that would take over first, since their addresses are adjacent. Instances
+/// elsewhere then start with megabytes of journal to replay.
 #[test_case(3; "with_few_strong_ones")]
 #[test_case(20; "with_many_strong_ones")]
 fn succession_begins_in_different_domains(strong: u8) {
-    let mut story = Story::begin(1);
+    let mut harness = OwnerHarness::new(1);
     for domain in 0..DOMAINS {
         for number in 0..20 {
             let strength = if number < strong { 500 } else { 120 };
             let (peer, domain) = (peer(domain, number), format!("hall-{domain}").into());
-            story.tell(Message::InstanceSeen { peer, strength, domain });
+            harness.deliver(Message::InstanceSeen { peer, strength, domain });
         }
     }
-    let order = story.machine.present_instances(Instant::from_millis(story.now));
+    let order = harness.machine.present_instances(Instant::from_millis(harness.now));
     let domain = |peer: &SocketAddr| match peer.ip() {
         std::net::IpAddr::V4(ip) => ip.octets()[1],
         std::net::IpAddr::V6(_) => unreachable!("all have version 4"),
@@ -38,41 +39,42 @@
     assert_eq!(first.len(), usize::from(DOMAINS), "{order:?}");
 }
 
-/// A weak instance owns the cell, and small machines choke on the owner's work, while strong ones stand
-/// by: those of the most processor come first, whatever their failure domain.
+/// A weak instance owned the cell and was overloaded by the owner's work while strong ones
+/// followed. Instances with the most CPU come first, whatever their failure domain.
 #[test]
 fn succession_begins_with_the_strongest() {
-    let mut story = Story::begin(1);
+    let mut harness = OwnerHarness::new(1);
     let names = ["hall-0", "hall-0", "hall-1"];
     for (number, (strength, domain)) in [120, 500, 500].into_iter().zip(names).enumerate() {
         let peer = peer(0, number as u8);
-        story.tell(Message::InstanceSeen { peer, strength, domain: domain.into() });
+        harness.deliver(Message::InstanceSeen { peer, strength, domain: domain.into() });
     }
-    let order = story.machine.present_instances(Instant::from_millis(story.now));
+    let order = harness.machine.present_instances(Instant::from_millis(harness.now));
     assert_eq!(order, [peer(0, 1), peer(0, 2), peer(0, 0)]);
 }
 
-/// On a site of hundreds of instances each was told of all others several times a second, and the owner
-/// had no time left to place anything: an instance that knows the order is told it by a digest.
+/// On a site of hundreds of instances the owner sent each of them the whole order several times a
+/// second, and had no time left for placement. An instance that has the current order gets only its
+/// digest.
 #[test]
 fn succession_keeps_its_digest_until_it_changes() {
-    let mut story = Story::begin(1);
-    let present = |story: &mut Story, number: u8| {
+    let mut harness = OwnerHarness::new(1);
+    let present = |harness: &mut OwnerHarness, number: u8| {
         let peer = peer(0, number);
-        story.tell(Message::InstanceSeen { peer, strength: 500, domain: "hall".into() });
+        harness.deliver(Message::InstanceSeen { peer, strength: 500, domain: "hall".into() });
     };
-    (0..3).for_each(|number| present(&mut story, number));
-    story.pass(200);
-    let all = story.machine.succession().clone();
+    (0..3).for_each(|number| present(&mut harness, number));
+    harness.advance(200);
+    let all = harness.machine.succession().clone();
     assert_eq!(all.order.len(), 3);
-    (0..3).for_each(|number| present(&mut story, number));
-    story.pass(200);
-    assert_eq!(story.machine.succession().digest, all.digest);
+    (0..3).for_each(|number| present(&mut harness, number));
+    harness.advance(200);
+    assert_eq!(harness.machine.succession().digest, all.digest);
     for _ in 0..10 {
-        (0..2).for_each(|number| present(&mut story, number));
-        story.pass(200);
+        (0..2).for_each(|number| present(&mut harness, number));
+        harness.advance(200);
     }
-    let left = story.machine.succession();
+    let left = harness.machine.succession();
     assert_eq!(left.order.len(), 2);
     assert_ne!(left.digest, all.digest);
 }
