--- a/src/config/gossiper.rs
+++ b/src/config/gossiper.rs
@@ -17,6 +17,7 @@
 struct FetchCandidate {
     peer: SocketAddr,
     version: Version,
+    /// When the report arrived.
     since: Instant,
     fetching: bool,
 }
@@ -67,7 +68,7 @@
         Digest { from, rows: self.table.rows(now) }
     }
 
-    /// Records the status of the instances in a digest, except this one's.
+    /// Records the status of the sender of a digest and of the other instances in it.
     pub(super) fn record(&mut self, now: Instant, digest: &Digest) {
         self.table.record(now, &digest.from);
         for row in &digest.rows {
--- a/src/config/handle.rs
+++ b/src/config/handle.rs
@@ -80,8 +80,8 @@
     /// Publishes a change and returns its outcome once its record was read back from the log.
     ///
     /// If that takes longer than [`Timing::publish_timeout`](super::machine::Timing), the outcome
-    /// is [`PublishOutcome::Unknown`] unless the record surely was not written. Dropping the future
-    /// does not withdraw the change.
+    /// is [`PublishOutcome::Unknown`] or, if the record was certainly not written,
+    /// [`PublishOutcome::NotWritten`]. Dropping the future does not withdraw the change.
     pub async fn publish(&self, proposal: Proposal) -> PublishOutcome {
         let id = proposal.id;
         let (sender, receiver) = oneshot::channel();
--- a/src/config/reader.rs
+++ b/src/config/reader.rs
@@ -30,8 +30,9 @@
 /// Records read after a gap, kept until a state is found that covers the stream up to them.
 #[derive(Debug)]
 struct Tail {
+    /// Offset of the first record.
     from: Offset,
-    /// The records from that offset on; `None` for one that cannot be decoded.
+    /// The consecutive records; `None` for one that cannot be decoded.
     records: VecDeque<Option<Record>>,
 }
 
@@ -204,7 +205,7 @@
             let result = state.apply(&publication);
             results.push((publication.id, result));
         }
-        // Every instance skips a record that cannot be decoded.
+        // A snapshot changes no state. A record that cannot be decoded is skipped by every instance.
         Some(Record::Snapshot { .. }) | None => state.skip(),
     }
 }
