--- a/src/cell/machine/advice.rs
+++ b/src/cell/machine/advice.rs
@@ -12,12 +12,12 @@
 use super::reservation::GangBudget;
 use super::view::{WorkerView, WorkerViews};
 use super::{Effect, Machine};
+use crate::cell::dependencies::Eligibility;
 use crate::cell::job::StepKey;
-use crate::cell::link::Allowed;
-use crate::cell::queue::Advice;
+use crate::cell::queue::PolicyTiming;
 use crate::cell::record::WorkerId;
 use crate::cell::ticket::Tickets;
-use crate::cell::timings::{ADVICE_REST, ADVICE_SLACK, ADVICE_WORKERS};
+use crate::cell::timings::{MAX_POLICY_WORKERS, POLICY_RECHECK_INTERVAL, POLICY_TIMEOUT_MARGIN};
 use crate::clock::Instant;
 
 /// Fewest workers in a query, if that many have free capacity: the fixed cost of a query is far
@@ -112,7 +112,7 @@
 
     fn is_enough(&self) -> bool {
         let suffices = self.slots >= self.wanted && self.workers.len() >= MIN_QUERY_WORKERS;
-        suffices || self.workers.len() >= ADVICE_WORKERS
+        suffices || self.workers.len() >= MAX_POLICY_WORKERS
     }
 
     fn add(&mut self, view: &WorkerView, slots: f64) {
@@ -126,7 +126,7 @@
     pub(super) fn query_policy(
         &mut self,
         step: &PendingStep,
-        advice: &Advice,
+        advice: &PolicyTiming,
         views: &mut WorkerViews,
         shares: &mut ProxyShares,
         budget: &mut GangBudget,
@@ -134,7 +134,7 @@
         let now = self.now;
         let gang = step.spec().gang;
         let tickets = self.tickets.entry(step.key).or_default();
-        if tickets.is_asking() && !gang || !tickets.is_due(now) {
+        if tickets.has_pending_question() && !gang || !tickets.may_ask(now) {
             return;
         }
         shares.note_turn(&step.queue);
@@ -158,7 +158,7 @@
         } else if !workers.is_empty() {
             shares.defer_query(step.key, workers, *advice);
         } else if let Some(tickets) = self.tickets.get_mut(&step.key) {
-            tickets.rest(now.after(ADVICE_REST));
+            tickets.postpone(now.after(POLICY_RECHECK_INTERVAL));
         }
     }
 
@@ -171,7 +171,7 @@
     fn query_workers(
         &self,
         step: &PendingStep,
-        advice: &Advice,
+        advice: &PolicyTiming,
         views: &WorkerViews,
     ) -> Vec<WorkerId> {
         let Some(tickets) = self.tickets.get(&step.key) else { return Vec::new() };
@@ -179,7 +179,7 @@
             return self.gang_query_workers(step, views, tickets);
         }
         let wanted = step.pending.len() as f64;
-        let (asked, eligible) = tickets.tally();
+        let (asked, eligible) = tickets.counts();
         let expected = advice.time_ms(eligible);
         let soon = self.now.after(Duration::from_millis(expected.max(0.0) as u64));
         let mut room = 0.0;
@@ -222,7 +222,9 @@
     ) -> Vec<WorkerId> {
         // Steps that rank behind it are queried first. Otherwise a gang that never fits has its
         // tickets renewed for as long as it waits, while narrow gangs find no idle instance.
-        if !tickets.is_asking() && tickets.expired_within(ADVICE_REST, self.now) {
+        if !tickets.has_pending_question()
+            && tickets.expired_within(POLICY_RECHECK_INTERVAL, self.now)
+        {
             return Vec::new();
         }
         let wanted = step.pending.len() as f64 * GANG_FACTOR;
@@ -231,7 +233,7 @@
         for at in tickets.eligible().filter_map(|(worker, _)| views.find(worker)) {
             known.add(views.get(at), prospects(at));
         }
-        let awaited = tickets.awaited().filter_map(|worker| views.find(worker));
+        let awaited = tickets.awaiting_answer().filter_map(|worker| views.find(worker));
         let expected =
             known.slots + awaited.map(prospects).sum::<f64>() * self.eligible_share(step);
         if expected < wanted {
@@ -302,7 +304,7 @@
         proxy: SocketAddr,
         step: StepKey,
         workers: Vec<WorkerId>,
-        advice: &Advice,
+        advice: &PolicyTiming,
     ) {
         self.last_query += 1;
         let expected = advice.time_ms(workers.len());
@@ -313,9 +315,9 @@
             workers,
             ticket_lifetime: Duration::from_millis(advice.valid_ms),
             sent: self.now,
-            timeout: Duration::from_millis(expected.max(0.0) as u64) + ADVICE_SLACK,
+            timeout: Duration::from_millis(expected.max(0.0) as u64) + POLICY_TIMEOUT_MARGIN,
         };
-        self.tickets.entry(step).or_default().ask(&query.workers);
+        self.tickets.entry(step).or_default().mark_asked(&query.workers);
         if let Some(proxy) = self.proxies.get_mut(&proxy) {
             proxy.query = Some(query.number);
         }
@@ -323,13 +325,15 @@
             "event=advice.asked step={step} question={} asker={proxy} workers={} valid_workers={}",
             query.number,
             query.workers.len(),
-            self.tickets.get(&step).map_or(0, |tickets| tickets.holding(self.now).count())
+            self.tickets
+                .get(&step)
+                .map_or(0, |tickets| tickets.with_valid_ticket(self.now).count())
         );
         self.queries.insert(query.number, query.clone());
         self.effects.push(Effect::QueryPolicy(query));
     }
 
-    pub(super) fn policy_answered(&mut self, number: u64, allowed: Option<&Allowed>) {
+    pub(super) fn policy_answered(&mut self, number: u64, allowed: Option<&Eligibility>) {
         let Some(query) = self.queries.remove(&number) else { return };
         if let Some(proxy) = self.proxies.get_mut(&query.proxy)
             && proxy.query == Some(number)
@@ -347,8 +351,8 @@
             log::warn!("event=advice.failed step={step} asker={proxy} question={number}");
         }
         if let Some(tickets) = self.tickets.get_mut(&query.step) {
-            tickets.answer(&query.workers, allowed, query.ticket_lifetime, self.now);
-            let tally = tickets.tally();
+            tickets.record_answer(&query.workers, allowed, query.ticket_lifetime, self.now);
+            let tally = tickets.counts();
             self.update_eligible_share(&query.step, tally);
         }
         self.needs_placement = true;
--- a/src/cell/machine/end.rs
+++ b/src/cell/machine/end.rs
@@ -1,13 +1,13 @@
 //! Ends of attempts, and their consequences for jobs.
 
 use super::Machine;
-use crate::cell::job::{End, Id, Phase, Run};
+use crate::cell::job::{Id, Phase, Run, RunOutcome};
 use crate::cell::record::Record;
 use crate::telemetry::names;
 
 impl Machine {
     /// Records the end of an attempt and releases its resources.
-    pub(super) fn end_run(&mut self, run: Run, end: End, saved: String) {
+    pub(super) fn end_run(&mut self, run: Run, end: RunOutcome, saved: String) {
         let Some(active) = self.runs.remove(&run) else { return };
         self.suspects.remove(&run);
         if let Some(worker) = self.workers.get_mut(&active.worker) {
@@ -24,7 +24,7 @@
         let job = run.task.step.job;
         let was_final = self.phase_of(job).is_none_or(Phase::is_final);
         self.update_stats(&run, &active, end);
-        self.record(Record::Ended { run, worker: active.worker, end, saved });
+        self.record(Record::Ended { run, worker: active.worker, outcome: end, checkpoint: saved });
         if was_final {
             return;
         }
@@ -36,19 +36,23 @@
     }
 
     /// Handles an end that does not end the job.
-    fn react_to_end(&mut self, run: Run, end: End) {
+    fn react_to_end(&mut self, run: Run, end: RunOutcome) {
         let key = run.task.step;
         let Some(entry) = self.state.jobs.get(&key.job) else { return };
         let Some(spec) = entry.job.steps.get(key.step as usize) else { return };
-        if end == End::Done && !spec.lasting {
+        if end == RunOutcome::Succeeded && !spec.long_running {
             return;
         }
         if spec.gang {
             self.stop_gang(&run);
         }
         let reason = match end {
-            End::Failed if !self.may_retry(&run) => "attempts",
-            End::Crashed | End::CrashedAtStart if self.has_crashed_too_often(&run) => "crashes",
+            RunOutcome::Failed if !self.may_retry(&run) => "attempts",
+            RunOutcome::WorkerCrashed | RunOutcome::WorkerCrashedAtStart
+                if self.has_crashed_too_often(&run) =>
+            {
+                "crashes"
+            }
             _ => return,
         };
         log::warn!("event=job.failed job={} task={run} reason={reason}", key.job);
@@ -61,13 +65,14 @@
         let key = run.task.step;
         let Some(entry) = self.state.jobs.get(&key.job) else { return false };
         let Some(spec) = entry.job.steps.get(key.step as usize) else { return false };
-        if spec.lasting {
+        if spec.long_running {
             return true;
         }
-        let attempts = self.config.queue(&entry.job.queue).map_or(u32::MAX, |queue| queue.attempts);
+        let attempts =
+            self.config.queue(&entry.job.queue).map_or(u32::MAX, |queue| queue.max_failures);
         let Some(step) = self.state.step(&key) else { return false };
         let failures = if spec.gang {
-            u32::try_from(step.failed_tries.len()).unwrap_or(u32::MAX)
+            u32::try_from(step.failed_runs.len()).unwrap_or(u32::MAX)
         } else {
             step.tasks[run.task.index as usize].failures
         };
--- a/src/cell/machine/journal_queue.rs
+++ b/src/cell/machine/journal_queue.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use super::{Answer, CallId, Effect, Machine, Stage, remove_job};
-use crate::cell::job::{End, Id, Phase, Run};
-use crate::cell::link::{Base, Rejected};
+use crate::cell::dependencies::{AppendError, JournalSnapshot};
+use crate::cell::job::{Id, Phase, Run, RunOutcome};
 use crate::cell::record::{Batch, Record, WorkerId};
 use crate::cell::timings::{
-    APPEND_BYTES, APPEND_COPIES, APPEND_COPY_AFTER, APPEND_RETRY, IDLE_APPEND, STORE_SILENCE,
-    STORE_SLOW, STORE_STRUGGLE,
+    APPEND_HEDGE_DELAY, APPEND_RETRY, IDLE_APPEND_INTERVAL, MAX_APPEND_BYTES,
+    MAX_CONCURRENT_APPENDS, OFFER_TO_ANYONE_AFTER, OFFER_TO_FASTER_AFTER, SLOW_APPEND,
 };
 use crate::clock::Instant;
 use crate::codec;
@@ -64,7 +64,7 @@
 impl JournalQueue {
     /// Whether the append in progress takes longer than usual.
     pub(super) fn is_slow(&self, now: Instant) -> bool {
-        self.trying_since.is_some_and(|since| now.since(since) > STORE_SLOW)
+        self.trying_since.is_some_and(|since| now.since(since) > SLOW_APPEND)
     }
 
     /// Creates an empty queue whose next batch has number `first_sequence`.
@@ -85,8 +85,8 @@
     /// Returns how well the store takes appends.
     pub(super) fn health(&self, now: Instant) -> StoreHealth {
         match self.trying_since.map(|since| now.since(since)) {
-            Some(tried) if tried > STORE_SILENCE => StoreHealth::Stuck,
-            Some(tried) if tried > STORE_STRUGGLE => StoreHealth::Degraded,
+            Some(tried) if tried > OFFER_TO_ANYONE_AFTER => StoreHealth::Stuck,
+            Some(tried) if tried > OFFER_TO_FASTER_AFTER => StoreHealth::Degraded,
             _ => StoreHealth::Good,
         }
     }
@@ -109,7 +109,7 @@
     fn push(&mut self, record: Record) {
         let bytes = size(&record);
         let sealed = usize::from(self.sealed);
-        let full = |batch: &PendingBatch| batch.bytes + bytes > APPEND_BYTES;
+        let full = |batch: &PendingBatch| batch.bytes + bytes > MAX_APPEND_BYTES;
         if self.batches.len() <= sealed || self.batches.back().is_some_and(full) {
             self.batches.push_back(PendingBatch::default());
         }
@@ -131,14 +131,17 @@
             PLAIN + job.payload.len() + job.queue.len() + text + STEP * job.steps.len()
         }
         Record::Placed { runs, .. } => PLAIN + RUN * runs.len(),
-        Record::Ended { saved, .. } => PLAIN + saved.len(),
+        Record::Ended { checkpoint: saved, .. } => PLAIN + saved.len(),
         _ => PLAIN,
     }
 }
 
 fn step_text(step: &crate::cell::job::Step) -> usize {
     let text = |text: &Option<String>| text.as_ref().map_or(0, String::len);
-    text(&step.label) + text(&step.data_rack) + text(&step.image) + 8 * step.after.len()
+    text(&step.required_label)
+        + text(&step.data_rack)
+        + text(&step.image)
+        + 8 * step.depends_on.len()
 }
 
 impl Machine {
@@ -154,7 +157,7 @@
         self.snapshot_due = false;
         match codec::encode(&self.state) {
             Ok(state) => {
-                let base = Base { state: Some(state), offset: self.journal.end };
+                let base = JournalSnapshot { state: Some(state), offset: self.journal.end };
                 self.effects.push(Effect::Save(base));
             }
             Err(error) => log::error!("event=journal.base_too_large cause={error:?}"),
@@ -200,22 +203,22 @@
     /// Guards against an append that hangs although the store has returned: without the second one,
     /// the owner and all callers would wait for the timeout.
     pub(super) fn flush(&mut self) {
-        if self.now < self.journal.retry_at || self.journal.in_flight >= APPEND_COPIES {
+        if self.now < self.journal.retry_at || self.journal.in_flight >= MAX_CONCURRENT_APPENDS {
             return;
         }
         if self.journal.batches.is_empty() {
-            if self.now.since(self.journal.last_write_sent) < IDLE_APPEND {
+            if self.now.since(self.journal.last_write_sent) < IDLE_APPEND_INTERVAL {
                 return;
             }
             self.journal.batches.push_back(PendingBatch::default());
         }
-        let Some(batches) = self.journal.batches.front() else { return };
-        let batch = Batch { epoch: self.epoch, at: self.unix, records: batches.records.clone() };
+        let Some(first) = self.journal.batches.front() else { return };
+        let batch = Batch { epoch: self.epoch, at: self.unix, records: first.records.clone() };
         match codec::encode(&batch) {
             Ok(batch) => {
                 self.journal.in_flight += 1;
                 self.journal.sealed = true;
-                self.journal.retry_at = self.now.after(APPEND_COPY_AFTER);
+                self.journal.retry_at = self.now.after(APPEND_HEDGE_DELAY);
                 self.journal.trying_since.get_or_insert(self.now);
                 self.effects.push(Effect::Append { sequence: self.journal.first_sequence, batch });
             }
@@ -230,7 +233,7 @@
         &mut self,
         sequence: u64,
         sent: Instant,
-        outcome: Result<u64, Rejected>,
+        outcome: Result<u64, AppendError>,
     ) {
         if sequence != self.journal.first_sequence {
             return;
@@ -238,13 +241,13 @@
         self.journal.in_flight = self.journal.in_flight.saturating_sub(1);
         match outcome {
             Ok(end) => self.stored(sent, end),
-            Err(Rejected::Fenced) => {
+            Err(AppendError::Fenced) => {
                 let reason = "step=journal.append cause=fenced".to_owned();
                 self.effects.push(Effect::StepDown { reason });
             }
             // A repetition has the same sequence number, so that the journal takes the batch only
             // once.
-            Err(Rejected::NotWritten(cause) | Rejected::Unknown(cause)) => {
+            Err(AppendError::NotWritten(cause) | AppendError::Unknown(cause)) => {
                 log::warn!("event=journal.append_failed sequence={sequence} cause={cause:?}");
                 self.journal.retry_at = self.now.after(APPEND_RETRY);
             }
@@ -275,8 +278,8 @@
             Deferred::Reply(id, answer) => self.effects.push(Effect::Reply { id, answer }),
             Deferred::AllowForget(worker, number) => {
                 if let Some(worker) = self.workers.get_mut(&worker) {
-                    worker.recorded = worker.recorded.max(number);
-                    worker.next_look = self.now;
+                    worker.last_recorded_end = worker.last_recorded_end.max(number);
+                    worker.next_poll = self.now;
                 }
             }
             Deferred::ShowFinalPhase(job) => {
@@ -293,7 +296,7 @@
             return;
         }
         if active.stop_requested {
-            self.end_run(run, End::Void, String::new());
+            self.end_run(run, RunOutcome::NeverStarted, String::new());
             return;
         }
         active.stage = Stage::Starting { in_flight: false };
--- a/src/cell/machine/message.rs
+++ b/src/cell/machine/message.rs
@@ -7,10 +7,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::advice::PolicyQuery;
-use crate::cell::duty::Duty;
+use crate::cell::activity::OwnerActivity;
+use crate::cell::dependencies::{
+    AppendError, Eligibility, JournalSnapshot, PollReport, PollRequest, RosterUpdate, StartCommand,
+    WorkerError,
+};
 use crate::cell::job::{Id, Job, Phase, Run};
-use crate::cell::link::{Allowed, Base, Fault, Look, Rejected, Report, Roster, Start};
-use crate::cell::queue::Table;
+use crate::cell::queue::QueueConfig;
 use crate::cell::record::WorkerId;
 use crate::clock::Instant;
 
@@ -64,7 +67,7 @@
         /// When it was sent.
         sent: Instant,
         /// Journal offset after the batch.
-        outcome: Result<u64, Rejected>,
+        outcome: Result<u64, AppendError>,
     },
     /// A poll of a worker ended.
     Polled {
@@ -73,7 +76,7 @@
         /// When the poll was sent.
         sent: Instant,
         /// The worker's report.
-        outcome: Result<Report, Fault>,
+        outcome: Result<PollReport, WorkerError>,
     },
     /// A start command ended.
     Started {
@@ -82,7 +85,7 @@
         /// The attempt.
         run: Run,
         /// The worker's clock in milliseconds.
-        outcome: Result<u64, Fault>,
+        outcome: Result<u64, WorkerError>,
     },
     /// A stop command ended.
     Stopped {
@@ -91,19 +94,19 @@
         /// The attempt.
         run: Run,
         /// The worker's clock in milliseconds.
-        outcome: Result<u64, Fault>,
+        outcome: Result<u64, WorkerError>,
     },
     /// A query to the policy service ended.
     PolicyAnswered {
         /// Number of the query.
         query: u64,
         /// Workers that may run the step; `None` if no answer came.
-        allowed: Option<Allowed>,
+        allowed: Option<Eligibility>,
     },
     /// The list of workers changed.
-    WorkersChanged(Roster),
+    WorkersChanged(RosterUpdate),
     /// The configuration changed.
-    ConfigChanged(Rc<Table>),
+    ConfigChanged(Rc<QueueConfig>),
     /// A snapshot of the state is due.
     SnapshotDue,
     /// An instance is present and can send queries to the policy service.
@@ -119,15 +122,15 @@
 
 impl Message {
     /// Activity that handling it counts as.
-    pub const fn activity(&self) -> Duty {
+    pub const fn activity(&self) -> OwnerActivity {
         match self {
-            Self::Call { .. } => Duty::Call,
-            Self::Appended { .. } | Self::SnapshotDue => Duty::Append,
-            Self::Polled { .. } => Duty::Report,
-            Self::Started { .. } | Self::Stopped { .. } => Duty::Order,
-            Self::PolicyAnswered { .. } => Duty::Advice,
-            Self::WorkersChanged(_) | Self::ConfigChanged(_) => Duty::List,
-            Self::InstanceSeen { .. } => Duty::Watch,
+            Self::Call { .. } => OwnerActivity::Call,
+            Self::Appended { .. } | Self::SnapshotDue => OwnerActivity::Append,
+            Self::Polled { .. } => OwnerActivity::Report,
+            Self::Started { .. } | Self::Stopped { .. } => OwnerActivity::Command,
+            Self::PolicyAnswered { .. } => OwnerActivity::Policy,
+            Self::WorkersChanged(_) | Self::ConfigChanged(_) => OwnerActivity::List,
+            Self::InstanceSeen { .. } => OwnerActivity::Watch,
         }
     }
 }
@@ -149,7 +152,7 @@
         /// Its address.
         peer: SocketAddr,
         /// The request.
-        poll: Look,
+        poll: PollRequest,
     },
     /// Start an attempt.
     Start {
@@ -158,7 +161,7 @@
         /// Its address.
         peer: SocketAddr,
         /// The command.
-        start: Start,
+        start: StartCommand,
     },
     /// Stop an attempt.
     Stop {
@@ -179,7 +182,7 @@
         answer: Answer,
     },
     /// Save a snapshot of the state.
-    Save(Base),
+    Save(JournalSnapshot),
     /// Another owner has taken the cell over; stop owning it.
     StepDown {
         /// How that was detected.
@@ -189,13 +192,13 @@
 
 impl Effect {
     /// Activity that carrying it out counts as.
-    pub const fn activity(&self) -> Duty {
+    pub const fn activity(&self) -> OwnerActivity {
         match self {
-            Self::Append { .. } | Self::Save(_) | Self::StepDown { .. } => Duty::Append,
-            Self::Poll { .. } => Duty::Look,
-            Self::Start { .. } | Self::Stop { .. } => Duty::Order,
-            Self::QueryPolicy(_) => Duty::Advice,
-            Self::Reply { .. } => Duty::Call,
+            Self::Append { .. } | Self::Save(_) | Self::StepDown { .. } => OwnerActivity::Append,
+            Self::Poll { .. } => OwnerActivity::Poll,
+            Self::Start { .. } | Self::Stop { .. } => OwnerActivity::Command,
+            Self::QueryPolicy(_) => OwnerActivity::Policy,
+            Self::Reply { .. } => OwnerActivity::Call,
         }
     }
 }
--- a/src/cell/machine/pending.rs
+++ b/src/cell/machine/pending.rs
@@ -38,7 +38,7 @@
 
     /// CPU that its pending tasks need, in thousandths of a core.
     pub(super) fn cpu_millis(&self) -> u64 {
-        self.spec().room().cpu_millis.saturating_mul(self.pending.len() as u64)
+        self.spec().allocation().cpu_millis.saturating_mul(self.pending.len() as u64)
     }
 }
 
@@ -117,19 +117,19 @@
         for (occurrence, steps) in &entry.open {
             for (number, step) in steps.iter().enumerate() {
                 let spec = &entry.job.steps[number];
-                let ready = spec.after.iter().all(|&earlier| steps[earlier].is_done());
+                let ready = spec.depends_on.iter().all(|&earlier| steps[earlier].is_done());
                 let pending = if ready { pending(spec, step) } else { Vec::new() };
                 if pending.is_empty() {
                     continue;
                 }
                 let key = StepKey { job: id, occurrence: *occurrence, step: number as u32 };
-                let rank = if spec.lasting {
+                let rank = if spec.long_running {
                     long_running_rank(step, queue, accepted)
                 } else {
                     self.rank(&entry.job, queue, &key, accepted)
                 };
                 let (job, queue) = (entry.job.clone(), queue.clone());
-                let is_suspect = |index: &u32| step.tasks[*index as usize].suspicion.is_strong();
+                let is_suspect = |index: &u32| step.tasks[*index as usize].crash_score.is_suspect();
                 let suspects = pending.iter().copied().filter(is_suspect).collect();
                 waiting.push(PendingStep { key, job, queue, rank, pending, suspects });
             }
@@ -150,7 +150,7 @@
             if entry.done.contains(&number) || entry.open.contains_key(&number) {
                 continue;
             }
-            if entry.job.due(number).is_some_and(|due| due > unix) {
+            if entry.job.due_at(number).is_some_and(|due| due > unix) {
                 return true;
             }
             entry.occurrence(number);
@@ -161,11 +161,11 @@
 
 /// Returns the tasks of a step that have no attempt. A gang starts only once no earlier attempt of
 /// any member is left.
-fn pending(spec: &Step, step: &state::Step) -> Vec<u32> {
-    if step.is_done() && !spec.lasting || spec.gang && step.is_live() {
+fn pending(spec: &Step, step: &state::StepState) -> Vec<u32> {
+    if step.is_done() && !spec.long_running || spec.gang && step.is_live() {
         return Vec::new();
     }
-    let waits = |task: &state::Task| task.live == 0 && (!task.done || spec.lasting);
+    let waits = |task: &state::TaskState| task.live == 0 && (!task.done || spec.long_running);
     let tasks = step.tasks.iter().enumerate().filter(|(_, task)| waits(task));
     tasks.map(|(index, _)| index as u32).collect()
 }
--- a/src/cell/machine/place.rs
+++ b/src/cell/machine/place.rs
@@ -71,7 +71,7 @@
             if step.rank.timeliness != Timeliness::OnTime && shares.on_time_first() {
                 self.send_deferred(&mut shares);
             }
-            if let Some(advice) = &step.queue.advice {
+            if let Some(advice) = &step.queue.policy {
                 self.query_policy(step, advice, views, &mut shares, &mut budget);
             }
             self.place_step(step, views);
@@ -98,7 +98,7 @@
     /// a valid ticket if the queue needs one.
     pub(super) fn usable_workers(&self, step: &PendingStep, views: &WorkerViews) -> Vec<usize> {
         let spec = step.spec();
-        let workers: Vec<usize> = match step.queue.advice {
+        let workers: Vec<usize> = match step.queue.policy {
             Some(_) => self.ticketed_workers(&step.key, views),
             None => views.open().collect(),
         };
@@ -120,7 +120,7 @@
     /// Returns the workers that may run the step, including those whose ticket has expired.
     pub(super) fn eligible_workers(&self, step: &PendingStep, views: &WorkerViews) -> Vec<usize> {
         let matches = |at: &usize| views.get(*at).matches(&step.queue.service, step.spec());
-        if step.queue.advice.is_none() {
+        if step.queue.policy.is_none() {
             return views.open().filter(matches).collect();
         }
         let Some(tickets) = self.tickets.get(&step.key) else { return Vec::new() };
@@ -131,7 +131,7 @@
     /// Returns the workers for which the step has a valid ticket.
     fn ticketed_workers(&self, step: &StepKey, views: &WorkerViews) -> Vec<usize> {
         let Some(tickets) = self.tickets.get(step) else { return Vec::new() };
-        tickets.holding(self.now).filter_map(|worker| views.find(worker)).collect()
+        tickets.with_valid_ticket(self.now).filter_map(|worker| views.find(worker)).collect()
     }
 
     fn plan(&self, step: &PendingStep, allowed: &[usize], views: &WorkerViews) -> Plan {
@@ -162,7 +162,7 @@
     /// Places each task in turn on the worker that is left with the least free capacity.
     fn best_fit(&self, step: &PendingStep, allowed: &[usize], views: &WorkerViews) -> Plan {
         let spec = step.spec();
-        let demand = spec.room();
+        let demand = spec.allocation();
         let failed = self.failed_workers.get(&step.key);
         let mut free: BTreeMap<usize, Amount> = allowed
             .iter()
@@ -177,7 +177,7 @@
                 .filter(|(at, room)| {
                     let taken = counts.get(*at).copied().unwrap_or(0);
                     demand.fits(room)
-                        && (spec.spread == 0 || taken < spec.spread)
+                        && (spec.max_per_worker == 0 || taken < spec.max_per_worker)
                         && views.get(**at).admits(step, index)
                 })
                 .map(|(&at, room)| {
@@ -209,7 +209,7 @@
         views: &WorkerViews,
     ) -> BTreeMap<usize, u32> {
         let mut counts = BTreeMap::new();
-        if step.spec().spread == 0 {
+        if step.spec().max_per_worker == 0 {
             return counts;
         }
         for (_, active) in self.runs_of_step(step.key) {
@@ -221,20 +221,20 @@
     }
 
     fn apply_plan(&mut self, step: &PendingStep, plan: &Plan, views: &mut WorkerViews) {
-        let demand = step.spec().room();
+        let demand = step.spec().allocation();
         let numbers = self.run_numbers(step, plan);
         let mut by_worker: BTreeMap<WorkerId, Vec<Run>> = BTreeMap::new();
         let mut all = Vec::new();
         for (&(index, at), number) in plan.iter().zip(numbers) {
             let view = views.get_mut(at);
             view.free = view.free.saturating_sub(&demand);
-            view.runs_serving |= step.spec().serves();
-            view.runs_opportunistic |= step.spec().fills;
+            view.runs_serving |= step.spec().has_latency_target();
+            view.runs_opportunistic |= step.spec().opportunistic;
             let suspect = step.suspects.contains(&index);
             view.starting.add(step.key.job, suspect);
             let run = Run { task: TaskKey { step: step.key, index }, number };
             if let Some(worker) = self.workers.get_mut(&view.id) {
-                worker.reserve(run, &demand);
+                worker.allocate(run, &demand);
             }
             let active = ActiveRun::new(view.id.clone(), demand, Stage::Recording, self.now);
             self.runs.insert(run, active);
@@ -261,10 +261,10 @@
     fn run_numbers(&self, step: &PendingStep, plan: &Plan) -> Vec<u32> {
         let Some(state) = self.state.step(&step.key) else { return vec![1; plan.len()] };
         if step.spec().gang {
-            let next = state.tasks.iter().map(|task| task.last).max().unwrap_or(0) + 1;
+            let next = state.tasks.iter().map(|task| task.last_run).max().unwrap_or(0) + 1;
             return vec![next; plan.len()];
         }
-        plan.iter().map(|(index, _)| state.tasks[*index as usize].last + 1).collect()
+        plan.iter().map(|(index, _)| state.tasks[*index as usize].last_run + 1).collect()
     }
 }
 
--- a/src/cell/machine/polls.rs
+++ b/src/cell/machine/polls.rs
@@ -5,9 +5,9 @@
 
 use super::journal_queue::Deferred;
 use super::{ActiveRun, Effect, Machine, Stage};
-use crate::cell::job::{End, Run};
-use crate::cell::link::{Ended, Fault, Look, Report, Running};
-use crate::cell::timings::{AUTHORITY, LOOK_RETRY, LOOK_TIMEOUT, LOOK_WAIT};
+use crate::cell::dependencies::{EndedRun, PollReport, PollRequest, RunStatus, WorkerError};
+use crate::cell::job::{Run, RunOutcome};
+use crate::cell::timings::{LEASE_GRANT_WINDOW, POLL_RETRY, POLL_TIMEOUT, POLL_WAIT};
 use crate::cell::worker::Worker;
 use crate::clock::Instant;
 
@@ -25,7 +25,7 @@
         let (epoch, may_extend_leases) = (self.epoch, self.may_extend_leases());
         for id in self.polls.due(now, MAX_POLLS_PER_STEP) {
             let Some(worker) = self.workers.get_mut(&id) else { continue };
-            worker.looking = Some(now);
+            worker.poll_sent_at = Some(now);
             let poll = poll(worker, epoch, may_extend_leases, now);
             let peer = worker.address();
             self.effects.push(Effect::Poll { worker: id, peer, poll });
@@ -45,14 +45,14 @@
     fn next_poll_time(&self, worker: &Worker) -> Option<Instant> {
         // A listed service that is not configured may belong to another program. Workers on which
         // an earlier owner started tasks are polled nevertheless.
-        let is_configured = self.config.has_service(&worker.listed.service);
+        let is_configured = self.config.has_service(&worker.info.service);
         if worker.runs.is_empty() && !worker.fenced && !is_configured {
             return None;
         }
         // Covers an answer that never arrives because the adapter missed its own timeout or the
         // message about the end of the poll was lost.
-        let overdue = worker.looking.map(|sent| sent.after(LOOK_WAIT + LOOK_TIMEOUT * 2));
-        Some(worker.next_look.max(overdue.unwrap_or_default()))
+        let overdue = worker.poll_sent_at.map(|sent| sent.after(POLL_WAIT + POLL_TIMEOUT * 2));
+        Some(worker.next_poll.max(overdue.unwrap_or_default()))
     }
 
     /// Whether this owner may still extend leases.
@@ -61,46 +61,48 @@
     /// unnoticed. Its successor waits for this duration plus a lease before it restarts tasks of
     /// workers that it cannot reach.
     pub(super) fn may_extend_leases(&self) -> bool {
-        self.now.since(self.journal.last_write_sent()) < AUTHORITY
+        self.now.since(self.journal.last_write_sent()) < LEASE_GRANT_WINDOW
     }
 
     pub(super) fn poll_answered(
         &mut self,
         id: &str,
         sent: Instant,
-        outcome: Result<Report, Fault>,
+        outcome: Result<PollReport, WorkerError>,
     ) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else { return };
-        worker.looking = None;
+        worker.poll_sent_at = None;
         match outcome {
             Ok(report) => {
-                if worker.missed > 0 || !worker.fenced {
-                    log::info!("event=worker.reached worker={id} missed={}", worker.missed);
+                if worker.missed_polls > 0 || !worker.fenced {
+                    log::info!("event=worker.reached worker={id} missed={}", worker.missed_polls);
                     self.needs_placement = true;
                 }
-                worker.missed = 0;
-                worker.silent_since = None;
+                worker.missed_polls = 0;
+                worker.unresponsive_since = None;
                 worker.fenced = true;
-                worker.lease.read(report.clock_ms, now);
-                worker.next_look = now;
+                worker.lease.observe_clock(report.clock_ms, now);
+                worker.next_poll = now;
                 self.apply_report(id, sent, report);
             }
             Err(fault) => self.note_missed_poll(id, sent, &fault),
         }
     }
 
-    fn note_missed_poll(&mut self, id: &str, sent: Instant, fault: &Fault) {
+    fn note_missed_poll(&mut self, id: &str, sent: Instant, fault: &WorkerError) {
         let now = self.now;
         match fault {
-            Fault::Fenced => self.step_down(id),
-            Fault::OtherLife => self.remove_dead_worker(id, "another_life"),
+            WorkerError::Fenced => self.step_down(id),
+            WorkerError::OtherIncarnation => self.remove_dead_worker(id, "another_life"),
             _ => {
                 let Some(worker) = self.workers.get_mut(id) else { return };
-                worker.silent_since.get_or_insert_with(|| silent_since(worker.fenced, sent, now));
-                worker.missed += 1;
-                worker.next_look = now.after(LOOK_RETRY);
-                if worker.missed == 1 {
+                worker
+                    .unresponsive_since
+                    .get_or_insert_with(|| silent_since(worker.fenced, sent, now));
+                worker.missed_polls += 1;
+                worker.next_poll = now.after(POLL_RETRY);
+                if worker.missed_polls == 1 {
                     log::warn!("event=worker.silent worker={id} cause={:?}", fault.to_string());
                 }
             }
@@ -112,7 +114,7 @@
         self.effects.push(Effect::StepDown { reason });
     }
 
-    fn apply_report(&mut self, id: &str, sent: Instant, report: Report) {
+    fn apply_report(&mut self, id: &str, sent: Instant, report: PollReport) {
         self.record_ends(id, report.ended);
         let running: BTreeSet<Run> = report.running.iter().map(|running| running.run).collect();
         for running in report.running {
@@ -126,17 +128,17 @@
     }
 
     /// Records the ends of attempts, and allows the worker to forget them once they are stored.
-    fn record_ends(&mut self, id: &str, ended: Vec<Ended>) {
+    fn record_ends(&mut self, id: &str, ended: Vec<EndedRun>) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let (told, recorded) = (worker.told, worker.recorded);
+        let (told, recorded) = (worker.last_reported_end, worker.last_recorded_end);
         let Some(last) = ended.iter().map(|end| end.number).max() else { return };
-        worker.told = told.max(last);
+        worker.last_reported_end = told.max(last);
         // The worker reports the same ends until it may forget them, so the next poll waits for the
         // journal.
-        worker.next_look = self.now.after(LOOK_RETRY);
+        worker.next_poll = self.now.after(POLL_RETRY);
         for end in ended {
             if end.number > told && self.is_on(&end.run, id) {
-                self.end_run(end.run, end.end, end.saved);
+                self.end_run(end.run, end.outcome, end.checkpoint);
             }
         }
         if last > recorded {
@@ -148,7 +150,7 @@
         self.runs.get(run).is_some_and(|active| &*active.worker == worker)
     }
 
-    fn note_running(&mut self, id: &str, running: &Running) {
+    fn note_running(&mut self, id: &str, running: &RunStatus) {
         let run = running.run;
         if !self.is_on(&run, id) {
             self.stop_unknown_run(id, run);
@@ -165,8 +167,8 @@
             active.progress = (running.percent, now);
         }
         let stop_requested = active.stop_requested && matches!(active.stage, Stage::Running(_));
-        self.state.note_started(run.task.step.job);
-        self.state.note_saved(&run.task, &running.saved);
+        self.state.mark_started(run.task.step.job);
+        self.state.set_checkpoint(&run.task, &running.checkpoint);
         if stop_requested {
             self.stop_run(run);
         }
@@ -200,15 +202,17 @@
                 Stage::Recording | Stage::Starting { .. } => continue,
                 // The worker now refuses commands of earlier owners, so that the attempt can never
                 // start.
-                Stage::Recovered => End::Void,
+                Stage::Recovered => RunOutcome::NeverStarted,
                 // The comparison is strict because instants have millisecond resolution: a nearby
                 // worker can answer a poll and then accept the command within one millisecond, so
                 // that the report is older than the answer to the command.
-                Stage::Running(seen) if seen < sent => End::Lost,
+                Stage::Running(seen) if seen < sent => RunOutcome::WorkerLost,
                 Stage::Stopping { acknowledged: Some(acknowledged), .. } if acknowledged < sent => {
-                    End::Void
+                    RunOutcome::NeverStarted
+                }
+                Stage::Stopping { .. } if cannot_start_any_more(active, clock_ms) => {
+                    RunOutcome::NeverStarted
                 }
-                Stage::Stopping { .. } if cannot_start_any_more(active, clock_ms) => End::Void,
                 Stage::Running(_) | Stage::Stopping { .. } => continue,
             };
             self.end_run(run, end, String::new());
@@ -230,7 +234,7 @@
 /// Returns when a worker stopped answering, judged by its first unanswered poll: when the
 /// connection broke, or when the poll was sent if no answer came back.
 fn silent_since(fenced: bool, sent: Instant, now: Instant) -> Instant {
-    let timeout = if fenced { LOOK_WAIT + LOOK_TIMEOUT } else { LOOK_TIMEOUT };
+    let timeout = if fenced { POLL_WAIT + POLL_TIMEOUT } else { POLL_TIMEOUT };
     if now.since(sent) < timeout { now } else { sent }
 }
 
@@ -239,11 +243,16 @@
     epoch: crate::cell::Epoch,
     may_extend_leases: bool,
     now: Instant,
-) -> Look {
+) -> PollRequest {
     // An unanswered poll may still extend the lease when it arrives. While a worker does not
     // answer, nothing is granted, so that the end of its lease stays known.
-    let grants = may_extend_leases && worker.missed == 0 && worker.fenced;
+    let grants = may_extend_leases && worker.missed_polls == 0 && worker.fenced;
     let until_ms = if grants { worker.lease.grant(now) } else { None };
-    let wait = if worker.fenced && worker.missed == 0 { LOOK_WAIT } else { Duration::ZERO };
-    Look { epoch, recorded: worker.recorded, until_ms, wait }
+    let wait = if worker.fenced && worker.missed_polls == 0 { POLL_WAIT } else { Duration::ZERO };
+    PollRequest {
+        epoch,
+        acked_end: worker.last_recorded_end,
+        lease_until_ms: until_ms,
+        max_wait: wait,
+    }
 }
--- a/src/cell/machine/rank.rs
+++ b/src/cell/machine/rank.rs
@@ -3,7 +3,7 @@
 use super::Machine;
 use crate::cell::job::{Job, Step, StepKey};
 use crate::cell::queue::Queue;
-use crate::cell::timings::ADVICE_WORKERS;
+use crate::cell::timings::MAX_POLICY_WORKERS;
 
 /// Multiple of its objective after which a job earns nothing any more.
 const WORTHLESS_FACTOR: f64 = 3.0;
@@ -35,7 +35,7 @@
     /// Computes the rank of a step whose job arrived at `accepted`, in milliseconds on the wall
     /// clock.
     pub(super) fn rank(&self, job: &Job, queue: &Queue, key: &StepKey, accepted: u64) -> Rank {
-        let begin = job.due(key.occurrence).map_or(accepted, crate::clock::Unix::as_millis);
+        let begin = job.due_at(key.occurrence).map_or(accepted, crate::clock::Unix::as_millis);
         let objective = self.objective_ms(job, queue);
         let remaining = self.remaining_path_ms(job, key.step as usize, queue) * ON_TIME_RUN_SHARE
             + self.first_query_ms(job, key, queue);
@@ -57,18 +57,18 @@
     /// and was late when the answer arrived, while other gangs that could be on time were not
     /// queried.
     fn first_query_ms(&self, job: &Job, key: &StepKey, queue: &Queue) -> f64 {
-        let unqueried = self.tickets.get(key).is_none_or(|tickets| tickets.tally().0 == 0);
+        let unqueried = self.tickets.get(key).is_none_or(|tickets| tickets.counts().0 == 0);
         let gang = job.steps[key.step as usize].gang;
         queue
-            .advice
+            .policy
             .filter(|_| gang && unqueried)
-            .map_or(0.0, |advice| advice.time_ms(ADVICE_WORKERS))
+            .map_or(0.0, |advice| advice.time_ms(MAX_POLICY_WORKERS))
     }
 
     /// Time by which a step may still be delayed without its job being late, in milliseconds;
     /// negative once the job is late.
     pub(super) fn slack_ms(&self, job: &Job, queue: &Queue, key: &StepKey, accepted: u64) -> f64 {
-        let begin = job.due(key.occurrence).map_or(accepted, crate::clock::Unix::as_millis);
+        let begin = job.due_at(key.occurrence).map_or(accepted, crate::clock::Unix::as_millis);
         let passed = self.unix.as_millis().saturating_sub(begin) as f64;
         let remaining = self.remaining_path_ms(job, key.step as usize, queue);
         self.objective_ms(job, queue) - passed - remaining
@@ -82,10 +82,10 @@
     /// Expected duration of the longest chain of dependent steps from step `first` on, policy
     /// queries included, in milliseconds.
     fn critical_path_ms(&self, job: &Job, first: usize, queue: &Queue) -> f64 {
-        let query_ms = queue.advice.map_or(0.0, |advice| advice.time_ms(TYPICAL_QUERY_WORKERS));
+        let query_ms = queue.policy.map_or(0.0, |advice| advice.time_ms(TYPICAL_QUERY_WORKERS));
         let mut ends = vec![0.0_f64; job.steps.len()];
         for (number, step) in job.steps.iter().enumerate().skip(first) {
-            let begin = step.after.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
+            let begin = step.depends_on.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
             ends[number] = begin + query_ms + self.expected_run_ms(step, queue);
         }
         ends.into_iter().fold(0.0, f64::max)
@@ -97,7 +97,7 @@
         let mut ends = vec![0.0_f64; job.steps.len()];
         ends[step] = self.expected_run_ms(&job.steps[step], queue);
         for (number, later) in job.steps.iter().enumerate().skip(step + 1) {
-            let begin = later.after.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
+            let begin = later.depends_on.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
             if begin > 0.0 {
                 ends[number] = begin + self.expected_run_ms(later, queue);
             }
@@ -120,11 +120,11 @@
 /// Rank of long-running tasks. One that ran before is placed before all others, because its users
 /// miss it now; a new one is ranked by its queue.
 pub(super) fn long_running_rank(
-    step: &crate::cell::state::Step,
+    step: &crate::cell::state::StepState,
     queue: &Queue,
     accepted: u64,
 ) -> Rank {
-    let ran = step.tasks.iter().any(|task| task.last > 0 && task.live == 0);
+    let ran = step.tasks.iter().any(|task| task.last_run > 0 && task.live == 0);
     if ran {
         return Rank { timeliness: Timeliness::OnTime, priority: 0, deadline: 0 };
     }
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -1,191 +1,191 @@
-//! A worker as the owner of its cell knows it: what it has, what is reserved on it, and whether it
-//! can be trusted with more.
+//! A worker as seen by the owner of its cell: its capacity, its allocations and its health.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
+use super::command_backoff::CommandBackoff;
+use super::dependencies::WorkerInfo;
 use super::job::Run;
 use super::lease::Lease;
-use super::link::Listed;
 use super::preempt::Victim;
 use super::record::WorkerId;
-use super::silence::Silence;
 use crate::clock::Instant;
 use crate::resource::Amount;
 
-/// Failures in a row, of different jobs and without a success between, after which a worker gets no
-/// new work for a while. Jobs that can never be done fail two to four times on sound workers.
+/// Number of consecutive failures, of different jobs, after which a worker gets no new tasks for a
+/// while. Jobs that cannot succeed fail two to four times on healthy workers.
 const FAILURES_TO_QUARANTINE: usize = 3;
 
-/// Time without new work; the sites' failing workers are sound again after 5 to 8 s.
+/// Duration of the quarantine. The sites' failing workers are healthy again after 5 to 8 s.
 const QUARANTINE: Duration = Duration::from_secs(4);
 
-/// Time without new work after a worker refused an order: about one look.
-const REFUSAL_REST: Duration = Duration::from_secs(1);
+/// Pause in new tasks after a worker refused a command: about one poll.
+const REFUSAL_PAUSE: Duration = Duration::from_secs(1);
 
-/// Looks in a row without an answer after which nothing new is placed on a worker.
-const MISSED_LOOKS: u32 = 1;
+/// Number of consecutive unanswered polls after which no new tasks are placed on a worker.
+const MISSED_POLLS_LIMIT: u32 = 1;
 
-/// A task that may be stopped for steps of queues that go before its own.
+/// A run that may be stopped for steps of queues with a higher priority.
 #[derive(Clone, Debug)]
-pub struct Yielding {
+pub struct PreemptibleRun {
     /// Priority of its queue.
     pub priority: u32,
-    /// The try and its room.
+    /// The run and its resources.
     pub victim: Victim,
 }
 
 /// A worker of the cell.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Name of this life of it.
+    /// ID of this incarnation.
     pub id: WorkerId,
-    /// What the list says of it.
-    pub listed: Rc<Listed>,
-    /// When the list last told of it.
-    pub listed_at: Instant,
-    /// Since when the list has not named it.
-    pub missing_since: Option<Instant>,
+    /// Its entry in the list.
+    pub info: Rc<WorkerInfo>,
+    /// Time of the list's latest information about it.
+    pub info_at: Instant,
+    /// Time since which the list has not contained it.
+    pub unlisted_since: Option<Instant>,
     /// Its clock and lease.
     pub lease: Lease,
-    /// Whether it has answered under this owner's epoch, so that it refuses earlier owners.
+    /// Whether it has answered a call of this owner's epoch, so that it refuses earlier owners.
     pub fenced: bool,
-    /// Latest end that is in the journal; the worker may forget it.
-    pub recorded: u64,
-    /// Latest end that it has told of.
-    pub told: u64,
-    /// Room taken by the tries on it.
-    pub used: Amount,
-    /// Tries placed on it and not known to be over.
+    /// Number of its latest ended run that is in the journal; the worker may forget it.
+    pub last_recorded_end: u64,
+    /// Number of the latest ended run that it reported.
+    pub last_reported_end: u64,
+    /// Resources allocated to the runs on it.
+    pub allocated: Amount,
+    /// Runs placed on it that are not known to have ended.
     pub runs: BTreeSet<Run>,
-    /// Whether a look is out, since when.
-    pub looking: Option<Instant>,
-    /// When the next look is due.
-    pub next_look: Instant,
-    /// Looks in a row without an answer.
-    pub missed: u32,
-    /// When it stopped answering looks, as early as the first unanswered look shows.
-    pub silent_since: Option<Instant>,
-    /// Jobs whose tasks failed here since the last one that went well.
+    /// Time of the outstanding poll; `None` without one.
+    pub poll_sent_at: Option<Instant>,
+    /// Time at which the next poll is due.
+    pub next_poll: Instant,
+    /// Number of consecutive unanswered polls.
+    pub missed_polls: u32,
+    /// Time at which it stopped answering polls: when the first unanswered poll was sent.
+    pub unresponsive_since: Option<Instant>,
+    /// Jobs with tasks that failed here since the last success.
     pub failures: BTreeSet<super::job::Id>,
-    /// Tasks on it that may be stopped for more urgent ones, as of the last look for such.
-    pub yielding: Rc<[Yielding]>,
-    /// Orders that it left without an answer.
-    pub silence: Silence,
-    /// Until when it gets no new work because of failures.
+    /// Runs on it that may be preempted, as of the last update.
+    pub preemptible: Rc<[PreemptibleRun]>,
+    /// Backoff for unanswered commands.
+    pub command_backoff: CommandBackoff,
+    /// Time until which it gets no new tasks because of failures.
     pub quarantined_until: Option<Instant>,
 }
 
 impl Worker {
-    /// A worker that the list names and that has not been called yet; `lease` is granted with each look.
-    pub fn new(id: WorkerId, listed: Rc<Listed>, lease: Duration, now: Instant) -> Self {
+    /// Creates a worker that is in the list and has not been called yet. `lease` is granted with
+    /// each poll.
+    pub fn new(id: WorkerId, info: Rc<WorkerInfo>, lease: Duration, now: Instant) -> Self {
         Self {
             id,
-            listed,
-            listed_at: now,
-            missing_since: None,
+            info,
+            info_at: now,
+            unlisted_since: None,
             lease: Lease::new(lease),
             fenced: false,
-            recorded: 0,
-            told: 0,
-            used: Amount::ZERO,
+            last_recorded_end: 0,
+            last_reported_end: 0,
+            allocated: Amount::ZERO,
             runs: BTreeSet::new(),
-            looking: None,
-            next_look: now,
-            missed: 0,
-            silent_since: None,
+            poll_sent_at: None,
+            next_poll: now,
+            missed_polls: 0,
+            unresponsive_since: None,
             failures: BTreeSet::new(),
-            yielding: Rc::default(),
-            silence: Silence::default(),
+            preemptible: Rc::default(),
+            command_backoff: CommandBackoff::default(),
             quarantined_until: None,
         }
     }
 
-    /// Address at which it takes orders.
+    /// Address at which it accepts polls and commands.
     pub fn address(&self) -> SocketAddr {
-        self.listed.address
+        self.info.address
     }
 
-    /// Whether new work may go there.
-    pub fn is_open(&self, now: Instant) -> bool {
+    /// Whether new tasks may be placed on it.
+    pub fn accepts_tasks(&self, now: Instant) -> bool {
         let quarantined = self.quarantined_until.is_some_and(|until| now < until);
         self.fenced
-            && self.lease.is_known()
-            && self.missing_since.is_none()
-            && !self.listed.draining
-            && self.missed < MISSED_LOOKS
+            && self.lease.is_clock_known()
+            && self.unlisted_since.is_none()
+            && !self.info.draining
+            && self.missed_polls < MISSED_POLLS_LIMIT
             && !quarantined
-            && !self.silence.is_resting(now)
+            && !self.command_backoff.is_active(now)
     }
 
-    /// The next moment after `now` at which a rest of it, or what is remembered of one, is over.
-    pub fn next_end_of_rest(&self, now: Instant) -> Option<Instant> {
-        let ends = self.quarantined_until.into_iter().chain(self.silence.ends());
+    /// The next time after `now` at which a pause in new tasks or a lower preference ends.
+    pub fn next_backoff_change(&self, now: Instant) -> Option<Instant> {
+        let ends = self.quarantined_until.into_iter().chain(self.command_backoff.deadlines());
         ends.filter(|end| *end > now).min()
     }
 
-    /// Room that nothing is reserved for.
-    pub fn room(&self) -> Amount {
-        self.listed.capacity.saturating_sub(&self.used)
+    /// Free capacity.
+    pub fn free_capacity(&self) -> Amount {
+        self.info.capacity.saturating_sub(&self.allocated)
     }
 
-    /// Whether what the list said of its room is no older than `known_for`.
+    /// Whether the list's information about its capacity is no older than `known_for`.
     ///
-    /// Guards against room that shrinks while the list cannot be read: what waited until then would go out
-    /// by the room before, all at once.
-    pub fn is_room_known(&self, known_for: Option<Duration>, now: Instant) -> bool {
-        self.room_known_until(known_for).is_none_or(|until| now <= until)
+    /// Guards against a capacity that shrinks while the list cannot be read: all tasks that had
+    /// waited until then would be placed at once, by the former capacity.
+    pub fn is_capacity_current(&self, known_for: Option<Duration>, now: Instant) -> bool {
+        self.capacity_valid_until(known_for).is_none_or(|until| now <= until)
     }
 
-    /// Last moment at which its room counts as known; `None` for no end.
-    pub fn room_known_until(&self, known_for: Option<Duration>) -> Option<Instant> {
-        known_for.map(|known_for| self.listed_at.after(known_for))
+    /// Time until which its capacity counts as current; `None` for no limit.
+    pub fn capacity_valid_until(&self, known_for: Option<Duration>) -> Option<Instant> {
+        known_for.map(|known_for| self.info_at.after(known_for))
     }
 
-    /// Whether more is reserved than it has, since its room has shrunk.
+    /// Whether more is allocated than its capacity, which may shrink.
     pub fn is_overcommitted(&self) -> bool {
-        !self.used.fits(&self.listed.capacity)
+        !self.allocated.fits(&self.info.capacity)
     }
 
-    /// Reserves room for a try.
-    pub fn reserve(&mut self, run: Run, demand: &Amount) {
+    /// Allocates resources to a run.
+    pub fn allocate(&mut self, run: Run, demand: &Amount) {
         if self.runs.insert(run) {
-            self.used = self.used.saturating_add(demand);
+            self.allocated = self.allocated.saturating_add(demand);
         }
     }
 
-    /// Gives the room of a try back.
+    /// Releases the resources of a run.
     pub fn release(&mut self, run: &Run, demand: &Amount) {
         if self.runs.remove(run) {
-            self.used = self.used.saturating_sub(demand);
+            self.allocated = self.allocated.saturating_sub(demand);
         }
     }
 
-    /// Places nothing there for a moment, after it refused an order.
-    pub fn distrust(&mut self, now: Instant) {
-        self.rest_until(now.after(REFUSAL_REST));
+    /// Pauses new tasks for a moment after the worker refused a command.
+    pub fn pause_after_refusal(&mut self, now: Instant) {
+        self.pause_until(now.after(REFUSAL_PAUSE));
     }
 
-    /// Places nothing there until `end`, nor before the end of an earlier rest.
-    fn rest_until(&mut self, end: Instant) {
+    /// Pauses new tasks until `end`, or until the end of an earlier pause if that is later.
+    fn pause_until(&mut self, end: Instant) {
         self.quarantined_until = self.quarantined_until.max(Some(end));
     }
 
-    /// Notes a task that went well.
-    pub fn note_success(&mut self) {
+    /// Records a successful run.
+    pub fn record_success(&mut self) {
         self.failures.clear();
     }
 
-    /// Notes a failed task; `true` when the worker is quarantined for it.
-    pub fn note_failure(&mut self, job: super::job::Id, now: Instant) -> bool {
+    /// Records a failed run; `true` when the worker is quarantined for it.
+    pub fn record_failure(&mut self, job: super::job::Id, now: Instant) -> bool {
         self.failures.insert(job);
         if self.failures.len() < FAILURES_TO_QUARANTINE {
             return false;
         }
         self.failures.clear();
-        self.rest_until(now.after(QUARANTINE));
+        self.pause_until(now.after(QUARANTINE));
         true
     }
 }
--- a/tests/logic/cell/askers.rs
+++ b/tests/logic/cell/askers.rs
@@ -2,14 +2,14 @@
 
 use std::rc::Rc;
 
-use oriolefork::cell::job::{End, Job, Run, Step};
+use oriolefork::cell::job::{Job, Run, RunOutcome, Step};
 use oriolefork::cell::machine::{Call, Message};
-use oriolefork::cell::queue::{Advice, Queue, Table};
+use oriolefork::cell::queue::{PolicyTiming, Queue, QueueConfig};
 
 use super::model::{self, QUEUE, cores, id};
 use super::story::Story;
 
-const TERMS: Advice = Advice { decide_ms: 20.0, each_ms: 1.0, valid_ms: 1_500 };
+const TERMS: PolicyTiming = PolicyTiming { decide_ms: 20.0, per_worker_ms: 1.0, valid_ms: 1_500 };
 
 /// Queue of the next lower priority.
 const LOWER: &str = "thumbnails";
@@ -23,19 +23,19 @@
 /// policy service. The lower one's jobs should end within `lower_target_ms` beyond their work.
 fn begin(lower_target_ms: u64) -> Story {
     let mut story = Story::begin(WORKERS as usize);
-    story.running(999, Step { spread: 1, ..model::step(WORKERS, cores(5)) });
+    story.running(999, Step { max_per_worker: 1, ..model::step(WORKERS, cores(5)) });
     let table = model::table();
-    let upper = Queue { advice: Some(TERMS), ..Queue::clone(&table.queues[0]) };
+    let upper = Queue { policy: Some(TERMS), ..Queue::clone(&table.queues[0]) };
     let lower = Queue {
         name: LOWER.to_owned(),
-        prefix: "/thumbnails/".to_owned(),
+        path_prefix: "/thumbnails/".to_owned(),
         priority: upper.priority + 1,
         stretch: 1.0,
         target_ms: lower_target_ms,
         ..upper.clone()
     };
     let queues = vec![upper.into(), lower.into()];
-    story.tell(Message::ConfigChanged(Rc::new(Table {
+    story.tell(Message::ConfigChanged(Rc::new(QueueConfig {
         version: 2,
         queues,
         services: table.services.clone(),
@@ -79,7 +79,7 @@
 #[test]
 fn askers_have_equal_shares_beside_free_room() {
     let mut story = begin(0);
-    let done = |number: u32, run: &Run| (u64::from(number + 1), *run, End::Done);
+    let done = |number: u32, run: &Run| (u64::from(number + 1), *run, RunOutcome::Succeeded);
     let runs: Vec<Run> = story.machine.runs.keys().copied().collect();
     for (worker, run) in runs.iter().enumerate() {
         let name = story.machine.runs[run].worker[1..].parse().expect("a number");
--- a/tests/logic/cell/shrink.rs
+++ b/tests/logic/cell/shrink.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use oriolefork::cell::link::{Fault, Roster, Start};
+use oriolefork::cell::dependencies::{RosterUpdate, StartCommand, WorkerError};
 use oriolefork::cell::machine::{Call, Message};
 use oriolefork::cell::timings::Timings;
 use oriolefork::resource::Amount;
@@ -14,7 +14,11 @@
 /// The list says what worker `w0` has from now on.
 fn resize(story: &mut Story, capacity: Amount) {
     let present = vec![("w0".into(), Rc::new(model::listed(0, capacity)))];
-    story.tell(Message::WorkersChanged(Roster { present, gone: Vec::new(), whole: false }));
+    story.tell(Message::WorkersChanged(RosterUpdate {
+        changed: present,
+        removed: Vec::new(),
+        is_complete: false,
+    }));
     story.pass(1);
 }
 
@@ -25,7 +29,7 @@
     story
 }
 
-fn ordered(starts: &[(usize, Start)]) -> u64 {
+fn ordered(starts: &[(usize, StartCommand)]) -> u64 {
     starts.len() as u64 * cores(2).cpu_millis
 }
 
@@ -51,7 +55,7 @@
     assert_eq!(ordered(&starts), 8_000);
     resize(&mut story, cores(3));
     for start in &starts {
-        story.started(start, Err(Fault::Unknown("no answer".to_owned())));
+        story.started(start, Err(WorkerError::Unknown("no answer".to_owned())));
     }
     story.pass(50);
     assert_eq!(ordered(&story.starts()), 0, "nothing is sent again");
@@ -64,7 +68,7 @@
 #[test]
 fn shrink_that_the_list_cannot_tell_is_waited_for() {
     const KNOWN: Duration = Duration::from_secs(3);
-    let timings = Timings { room_known_for: Some(KNOWN), ..Timings::default() };
+    let timings = Timings { capacity_max_age: Some(KNOWN), ..Timings::default() };
     let mut story = Story::begin_with(timings, 1);
     story.ask(1, Call::Submit(model::job(1, model::step(4, cores(2)))));
     for _ in 0..50 {
--- a/tests/logic/cell/standstill.rs
+++ b/tests/logic/cell/standstill.rs
@@ -2,20 +2,22 @@
 
 use std::rc::Rc;
 
+use oriolefork::cell::dependencies::Eligibility;
 use oriolefork::cell::job::{Job, Step};
-use oriolefork::cell::link::Allowed;
 use oriolefork::cell::machine::{Call, Message, PolicyQuery};
-use oriolefork::cell::queue::{Advice, Queue, Table};
+use oriolefork::cell::queue::{PolicyTiming, Queue, QueueConfig};
 use test_case::test_case;
 
 use super::model::{self, cores, id};
 use super::story::{Story, WORKER_CLOCK};
 
 /// Queue of gangs: each question about 100 workers takes a second.
-const WIDE: (&str, Advice) = ("wide", Advice { decide_ms: 400.0, each_ms: 6.0, valid_ms: 2_500 });
+const WIDE: (&str, PolicyTiming) =
+    ("wide", PolicyTiming { decide_ms: 400.0, per_worker_ms: 6.0, valid_ms: 2_500 });
 
 /// Queue of small tasks, which come after the gangs.
-const SMALL: (&str, Advice) = ("small", Advice { decide_ms: 100.0, each_ms: 1.0, valid_ms: 2_500 });
+const SMALL: (&str, PolicyTiming) =
+    ("small", PolicyTiming { decide_ms: 100.0, per_worker_ms: 1.0, valid_ms: 2_500 });
 
 /// Workers, each with eight cores.
 const WORKERS: usize = 100;
@@ -35,7 +37,7 @@
     story: Story,
     /// Questions under way with the time of their answer.
     asked: Vec<(u64, PolicyQuery)>,
-    advice: Vec<(&'static str, Advice)>,
+    advice: Vec<(&'static str, PolicyTiming)>,
 }
 
 impl Site {
@@ -50,12 +52,12 @@
                 name,
                 priority,
                 target_ms,
-                advice: Some(advice),
+                policy: Some(advice),
                 ..Queue::clone(&plain)
             })
         });
         let queues = [plain.clone()].into_iter().chain(advised).collect();
-        let table = Table { version: 2, queues, services: table.services.clone() };
+        let table = QueueConfig { version: 2, queues, services: table.services.clone() };
         story.tell(Message::ConfigChanged(Rc::new(table)));
         Self { story, asked: Vec::new(), advice: vec![WIDE, SMALL] }
     }
@@ -67,7 +69,7 @@
 
     /// Takes one core of every worker for as long as the test runs.
     fn occupy(&mut self) {
-        let step = Step { spread: 1, ..model::step(WORKERS as u32, cores(1)) };
+        let step = Step { max_per_worker: 1, ..model::step(WORKERS as u32, cores(1)) };
         self.story.running(999_999, step);
     }
 
@@ -94,7 +96,7 @@
         self.asked = out;
         for (_, question) in due {
             let workers = question.workers.iter().map(|worker| (worker.clone(), "t".to_owned()));
-            let allowed = Allowed { workers: workers.collect(), valid_ms: None };
+            let allowed = Eligibility { workers: workers.collect(), valid_ms: None };
             self.story
                 .tell(Message::PolicyAnswered { query: question.number, allowed: Some(allowed) });
         }
@@ -103,14 +105,18 @@
     fn time_for(&self, question: &PolicyQuery) -> u64 {
         let job = &self.story.machine.state.jobs[&question.step.job].job;
         let advice = self.advice.iter().find(|(name, _)| *name == job.queue).expect("advice").1;
-        (advice.decide_ms + advice.each_ms * question.workers.len() as f64) as u64
+        (advice.decide_ms + advice.per_worker_ms * question.workers.len() as f64) as u64
     }
 
     /// Jobs among `numbers` that no task was placed for.
     fn waiting(&self, numbers: std::ops::Range<u64>) -> usize {
         let placed = |number: &u64| {
             let entry = &self.story.machine.state.jobs[&id(*number)];
-            entry.open.values().flatten().any(|step| step.tasks.iter().any(|task| task.last > 0))
+            entry
+                .open
+                .values()
+                .flatten()
+                .any(|step| step.tasks.iter().any(|task| task.last_run > 0))
         };
         numbers.filter(|number| !placed(number)).count()
     }
--- a/tests/logic/cell/world/check.rs
+++ b/tests/logic/cell/world/check.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
+use oriolefork::cell::dependencies::StartCommand;
 use oriolefork::cell::job::{Id, Phase, StepKey, TaskKey};
-use oriolefork::cell::link::Start;
 
 use super::World;
 use crate::cell::model;
@@ -55,7 +55,7 @@
     }
 
     /// The promises that hold at every start, of an order that left its owner at `sent`.
-    pub(super) fn check_start(&mut self, worker: &str, start: &Start, sent: u64) {
+    pub(super) fn check_start(&mut self, worker: &str, start: &StartCommand, sent: u64) {
         self.starts += 1;
         let (run, now) = (start.run, self.now);
         let upstream = &self.workers[worker];
@@ -70,7 +70,7 @@
         }
         assert!(!self.done_noted.contains(&run.task), "{now}: {run} starts after it was done");
         let watched = &self.jobs[&run.task.step.job];
-        assert_eq!(start.payload.payload, watched.job.payload);
+        assert_eq!(start.job.payload, watched.job.payload);
         if let Some(cancelled) = watched.cancelled_at {
             // A stop overtakes an order that is held up on its way, but for a worker that resets it.
             let in_time = if upstream.resetting {
@@ -82,7 +82,7 @@
         }
         let model = &watched.job.steps[run.task.step.step as usize];
         let state = &self.owners.last().expect("an owner").machine.state;
-        for &earlier in &model.after {
+        for &earlier in &model.depends_on {
             let key = StepKey { step: earlier as u32, ..run.task.step };
             let done = (0..watched.job.steps[earlier].count)
                 .all(|index| self.done.contains_key(&TaskKey { step: key, index }));
@@ -106,9 +106,12 @@
             failures < model::ATTEMPTS as usize,
             "{now}: {run} starts after {failures} failures"
         );
-        if model.spread > 0 {
+        if model.max_per_worker > 0 {
             let here = upstream.runs.keys().filter(|twin| twin.task.step == run.task.step).count();
-            assert!(here <= model.spread as usize, "{now}: {here} tasks of {run} on {worker}");
+            assert!(
+                here <= model.max_per_worker as usize,
+                "{now}: {here} tasks of {run} on {worker}"
+            );
         }
     }
 }
