--- a/src/cli/entries.rs
+++ b/src/cli/entries.rs
@@ -238,7 +238,7 @@
     ) -> Result<Told<T>, Miss> {
         let request = self.request(ask, within).map_err(Miss::Unsent)?;
         let response = self.client.send(address, request, within).await.map_err(|error| {
-            let cause = format!("{}: {}", error.step, error.cause);
+            let cause = format!("{}: {}", error.phase, error.cause);
             if error.sent { Miss::Lost(cause) } else { Miss::Unsent(cause) }
         })?;
         read(&response)
--- a/src/entry/witness.rs
+++ b/src/entry/witness.rs
@@ -10,7 +10,7 @@
 use crate::entry::directory::Directory;
 use crate::membership::follow::Handle;
 use crate::membership::view::{Class, Key};
-use crate::peer::{self, Step};
+use crate::peer::{self, CallPhase};
 use crate::worker::{self, Fault};
 
 /// Rest between two reports that an instance answers. Each report costs a look at the whole view.
@@ -53,10 +53,10 @@
     pub fn called<T>(&self, address: std::net::SocketAddr, result: &Result<T, peer::Error>) {
         let answered = match result {
             Ok(_) => true,
-            Err(error) => match error.step {
-                Step::Refused(_) | Step::Decode => true,
-                Step::Connect | Step::Send | Step::Receive => false,
-                Step::Encode | Step::Timeout => return,
+            Err(error) => match error.phase {
+                CallPhase::Refused(_) | CallPhase::Decode => true,
+                CallPhase::Connect | CallPhase::Send | CallPhase::Receive => false,
+                CallPhase::Encode | CallPhase::Timeout => return,
             },
         };
         if let Some(key) = self.directory.entry_at(address) {
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -13,7 +13,7 @@
 use super::message::Fault;
 use super::pool::{Answer, Connection, Pool};
 use super::pools::Pools;
-use super::{Error, Limits, Request, Response, Step};
+use super::{CallPhase, Error, Limits, Request, Response};
 
 /// Sends requests to peers named by address.
 ///
@@ -57,45 +57,45 @@
     /// Sends `request` as [`Client::send`] does, on a connection whose other end has been made sure of.
     ///
     /// # Errors
-    /// Likewise; [`Step::Greet`] where the peer was not found to be the one that is wanted.
-    pub async fn send_to(
+    /// Likewise; [`CallPhase::IdentityCheck`] where the peer was not found to be the one that is wanted.
+    pub async fn send_verified(
         &self,
         peer: SocketAddr,
-        greeting: Greeting<'_>,
+        check: IdentityCheck<'_>,
         request: Request,
         timeout: Duration,
     ) -> Result<Response, Error> {
-        self.deliver(peer, Some(greeting), request, timeout).await
+        self.deliver(peer, Some(check), request, timeout).await
     }
 
     async fn deliver(
         &self,
         peer: SocketAddr,
-        greeting: Option<Greeting<'_>>,
+        check: Option<IdentityCheck<'_>>,
         mut request: Request,
         timeout: Duration,
     ) -> Result<Response, Error> {
         let deadline = Instant::now() + timeout;
         prepare(&mut request, peer);
-        let identity = greeting.as_ref().map(|greeting| greeting.identity);
+        let identity = check.as_ref().map(|check| check.expected);
         let pool = self.pools.of(peer);
         let Some(_permit) = before(deadline, pool.permits().acquire()).await else {
-            return Err(unsent(Step::Timeout, peer, "no free connection in time"));
+            return Err(unsent(CallPhase::Timeout, peer, "no free connection in time"));
         };
         if let Some(connection) = pool.take(self.pools.max_rest(), identity) {
             let result = self.exchange(&pool, connection, peer, &request, deadline).await;
             match result {
                 // The peer closed the resting connection and the system took nothing for it.
-                Err(Error { step: Step::Send, sent: false, .. }) => {}
+                Err(Error { phase: CallPhase::Send, sent: false, .. }) => {}
                 result => return result,
             }
         }
         let mut connection = open(peer, deadline).await?;
         pool.note_opened(peer);
-        if let Some(greeting) = greeting {
-            let suffices = greeting.suffices;
-            let response = self.greet(&mut connection, peer, greeting, deadline).await?;
-            if suffices {
+        if let Some(check) = check {
+            let answers_request = check.answers_request;
+            let response = self.verify_peer(&mut connection, peer, check, deadline).await?;
+            if answers_request {
                 self.keep(&pool, connection);
                 return Ok(response);
             }
@@ -104,26 +104,34 @@
     }
 
     /// Makes sure of the peer on a new connection, before the request.
-    async fn greet(
+    async fn verify_peer(
         &self,
         connection: &mut Connection,
         peer: SocketAddr,
-        greeting: Greeting<'_>,
+        check: IdentityCheck<'_>,
         deadline: Instant,
     ) -> Result<Response, Error> {
-        let Greeting { identity, mut request, accept, .. } = greeting;
+        let IdentityCheck { expected, mut request, verify, .. } = check;
         prepare(&mut request, peer);
         connection.begin();
         let answer = match before(deadline, converse(connection, &request, &self.limits)).await {
             Some(Ok(answer)) => answer,
-            Some(Err(failure)) => return Err(unsent(Step::Greet, peer, failure.cause)),
-            None => return Err(unsent(Step::Timeout, peer, "no answer to the greeting in time")),
+            Some(Err(failure)) => {
+                return Err(unsent(CallPhase::IdentityCheck, peer, failure.cause));
+            }
+            None => {
+                return Err(unsent(CallPhase::Timeout, peer, "no answer to the greeting in time"));
+            }
         };
-        accept(&answer.response).map_err(|cause| unsent(Step::Greet, peer, cause))?;
+        verify(&answer.response).map_err(|cause| unsent(CallPhase::IdentityCheck, peer, cause))?;
         if !answer.reusable {
-            return Err(unsent(Step::Greet, peer, "the peer closes after the greeting"));
+            return Err(unsent(
+                CallPhase::IdentityCheck,
+                peer,
+                "the peer closes after the greeting",
+            ));
         }
-        connection.identify(identity);
+        connection.identify(expected);
         Ok(answer.response)
     }
 
@@ -151,11 +159,11 @@
                 }
                 Ok(answer.response)
             }
-            Some(Err(Failure { step, cause })) => {
+            Some(Err(Failure { phase, cause })) => {
                 pool.note_lost(peer, connection.is_fresh(), &cause);
-                Err(Error { step, peer, sent, cause })
+                Err(Error { phase, peer, sent, cause })
             }
-            None => Err(Error { step: Step::Timeout, peer, sent, cause: late(sent) }),
+            None => Err(Error { phase: CallPhase::Timeout, peer, sent, cause: late(sent) }),
         }
     }
 }
@@ -164,30 +172,32 @@
 ///
 /// Guards against a request that reaches the successor of the process that it is meant for, at the same
 /// address: a connection leads to one process as long as it lives, so that asking once is enough.
-pub struct Greeting<'a> {
+pub struct IdentityCheck<'a> {
     /// Who is wanted. Connections on which somebody else was found are not used.
-    pub identity: &'a str,
+    pub expected: &'a str,
     /// What to ask.
     pub request: Request,
     /// Says from the answer why the peer is not the one that is wanted.
-    pub accept: &'a dyn Fn(&Response) -> Result<(), String>,
+    pub verify: &'a dyn Fn(&Response) -> Result<(), String>,
     /// Whether the request asks nothing else, so that on a new connection this answer will do.
-    pub suffices: bool,
+    pub answers_request: bool,
 }
 
 /// What went wrong on one connection, before peer and progress are known.
 struct Failure {
-    step: Step,
+    phase: CallPhase,
     cause: String,
 }
 
 impl From<Fault> for Failure {
     fn from(fault: Fault) -> Self {
-        let step = match fault {
-            Fault::Closed | Fault::Truncated | Fault::TimedOut | Fault::Io(_) => Step::Receive,
-            Fault::HeadTooLarge | Fault::BodyTooLarge { .. } | Fault::Malformed(_) => Step::Decode,
+        let phase = match fault {
+            Fault::Closed | Fault::Truncated | Fault::TimedOut | Fault::Io(_) => CallPhase::Receive,
+            Fault::HeadTooLarge | Fault::BodyTooLarge { .. } | Fault::Malformed(_) => {
+                CallPhase::Decode
+            }
         };
-        Self { step, cause: fault.to_string() }
+        Self { phase, cause: fault.to_string() }
     }
 }
 
@@ -201,8 +211,8 @@
 async fn open(peer: SocketAddr, deadline: Instant) -> Result<Connection, Error> {
     match before(deadline, Connection::open(peer)).await {
         Some(Ok(connection)) => Ok(connection),
-        Some(Err(cause)) => Err(unsent(Step::Connect, peer, cause)),
-        None => Err(unsent(Step::Timeout, peer, "no connection in time")),
+        Some(Err(cause)) => Err(unsent(CallPhase::Connect, peer, cause)),
+        None => Err(unsent(CallPhase::Timeout, peer, "no connection in time")),
     }
 }
 
@@ -212,7 +222,7 @@
     limits: &Limits,
 ) -> Result<Answer, Failure> {
     if let Err(cause) = connection.write(request).await {
-        let failure = Failure { step: Step::Send, cause: cause.to_string() };
+        let failure = Failure { phase: CallPhase::Send, cause: cause.to_string() };
         return early_answer(connection, request, limits, failure).await;
     }
     connection.read(request.method(), limits).await.map_err(Failure::from)
@@ -238,8 +248,8 @@
     if sent { "no whole answer in time".to_owned() } else { "request not taken in time".to_owned() }
 }
 
-fn unsent(step: Step, peer: SocketAddr, cause: impl Display) -> Error {
-    Error { step, peer, sent: false, cause: cause.to_string() }
+fn unsent(phase: CallPhase, peer: SocketAddr, cause: impl Display) -> Error {
+    Error { phase, peer, sent: false, cause: cause.to_string() }
 }
 
 async fn before<F: Future>(deadline: Instant, future: F) -> Option<F::Output> {
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -68,7 +68,7 @@
         // A connection that never carried a request gets less time, so that a peer cannot hold
         // many for nothing.
         let mut patience = self.limits.read_timeout;
-        while self.wait_for_request(patience, handler.relief()).await {
+        while self.wait_for_request(patience, handler.close_idle_signal()).await {
             if self.step(handler).await == Next::Close {
                 break;
             }
@@ -84,15 +84,15 @@
     }
 
     /// Waits for the first byte of a request; `false` when the connection should close instead.
-    async fn wait_for_request(&mut self, patience: Duration, relief: Option<Shutdown>) -> bool {
+    async fn wait_for_request(&mut self, patience: Duration, close_idle: Option<Shutdown>) -> bool {
         self.source.get_mut().allow(self.limits.head_bytes());
         let mut arrived = Box::pin(self.source.peek_data().fuse());
         let mut idle = Box::pin(rest(&self.stop, patience).fuse());
-        let mut relieved = Box::pin(relieved(relief).fuse());
+        let mut closed_idle = Box::pin(closed_idle(close_idle).fuse());
         futures_util::select_biased! {
             data = arrived => data.is_ok_and(|data| !data.is_empty()),
             () = idle => false,
-            () = relieved => false,
+            () = closed_idle => false,
         }
     }
 
@@ -187,10 +187,10 @@
 }
 
 /// Completes once the handler has asked for resting connections to close.
-async fn relieved(relief: Option<Shutdown>) {
-    match relief {
-        Some(relief) => {
-            relief.wait().await;
+async fn closed_idle(close_idle: Option<Shutdown>) {
+    match close_idle {
+        Some(close_idle) => {
+            close_idle.wait().await;
             monoio::time::sleep(STOP_LINGER).await;
         }
         None => std::future::pending().await,
--- a/src/http/error.rs
+++ b/src/http/error.rs
@@ -6,13 +6,13 @@
 
 /// Where in a call an error arose.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum CallPhase {
     /// Opening a connection.
     #[display("connect")]
     Connect,
     /// Making sure of a peer's identity on a new connection.
     #[display("greet")]
-    Greet,
+    IdentityCheck,
     /// Writing the request.
     #[display("send")]
     Send,
@@ -30,16 +30,16 @@
 /// A call that brought no whole answer.
 ///
 /// ```
-/// use oriolefork::http::{Error, Step};
+/// use oriolefork::http::{Error, CallPhase};
 /// let peer = "127.0.0.1:9".parse().unwrap();
-/// let error = Error { step: Step::Connect, peer, sent: false, cause: "refused".into() };
+/// let error = Error { phase: CallPhase::Connect, peer, sent: false, cause: "refused".into() };
 /// assert_eq!(error.to_string(), "connect 127.0.0.1:9: refused (surely not sent)");
 /// ```
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("{step} {peer}: {cause} ({})", if *sent { "may have been sent" } else { "surely not sent" })]
+#[display("{phase} {peer}: {cause} ({})", if *sent { "may have been sent" } else { "surely not sent" })]
 pub struct Error {
     /// Where it arose.
-    pub step: Step,
+    pub phase: CallPhase,
     /// The peer that was called.
     pub peer: SocketAddr,
     /// Whether any byte of the request may have left this process. When `false`, the peer has
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -21,8 +21,8 @@
 mod pools;
 mod server;
 
-pub use client::{Client, Greeting};
-pub use error::{Error, Step};
+pub use client::{Client, IdentityCheck};
+pub use error::{CallPhase, Error};
 pub use server::Server;
 
 /// A request with its whole body.
@@ -43,7 +43,7 @@
 
     /// A flag that is raised when resting connections should close, for an instance whose callers
     /// are served better elsewhere; `None` where that never happens.
-    fn relief(&self) -> Option<Shutdown> {
+    fn close_idle_signal(&self) -> Option<Shutdown> {
         None
     }
 }
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -19,7 +19,7 @@
 use super::body::{self, Fault};
 use super::link::Link;
 use super::stream::REASON_BYTES;
-use super::{Code, Error, Limits, Step};
+use super::{CallPhase, Code, Error, Limits};
 use crate::codec;
 
 /// Calls methods of peers named by address.
@@ -53,10 +53,10 @@
         timeout: Duration,
     ) -> Result<A, Error> {
         let deadline = Instant::now() + timeout;
-        let ask = codec::encode(ask).map_err(|cause| unsent(Step::Encode, peer, cause))?;
+        let ask = codec::encode(ask).map_err(|cause| unsent(CallPhase::Encode, peer, cause))?;
         let answer = self.call_bytes(peer, method, ask, deadline).await?;
         codec::decode(&answer).map_err(|cause| Error {
-            step: Step::Decode,
+            phase: CallPhase::Decode,
             peer,
             sent: true,
             cause: cause.to_string(),
@@ -70,26 +70,27 @@
         ask: Bytes,
         deadline: Instant,
     ) -> Result<Bytes, Error> {
-        let request = request(peer, method).map_err(|cause| unsent(Step::Encode, peer, cause))?;
+        let request =
+            request(peer, method).map_err(|cause| unsent(CallPhase::Encode, peer, cause))?;
         self.sweep();
         let link = self.link(peer);
         let Some(_permit) = before(deadline, link.calls().acquire()).await else {
-            return Err(unsent(Step::Timeout, peer, "too many calls are out"));
+            return Err(unsent(CallPhase::Timeout, peer, "too many calls are out"));
         };
         let Some(ready) = before(deadline, link.sender(peer)).await else {
-            return Err(unsent(Step::Timeout, peer, "no connection in time"));
+            return Err(unsent(CallPhase::Timeout, peer, "no connection in time"));
         };
-        let (sender, running) = ready.map_err(|cause| unsent(Step::Connect, peer, cause))?;
+        let (sender, running) = ready.map_err(|cause| unsent(CallPhase::Connect, peer, cause))?;
         let exchange = exchange(sender, request, ask, self.limits.body_bytes);
         match before(deadline, exchange).await {
             Some(Ok(answer)) => {
                 running.note_answer();
                 Ok(answer)
             }
-            Some(Err(Failure { step, sent, cause })) => Err(Error { step, peer, sent, cause }),
+            Some(Err(Failure { phase, sent, cause })) => Err(Error { phase, peer, sent, cause }),
             None => {
                 let cause = "no whole answer in time".to_owned();
-                Err(Error { step: Step::Timeout, peer, sent: true, cause })
+                Err(Error { phase: CallPhase::Timeout, peer, sent: true, cause })
             }
         }
     }
@@ -112,16 +113,16 @@
 
 /// What went wrong on one stream, before the peer is named.
 struct Failure {
-    step: Step,
+    phase: CallPhase,
     sent: bool,
     cause: String,
 }
 
 impl Failure {
-    fn new(step: Step, fault: &Fault) -> Self {
-        let step = if matches!(fault, Fault::TooLarge { .. }) { Step::Decode } else { step };
+    fn new(phase: CallPhase, fault: &Fault) -> Self {
+        let phase = if matches!(fault, Fault::TooLarge { .. }) { CallPhase::Decode } else { phase };
         let sent = !matches!(fault, Fault::H2(error) if is_refused(error));
-        Self { step, sent, cause: fault.to_string() }
+        Self { phase, sent, cause: fault.to_string() }
     }
 }
 
@@ -148,34 +149,34 @@
     ask: Bytes,
     limit: usize,
 ) -> Result<Bytes, Failure> {
-    let (response, mut stream) = sender
-        .send_request(request, ask.is_empty())
-        .map_err(|error| Failure { step: Step::Connect, sent: false, cause: error.to_string() })?;
+    let (response, mut stream) = sender.send_request(request, ask.is_empty()).map_err(|error| {
+        Failure { phase: CallPhase::Connect, sent: false, cause: error.to_string() }
+    })?;
     let written = body::write(&mut stream, ask).await;
     // A peer that refuses early resets the rest of the body; its answer tells more than the reset.
     let response = match (response.await, written) {
         (Ok(response), _) => response,
-        (Err(_), Err(fault)) => return Err(Failure::new(Step::Send, &fault)),
-        (Err(error), Ok(())) => return Err(Failure::new(Step::Receive, &Fault::H2(error))),
+        (Err(_), Err(fault)) => return Err(Failure::new(CallPhase::Send, &fault)),
+        (Err(error), Ok(())) => return Err(Failure::new(CallPhase::Receive, &Fault::H2(error))),
     };
     let status = response.status();
     let limit = if status == StatusCode::OK { limit } else { REASON_BYTES };
     let answer = body::read(&mut response.into_body(), limit)
         .await
-        .map_err(|fault| Failure::new(Step::Receive, &fault))?;
+        .map_err(|fault| Failure::new(CallPhase::Receive, &fault))?;
     if status == StatusCode::OK { Ok(answer) } else { Err(refusal(status, &answer)) }
 }
 
 fn refusal(status: StatusCode, reason: &[u8]) -> Failure {
     let cause = String::from_utf8_lossy(reason).into_owned();
     match Code::of_status(status) {
-        Some(code) => Failure { step: Step::Refused(code), sent: true, cause },
-        None => Failure { step: Step::Decode, sent: true, cause: format!("status {status}") },
+        Some(code) => Failure { phase: CallPhase::Refused(code), sent: true, cause },
+        None => Failure { phase: CallPhase::Decode, sent: true, cause: format!("status {status}") },
     }
 }
 
-fn unsent(step: Step, peer: SocketAddr, cause: impl Display) -> Error {
-    Error { step, peer, sent: false, cause: cause.to_string() }
+fn unsent(phase: CallPhase, peer: SocketAddr, cause: impl Display) -> Error {
+    Error { phase, peer, sent: false, cause: cause.to_string() }
 }
 
 async fn before<F: Future>(deadline: Instant, future: F) -> Option<F::Output> {
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -70,7 +70,7 @@
 
 /// Where in a call an error arose.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum CallPhase {
     /// Encoding the call.
     #[display("encode")]
     Encode,
@@ -96,10 +96,10 @@
 
 /// A call that brought no whole answer.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("{step} {peer}: {cause} ({})", if *sent { "may have been sent" } else { "surely not sent" })]
+#[display("{phase} {peer}: {cause} ({})", if *sent { "may have been sent" } else { "surely not sent" })]
 pub struct Error {
     /// Where it arose.
-    pub step: Step,
+    pub phase: CallPhase,
     /// The peer that was called.
     pub peer: SocketAddr,
     /// Whether the peer may have acted on the call. When `false`, it surely has not.
@@ -112,12 +112,12 @@
     /// Whether the peer answered that it takes no call at present, and took none.
     ///
     /// ```
-    /// use oriolefork::peer::{Error, Step};
+    /// use oriolefork::peer::{Error, CallPhase};
     /// let peer = ([127, 0, 0, 1], 7_540).into();
     /// let cause = "refused stream".to_owned();
-    /// assert!(Error { step: Step::Receive, peer, sent: false, cause }.is_busy());
+    /// assert!(Error { phase: CallPhase::Receive, peer, sent: false, cause }.is_busy());
     /// ```
     pub fn is_busy(&self) -> bool {
-        self.step == Step::Receive && !self.sent
+        self.phase == CallPhase::Receive && !self.sent
     }
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -18,7 +18,7 @@
 mod stream;
 
 pub use client::Client;
-pub use error::{Code, Error, Refusal, Step};
+pub use error::{CallPhase, Code, Error, Refusal};
 pub use server::Server;
 
 /// Reads the body of a call.
--- a/tests/process/http.rs
+++ b/tests/process/http.rs
@@ -21,7 +21,7 @@
 /// resting connections to close.
 struct Echo {
     stop: Shutdown,
-    relief: Shutdown,
+    close_idle: Shutdown,
     thaw: mpsc::Receiver<()>,
 }
 
@@ -30,7 +30,7 @@
         async move {
             match request.uri().path() {
                 "/stop" => self.stop.trigger(),
-                "/relieve" => self.relief.trigger(),
+                "/relieve" => self.close_idle.trigger(),
                 "/freeze" => {
                     self.thaw.recv().unwrap();
                     self.stop.trigger();
@@ -46,8 +46,8 @@
         .boxed_local()
     }
 
-    fn relief(&self) -> Option<Shutdown> {
-        Some(self.relief.clone())
+    fn close_idle_signal(&self) -> Option<Shutdown> {
+        Some(self.close_idle.clone())
     }
 }
 
@@ -66,7 +66,7 @@
             sender.send(server.local_addr().unwrap()).unwrap();
             let stop = Shutdown::new();
             let handler =
-                Rc::new(Echo { stop: stop.clone(), relief: Shutdown::new(), thaw: thawed });
+                Rc::new(Echo { stop: stop.clone(), close_idle: Shutdown::new(), thaw: thawed });
             server.serve(handler, stop, GENEROUS).await;
         });
     });
--- a/tests/process/http_client.rs
+++ b/tests/process/http_client.rs
@@ -8,7 +8,7 @@
 
 use ::http::{Method, StatusCode};
 use bytes::Bytes;
-use oriolefork::http::{Client, Error, Limits, Request, Step};
+use oriolefork::http::{CallPhase, Client, Error, Limits, Request};
 use test_case::test_case;
 
 use crate::support::{GENEROUS, UNUSED, run};
@@ -101,28 +101,28 @@
     server.join().unwrap();
 }
 
-#[test_case(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nok", Step::Receive; "cut body")]
-#[test_case(b"HTTP/1.1 200 OK\r\ncontent-le", Step::Receive; "cut head")]
-#[test_case(b"", Step::Receive; "no answer")]
+#[test_case(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nok", CallPhase::Receive; "cut body")]
+#[test_case(b"HTTP/1.1 200 OK\r\ncontent-le", CallPhase::Receive; "cut head")]
+#[test_case(b"", CallPhase::Receive; "no answer")]
 #[test_case(
-    b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n", Step::Receive;
+    b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n", CallPhase::Receive;
     "cut after a chunk"
 )]
 #[test_case(
-    b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n9\r\nok", Step::Receive; "cut chunk"
+    b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n9\r\nok", CallPhase::Receive; "cut chunk"
 )]
-#[test_case(b"HTTP/1.1 200 OK\r\n\r\nok", Step::Decode; "no length")]
-#[test_case(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\ncontent-length: 1\r\n\r\nok", Step::Decode; "two lengths")]
-#[test_case(b"HTTP/1.1 200 OK\r\ncontent-length: 9999999999\r\n\r\n", Step::Decode; "huge length")]
-#[test_case(b"SMTP ready\r\n\r\n", Step::Decode; "another protocol")]
+#[test_case(b"HTTP/1.1 200 OK\r\n\r\nok", CallPhase::Decode; "no length")]
+#[test_case(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\ncontent-length: 1\r\n\r\nok", CallPhase::Decode; "two lengths")]
+#[test_case(b"HTTP/1.1 200 OK\r\ncontent-length: 9999999999\r\n\r\n", CallPhase::Decode; "huge length")]
+#[test_case(b"SMTP ready\r\n\r\n", CallPhase::Decode; "another protocol")]
 #[test_case(
     b"HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n\
-      HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n", Step::Decode; "interim only"
+      HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n", CallPhase::Decode; "interim only"
 )]
-fn send_bad_answer(answer: &'static [u8], step: Step) {
+fn send_bad_answer(answer: &'static [u8], phase: CallPhase) {
     let (addr, server) = answer_once(answer);
     let error = run(async { send(&Client::new(Limits::default()), addr).await.unwrap_err() });
-    assert_eq!((error.step, error.sent), (step, true), "{error}");
+    assert_eq!((error.phase, error.sent), (phase, true), "{error}");
     server.join().unwrap();
 }
 
@@ -142,7 +142,7 @@
 fn send_refused_connection() {
     let unused = UNUSED.parse().unwrap();
     let error = run(async { send(&Client::new(Limits::default()), unused).await.unwrap_err() });
-    assert_eq!((error.step, error.sent), (Step::Connect, false));
+    assert_eq!((error.phase, error.sent), (CallPhase::Connect, false));
 }
 
 // A server answers the first request only after its caller has given up, and the second caller is
@@ -161,7 +161,7 @@
         let client = Client::new(Limits::default());
         let short = Duration::from_millis(250);
         let error = client.send(addr, get("/"), short).await.unwrap_err();
-        assert_eq!((error.step, error.sent), (Step::Timeout, true));
+        assert_eq!((error.phase, error.sent), (CallPhase::Timeout, true));
         assert_eq!(send(&client, addr).await.unwrap(), "ok");
     });
     server.join().unwrap();
@@ -285,7 +285,7 @@
         let client = Client::new(Limits::default());
         assert_eq!(send(&client, addr).await.unwrap(), "ok");
         let error = send(&client, addr).await.unwrap_err();
-        assert_eq!((error.step, error.sent), (Step::Receive, true), "{error}");
+        assert_eq!((error.phase, error.sent), (CallPhase::Receive, true), "{error}");
     });
     let listener = server.join().unwrap();
     assert!(listener.accept().is_err(), "the request was sent again");
@@ -327,7 +327,7 @@
         );
         assert!(held.unwrap_err().sent);
         let error = waiting.unwrap_err();
-        assert_eq!((error.step, error.sent), (Step::Timeout, false));
+        assert_eq!((error.phase, error.sent), (CallPhase::Timeout, false));
     });
     assert!(!server.join().unwrap());
 }
--- a/tests/process/peer.rs
+++ b/tests/process/peer.rs
@@ -12,7 +12,7 @@
 use futures_util::FutureExt;
 use futures_util::future::{LocalBoxFuture, join_all};
 use oriolefork::codec;
-use oriolefork::peer::{Client, Code, Handler, Limits, Refusal, Server, Step};
+use oriolefork::peer::{CallPhase, Client, Code, Handler, Limits, Refusal, Server};
 use oriolefork::shutdown::Shutdown;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -131,7 +131,7 @@
             .call::<_, Vec<u8>>(server.addr, "echo", &vec![0_u8; 200_000], GENEROUS)
             .await
             .unwrap_err();
-        assert_eq!(error.step, Step::Refused(Code::Malformed));
+        assert_eq!(error.phase, CallPhase::Refused(Code::Malformed));
         assert!(server.service.methods.borrow().is_empty());
         let answer: u64 = client.call(server.addr, "double", &1_u64, GENEROUS).await.unwrap();
         assert_eq!(answer, 2);
@@ -144,7 +144,7 @@
         let server = serve(Limits::default());
         let client = Client::new(Limits::default());
         let error = client.call::<_, u64>(server.addr, "no-such", &1_u64, GENEROUS).await;
-        assert_eq!(error.unwrap_err().step, Step::Refused(Code::UnknownMethod));
+        assert_eq!(error.unwrap_err().phase, CallPhase::Refused(Code::UnknownMethod));
     });
 }
 
@@ -155,7 +155,7 @@
         let client = Client::new(Limits::default());
         client.call::<_, u64>(unused, "double", &1_u64, GENEROUS).await.unwrap_err()
     });
-    assert_eq!((error.step, error.sent), (Step::Connect, false));
+    assert_eq!((error.phase, error.sent), (CallPhase::Connect, false));
 }
 
 // A caller stops waiting for a slow answer. The answer comes later, while other calls are out on
@@ -167,7 +167,7 @@
         let client = Client::new(Limits::default());
         let short = Duration::from_millis(250);
         let error = client.call::<_, u64>(server.addr, "hold", &7_u64, short).await.unwrap_err();
-        assert_eq!((error.step, error.sent), (Step::Timeout, true));
+        assert_eq!((error.phase, error.sent), (CallPhase::Timeout, true));
         server.service.gate.trigger();
         for n in 0..20_u64 {
             let answer = client.call::<_, u64>(server.addr, "double", &n, GENEROUS).await;
@@ -221,7 +221,7 @@
         let begin = Instant::now();
         for answer in join_all(calls).await {
             let error = answer.unwrap_err();
-            assert_eq!((error.step, error.sent), (Step::Receive, true), "{error}");
+            assert_eq!((error.phase, error.sent), (CallPhase::Receive, true), "{error}");
         }
         assert!(begin.elapsed() < GENEROUS);
     });
@@ -320,7 +320,7 @@
         let short = Duration::from_millis(250);
         for n in 0..2_u64 {
             let error = client.call::<_, u64>(server.addr, "hold", &n, short).await.unwrap_err();
-            assert_eq!(error.step, Step::Timeout);
+            assert_eq!(error.phase, CallPhase::Timeout);
         }
         assert_eq!(server.service.held.get(), 2);
         let error = client.call::<_, u64>(server.addr, "double", &1_u64, GENEROUS).await;
