--- a/src/entry/controller.rs
+++ b/src/entry/controller.rs
@@ -19,7 +19,7 @@
 use crate::owner::{BatchCopy, Ticket, machine};
 use crate::peer;
 use crate::store::{Offset, Store};
-use crate::worker::{self, Link};
+use crate::worker::{self, WorkerTransport};
 
 /// Peer method that carries an owner's heartbeat.
 pub const BEAT: &str = "owner/beat";
@@ -54,7 +54,7 @@
     /// The platform's log.
     pub store: Rc<dyn Store>,
     /// The workers.
-    pub workers: Rc<dyn Link>,
+    pub workers: Rc<dyn WorkerTransport>,
     /// Other instances.
     pub peers: Rc<peer::Client>,
     /// Time.
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -18,7 +18,7 @@
 use crate::settings::{Peer, Settings, Weighs};
 use crate::shutdown::Shutdown;
 use crate::store::{Failover, Store};
-use crate::telemetry::measured;
+use crate::telemetry::instrumented;
 use crate::{config, http, membership, peer, store, worker};
 
 /// Stream of a failure domain in the log.
@@ -48,7 +48,7 @@
     pub fn new(settings: &Settings, me: Instance, clock: Rc<dyn Clock>, stop: Shutdown) -> Self {
         let client = Rc::new(http::Client::new(http::Limits::default()));
         let peers = Rc::new(peer::Client::new(peer::Limits::default()));
-        let store: Rc<dyn Store> = Rc::new(measured::Store(log(settings, &client)));
+        let store: Rc<dyn Store> = Rc::new(instrumented::Store(log(settings, &client)));
         Self { me, clock, store, peers, client, stop }
     }
 
@@ -69,7 +69,7 @@
         let workers = worker::http::Client::new(self.client.clone());
         let borders = Borders {
             store: self.store.clone(),
-            workers: Rc::new(measured::Workers(Rc::new(workers))),
+            workers: Rc::new(instrumented::Workers(Rc::new(workers))),
             peers: self.peers.clone(),
             clock: self.clock.clone(),
             stream: stream(&settings.domain),
@@ -98,10 +98,10 @@
     pub fn start_membership(&self, settings: &Settings) -> membership::follow::Handle {
         let list = &settings.instance_list;
         let source = membership::http::Client::new(list.address, self.client.clone(), list.timeout);
-        let measured: Rc<dyn Source> = Rc::new(measured::List(Rc::new(source)));
+        let instrumented: Rc<dyn Source> = Rc::new(instrumented::List(Rc::new(source)));
         let seeds = settings.peers.iter().map(seed).collect();
         membership::follow::start(membership::follow::Setup {
-            source: Rc::new(SeededSource::new(measured, seeds)),
+            source: Rc::new(SeededSource::new(instrumented, seeds)),
             probe: Rc::new(TcpProbe { timeout: settings.peer_calls.timeout }),
             policy: ViewPolicy::default(),
             interval: list.poll,
--- a/src/entry/requests.rs
+++ b/src/entry/requests.rs
@@ -15,7 +15,7 @@
 use crate::settings::Settings;
 use crate::shutdown::Shutdown;
 use crate::store::Store;
-use crate::telemetry::measured;
+use crate::telemetry::instrumented;
 use crate::{http, peer};
 
 /// Pause between two looks at who owns the failure domain.
@@ -56,7 +56,7 @@
         position: settings.position(),
         run: me.run,
         warm_up: settings.queues.request_restart_wait,
-        transport: Rc::new(measured::Runners(transport)),
+        transport: Rc::new(instrumented::Runners(transport)),
         peers: Rc::new(runner::peer::Client::new(peers)),
         clock: clock.clone(),
         deduplicator: Some(deduplicator),
--- a/src/standin/worker/view.rs
+++ b/src/standin/worker/view.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskView {
     /// Identity of the try.
-    pub task: wire::Task,
+    pub task: wire::TaskId,
     /// When it started.
     pub started: Unix,
     /// When it ended, once it has.
--- a/src/telemetry/measured.rs
+++ b/src/telemetry/instrumented.rs
@@ -49,9 +49,9 @@
 }
 
 /// The workers, measured.
-pub struct Workers(pub Rc<dyn worker::Link>);
+pub struct Workers(pub Rc<dyn worker::WorkerTransport>);
 
-impl worker::Link for Workers {
+impl worker::WorkerTransport for Workers {
     fn exchange<'a>(
         &'a self,
         peer: SocketAddr,
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -3,15 +3,15 @@
 //! [`start`] installs the recorder once a process; the daemon answers a scrape with
 //! [`Recorder::render`] over its own HTTP. [`names`] lists every metric there is.
 
-mod kinds;
-pub mod measured;
+pub mod instrumented;
+mod instruments;
 pub mod names;
 
 use derive_more::Display;
 use metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle};
 use metrics_process::Collector;
 
-pub use kinds::{Counter, Gauge, Histogram, Label};
+pub use instruments::{Counter, Gauge, Histogram, Label};
 
 /// Upper bounds of the buckets of histograms of spans, in seconds: from a decision to a lease.
 const SECONDS: &[f64] = &[
--- a/src/worker/http.rs
+++ b/src/worker/http.rs
@@ -9,7 +9,7 @@
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 
-use super::{Error, Exchange, Fault, Link, Report, wire};
+use super::{Error, Exchange, Fault, Report, WorkerTransport, wire};
 use crate::http;
 
 /// Reaches workers, each at its own address.
@@ -42,7 +42,7 @@
     }
 }
 
-impl Link for Client {
+impl WorkerTransport for Client {
     fn exchange<'a>(
         &'a self,
         peer: SocketAddr,
--- a/src/worker/mod.rs
+++ b/src/worker/mod.rs
@@ -136,7 +136,7 @@
 }
 
 /// Way to reach workers.
-pub trait Link {
+pub trait WorkerTransport {
     /// Carries out one exchange with the worker at `peer`, within `timeout` on top of
     /// `exchange.wait`.
     ///
--- a/src/worker/wire.rs
+++ b/src/worker/wire.rs
@@ -14,7 +14,7 @@
 /// Identity of a try, written `job-index-attempt`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Task(String);
+pub struct TaskId(String);
 
 /// A text that is no identity of a try.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
@@ -31,20 +31,20 @@
     /// Run a task.
     Start {
         /// Identity of the try.
-        task: Task,
+        task: TaskId,
         /// What to reserve for it.
         demand: Amount,
         /// Opaque instruction from the job.
         payload: String,
     },
     /// Stop a task.
-    Stop(Task),
+    Stop(TaskId),
     /// Save a task's progress, then stop it.
-    Checkpoint(Task),
+    Checkpoint(TaskId),
     /// Hold a task to its declared processor time.
-    Throttle(Task),
+    Throttle(TaskId),
     /// Drop the memory of an ended task.
-    Forget(Task),
+    Forget(TaskId),
 }
 
 /// JSON form of [`worker::Exchange`].
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
     /// Identity of the try.
-    pub task: Task,
+    pub task: TaskId,
     /// Where it stands.
     pub phase: Phase,
     /// What is reserved for it.
@@ -112,16 +112,16 @@
     pub fenced_by: Epoch,
 }
 
-impl From<task::Id> for Task {
+impl From<task::Id> for TaskId {
     fn from(id: task::Id) -> Self {
         Self(id.to_string())
     }
 }
 
-impl TryFrom<Task> for task::Id {
+impl TryFrom<TaskId> for task::Id {
     type Error = Error;
 
-    fn try_from(task: Task) -> Result<Self, Error> {
+    fn try_from(task: TaskId) -> Result<Self, Error> {
         parse(&task.0).ok_or(Error { text: task.0 })
     }
 }
--- a/tests/logic/telemetry.rs
+++ b/tests/logic/telemetry.rs
@@ -9,7 +9,7 @@
 use futures_util::future::LocalBoxFuture;
 use metrics_exporter_prometheus::PrometheusBuilder;
 use oriolefork::store::{self, AppendOutcome, Offset, Page, Store};
-use oriolefork::telemetry::measured;
+use oriolefork::telemetry::instrumented;
 use oriolefork::telemetry::{self, names};
 use test_case::test_case;
 
@@ -73,7 +73,7 @@
 #[test_case(failed(AppendOutcome::Unknown), "unknown"; "unknown")]
 fn append_measured(answer: Result<Offset, store::Error>, outcome: &str) {
     let recorder = PrometheusBuilder::new().build_recorder();
-    let store = measured::Store(Rc::new(Fixed(answer.clone())));
+    let store = instrumented::Store(Rc::new(Fixed(answer.clone())));
     let append = || store.append("s", Bytes::from_static(b"four")).now_or_never();
     let result = metrics::with_local_recorder(&recorder, append);
     assert_eq!(result, Some(answer), "the answer passes unchanged");
--- a/tests/process/controller.rs
+++ b/tests/process/controller.rs
@@ -26,7 +26,7 @@
 use oriolefork::placement::{Objective, Policy, Preset};
 use oriolefork::shutdown::Shutdown;
 use oriolefork::store::{self, Offset, Page, Store};
-use oriolefork::worker::{self, Exchange, Link, Report};
+use oriolefork::worker::{self, Exchange, Report, WorkerTransport};
 
 use crate::harness::LIMIT;
 
@@ -70,7 +70,7 @@
     }
 }
 
-impl Link for Nobody {
+impl WorkerTransport for Nobody {
     fn exchange<'a>(
         &'a self,
         _peer: SocketAddr,
--- a/tests/process/standin.rs
+++ b/tests/process/standin.rs
@@ -14,7 +14,7 @@
 use oriolefork::standin::{instances, log, runner, worker as standin};
 use oriolefork::store::{self, AppendOutcome, Page, Store};
 use oriolefork::task::{self, End, Phase};
-use oriolefork::worker::{self, Command, Exchange, Fault, Link, Report};
+use oriolefork::worker::{self, Command, Exchange, Fault, Report, WorkerTransport};
 use serde_json::json;
 use test_case::test_case;
 use ureq::http::Method;
@@ -96,7 +96,8 @@
     let (epoch, wait) = (Epoch { term, sub: 0 }, Duration::ZERO);
     let exchange = Exchange { epoch, lease: LEASE, commands: commands.to_vec(), seen, wait };
     let link = worker::http::Client::new(http());
-    block_on(Link::exchange(&link, addr, &exchange, timeout)).map_err(|error| error.fault)
+    block_on(WorkerTransport::exchange(&link, addr, &exchange, timeout))
+        .map_err(|error| error.fault)
 }
 
 fn start() -> Command {
@@ -253,7 +254,7 @@
     let commands = vec![start()];
     let sent = Exchange { epoch, lease: short, commands, seen: 0, wait: Duration::ZERO };
     let link = worker::http::Client::new(http());
-    block_on(Link::exchange(&link, worker.route, &sent, AMPLE)).unwrap();
+    block_on(WorkerTransport::exchange(&link, worker.route, &sent, AMPLE)).unwrap();
     worker.standin.process.freeze();
     let fault = exchange(worker.route, 1, 0, &[], short * 2).unwrap_err();
     assert!(matches!(fault, Fault::Unknown(_)), "{fault}");
