--- a/src/api/backend.rs
+++ b/src/api/backend.rs
@@ -10,11 +10,11 @@
 use crate::{domain, job, worker};
 
 /// Outcome of a call, once it is there.
-pub type Answer<'a, T> = LocalBoxFuture<'a, Result<T, Refusal>>;
+pub type BackendFuture<'a, T> = LocalBoxFuture<'a, Result<T, Refusal>>;
 
 /// Circumstances of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Call {
+pub struct CallContext {
     /// Time left until the caller stops waiting.
     pub within: Duration,
     /// Person who asks, by the name they gave.
@@ -39,80 +39,89 @@
     /// that it did not run.
     fn submit(
         &self,
-        call: Call,
+        call: CallContext,
         submission: view::job::Submission,
-    ) -> Answer<'_, view::job::Accepted>;
+    ) -> BackendFuture<'_, view::job::Accepted>;
 
     /// Stops a job; a repeated call succeeds again.
-    fn cancel(&self, call: Call, job: job::Id) -> Answer<'_, view::job::Job>;
+    fn cancel(&self, call: CallContext, job: job::Id) -> BackendFuture<'_, view::job::Job>;
 
     /// The state of one job with its tasks; also of one that is still being recorded.
-    fn job(&self, call: Call, job: job::Id) -> Answer<'_, view::job::Job>;
+    fn job(&self, call: CallContext, job: job::Id) -> BackendFuture<'_, view::job::Job>;
 
     /// Jobs that match, in order of identity, after the cursor.
     fn jobs(
         &self,
-        call: Call,
+        call: CallContext,
         filter: view::job::Filter,
-        cut: view::Cut<job::Id>,
-    ) -> Answer<'_, view::Page<view::job::Summary, job::Id>>;
+        page: view::PageRequest<job::Id>,
+    ) -> BackendFuture<'_, view::Page<view::job::Summary, job::Id>>;
 
     /// Why a job waits.
-    fn explain(&self, call: Call, job: job::Id) -> Answer<'_, view::job::Explanation>;
+    fn explain(&self, call: CallContext, job: job::Id)
+    -> BackendFuture<'_, view::job::Explanation>;
 
     /// Alerts of the failure domain, unacknowledged ones only unless `all` is set.
     fn alerts(
         &self,
-        call: Call,
+        call: CallContext,
         all: bool,
-        cut: view::Cut<String>,
-    ) -> Answer<'_, view::Page<view::alert::Alert, String>>;
+        page: view::PageRequest<String>,
+    ) -> BackendFuture<'_, view::Page<view::alert::Alert, String>>;
 
     /// Marks an alert as seen by `call.by`; a repeated call keeps the first person's name.
-    fn acknowledge(&self, call: Call, alert: String) -> Answer<'_, view::alert::Alert>;
+    fn acknowledge(
+        &self,
+        call: CallContext,
+        alert: String,
+    ) -> BackendFuture<'_, view::alert::Alert>;
 
     /// The preset in force and all presets to choose from.
-    fn presets(&self, call: Call) -> Answer<'_, view::preset::Choice>;
+    fn presets(&self, call: CallContext) -> BackendFuture<'_, view::preset::PresetList>;
 
     /// Puts a preset in force; answers once the change was read back from the log.
     fn set_preset(
         &self,
-        call: Call,
+        call: CallContext,
         change: view::preset::Change,
-    ) -> Answer<'_, view::preset::InForce>;
+    ) -> BackendFuture<'_, view::preset::ActivePreset>;
 
     /// Changes of preset, newest first, older than the cursor's version.
     fn preset_history(
         &self,
-        call: Call,
-        cut: view::Cut<u64>,
-    ) -> Answer<'_, view::Page<view::preset::InForce, u64>>;
+        call: CallContext,
+        page: view::PageRequest<u64>,
+    ) -> BackendFuture<'_, view::Page<view::preset::ActivePreset, u64>>;
 
     /// Quotas of all teams that have one.
-    fn quotas(&self, call: Call) -> Answer<'_, view::quota::Table>;
+    fn quotas(&self, call: CallContext) -> BackendFuture<'_, view::quota::Table>;
 
     /// Sets or removes a team's quota; answers once the change was read back from the log.
-    fn set_quota(&self, call: Call, change: view::quota::Change) -> Answer<'_, view::quota::Table>;
+    fn set_quota(
+        &self,
+        call: CallContext,
+        change: view::quota::Change,
+    ) -> BackendFuture<'_, view::quota::Table>;
 
     /// Workers of the failure domain in order of name.
-    fn workers(&self, call: Call) -> Answer<'_, Vec<view::worker::Worker>>;
+    fn workers(&self, call: CallContext) -> BackendFuture<'_, Vec<view::worker::Worker>>;
 
     /// Changes what a worker is used for.
-    fn order_worker(
+    fn apply_worker_action(
         &self,
-        call: Call,
+        call: CallContext,
         worker: worker::Name,
-        order: view::worker::Order,
-    ) -> Answer<'_, view::worker::Worker>;
+        action: view::worker::Action,
+    ) -> BackendFuture<'_, view::worker::Worker>;
 
     /// What the scheduler is doing, a line for each failure domain.
-    fn status(&self, call: Call) -> Answer<'_, view::status::Status>;
+    fn status(&self, call: CallContext) -> BackendFuture<'_, view::status::Status>;
 
     /// The whole state of the process, without secrets.
-    fn dump(&self, call: Call) -> Answer<'_, serde_json::Value>;
+    fn dump(&self, call: CallContext) -> BackendFuture<'_, serde_json::Value>;
 
     /// Sets the level of the process's log.
-    fn set_log_level(&self, call: Call, level: log::LevelFilter) -> Answer<'_, ()>;
+    fn set_log_level(&self, call: CallContext, level: log::LevelFilter) -> BackendFuture<'_, ()>;
 
     /// Failure domain of the instance that answers.
     fn domain(&self) -> domain::Name {
--- a/src/api/configuration.rs
+++ b/src/api/configuration.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::api::backend::Call;
+use crate::api::backend::CallContext;
 use crate::api::refusal::{Reason, Refusal};
-use crate::api::view::{Cut, Page, preset, quota};
+use crate::api::view::{Page, PageRequest, preset, quota};
 use crate::clock::Clock;
 use crate::config::publish::Id;
 use crate::config::{self, Handle, Proposal, PublishOutcome, Value, Version};
@@ -13,22 +13,22 @@
 use crate::{domain, worker};
 
 /// Pause that an operator is asked to make while the settings are not readable or writable.
-const PAUSE: Duration = Duration::from_secs(2);
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Times that a drain is tried again after another change came first.
-const DRAIN_TRIES: u32 = 8;
+const DRAIN_ATTEMPTS: u32 = 8;
 
 /// Presets, quotas and drained workers as operators see and change them.
 #[derive(Clone)]
 pub struct Configuration {
     handle: Handle,
     clock: Rc<dyn Clock>,
-    weighs: Objective,
+    objective: Objective,
 }
 
 impl Configuration {
     /// Answers from the settings' task, in a deployment that weighs `weighs` more.
-    pub fn new(handle: Handle, clock: Rc<dyn Clock>, weighs: Objective) -> Self {
-        Self { handle, clock, weighs }
+    pub fn new(handle: Handle, clock: Rc<dyn Clock>, objective: Objective) -> Self {
+        Self { handle, clock, objective }
     }
 
     /// The preset in force and all presets to choose from.
@@ -36,8 +36,8 @@
     /// # Errors
     ///
     /// Refuses until this instance knows the settings in force.
-    pub async fn presets(&self) -> Result<preset::Choice, Refusal> {
-        Ok(preset::Choice::of(&*self.value().await?, self.weighs))
+    pub async fn presets(&self) -> Result<preset::PresetList, Refusal> {
+        Ok(preset::PresetList::new(&*self.value().await?, self.objective))
     }
 
     /// The preset in force.
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// Refuses until this instance knows the settings in force.
-    pub async fn in_force(&self) -> Result<preset::InForce, Refusal> {
+    pub async fn active_preset(&self) -> Result<preset::ActivePreset, Refusal> {
         Ok((&*self.value().await?).into())
     }
 
@@ -56,15 +56,15 @@
     /// Refuses a change that came too late, is invalid or could not be recorded.
     pub async fn set_preset(
         &self,
-        call: &Call,
+        call: &CallContext,
         change: &preset::Change,
-    ) -> Result<preset::InForce, Refusal> {
+    ) -> Result<preset::ActivePreset, Refusal> {
         let by = call.by.clone().unwrap_or_default();
         let base = Version::from_raw(change.based_on);
         let version = self.publish(Some(base), by.clone(), change.try_into()?).await?;
         // A later change may be in force by now; the answer is about this one.
         let at = self.clock.unix();
-        Ok(preset::InForce { preset: change.preset.clone(), version: version.raw(), by, at })
+        Ok(preset::ActivePreset { preset: change.preset.clone(), version: version.raw(), by, at })
     }
 
     /// Changes of preset that this instance remembers, newest first.
@@ -74,13 +74,13 @@
     /// Refuses until this instance knows the settings in force.
     pub async fn preset_history(
         &self,
-        cut: &Cut<u64>,
-    ) -> Result<Page<preset::InForce, u64>, Refusal> {
+        page: &PageRequest<u64>,
+    ) -> Result<Page<preset::ActivePreset, u64>, Refusal> {
         let value = self.value().await?;
-        let newest_first = value.preset_history.iter().rev().map(preset::InForce::from);
+        let newest_first = value.preset_history.iter().rev().map(preset::ActivePreset::from);
         let mut older = newest_first
-            .filter(|activation| cut.after.is_none_or(|after| activation.version < after));
-        let items: Vec<_> = older.by_ref().take(cut.limit).collect();
+            .filter(|activation| page.after.is_none_or(|after| activation.version < after));
+        let items: Vec<_> = older.by_ref().take(page.limit).collect();
         let next = older.next().and(items.last().map(|activation| activation.version));
         Ok(Page { items, next })
     }
@@ -101,7 +101,7 @@
     /// Refuses a change that came too late, is invalid or could not be recorded.
     pub async fn set_quota(
         &self,
-        call: &Call,
+        call: &CallContext,
         change: &quota::Change,
     ) -> Result<quota::Table, Refusal> {
         let by = call.by.clone().unwrap_or_default();
@@ -120,14 +120,14 @@
     /// Refuses a change that is invalid or could not be recorded.
     pub async fn drain(
         &self,
-        call: &Call,
+        call: &CallContext,
         domain: &domain::Name,
         worker: &worker::Name,
         is_drained: bool,
     ) -> Result<(), Refusal> {
         let by = call.by.clone().unwrap_or_default();
         let drain = config::DrainTarget::Worker { domain: domain.clone(), worker: worker.clone() };
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
             let value = self.value().await?;
             if value.drained.contains(&drain) == is_drained {
@@ -135,16 +135,17 @@
             }
             let change = if is_drained { config::Change::Drain } else { config::Change::Undrain };
             let change = change(drain.clone());
-            tries += 1;
+            attempts += 1;
             match self.publish(Some(value.version), by.clone(), change).await {
-                Err(refusal) if refusal.reason == Reason::StaleVersion && tries < DRAIN_TRIES => {}
+                Err(refusal)
+                    if refusal.reason == Reason::StaleVersion && attempts < DRAIN_ATTEMPTS => {}
                 outcome => return outcome.map(|_| ()),
             }
         }
     }
 
     async fn value(&self) -> Result<Rc<Value>, Refusal> {
-        self.handle.value().await.ok_or_else(unread)
+        self.handle.value().await.ok_or_else(config_unavailable)
     }
 
     async fn publish(
@@ -154,13 +155,13 @@
         change: config::Change,
     ) -> Result<Version, Refusal> {
         let proposal = Proposal { id: Id::random(), base, by, change };
-        settle(&self.handle.publish(proposal).await)
+        publish_result(&self.handle.publish(proposal).await)
     }
 }
 
-fn unread() -> Refusal {
+fn config_unavailable() -> Refusal {
     let message = "this instance has not read the settings in force yet";
-    Refusal::not_run(Reason::LogUnavailable, message).after(PAUSE)
+    Refusal::not_run(Reason::LogUnavailable, message).with_retry_after(RETRY_DELAY)
 }
 
 /// What an operator is told of a change.
@@ -168,7 +169,7 @@
 /// # Errors
 ///
 /// Refuses all but an accepted change.
-pub fn settle(outcome: &PublishOutcome) -> Result<Version, Refusal> {
+pub fn publish_result(outcome: &PublishOutcome) -> Result<Version, Refusal> {
     let message = outcome.to_string();
     match outcome {
         PublishOutcome::Accepted(version) => Ok(*version),
@@ -177,14 +178,16 @@
         }
         PublishOutcome::Invalid(_) => Err(Refusal::not_run(Reason::Invalid, message)),
         PublishOutcome::NotWritten => {
-            Err(Refusal::not_run(Reason::LogUnavailable, message).after(PAUSE))
+            Err(Refusal::not_run(Reason::LogUnavailable, message).with_retry_after(RETRY_DELAY))
+        }
+        PublishOutcome::NotReady => Err(config_unavailable()),
+        PublishOutcome::Busy => {
+            Err(Refusal::not_run(Reason::Overloaded, message).with_retry_after(RETRY_DELAY))
         }
-        PublishOutcome::NotReady => Err(unread()),
-        PublishOutcome::Busy => Err(Refusal::not_run(Reason::Overloaded, message).after(PAUSE)),
         PublishOutcome::Unknown(_) => {
             let message = "the log did not answer in time; read the settings to see whether the \
                            change is in force, or repeat it on the same version";
-            Err(Refusal::unknown(Reason::LogUnavailable, message).after(PAUSE))
+            Err(Refusal::unknown(Reason::LogUnavailable, message).with_retry_after(RETRY_DELAY))
         }
     }
 }
--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -5,7 +5,7 @@
 use ::http::StatusCode;
 use bytes::Bytes;
 
-use crate::api::backend::{Backend, Call};
+use crate::api::backend::{Backend, CallContext};
 use crate::api::query::Query;
 use crate::api::refusal::{Reason, Refusal};
 use crate::api::route::Route;
@@ -17,18 +17,18 @@
 use crate::logging::value;
 
 /// A request whose route is known.
-pub struct Asked {
+pub struct RoutedRequest {
     /// Who sent it.
     pub peer: SocketAddr,
     /// Its circumstances.
-    pub call: Call,
+    pub call: CallContext,
     /// What it asks for.
     pub route: Route,
     /// The request itself.
     pub request: Request,
 }
 
-impl Asked {
+impl RoutedRequest {
     /// The parameters, of which those in `known` are allowed.
     fn query(&self, known: &[&str]) -> Result<Query, Refusal> {
         Query::parse(self.request.uri().query().unwrap_or_default(), known)
@@ -38,18 +38,18 @@
         self.request.body()
     }
 
-    /// The call with the person who signed the body.
-    fn signed(&self) -> Result<Call, Refusal> {
-        let signature: wire::alert::Signature = wire::parse(self.body())?;
-        Ok(self.call_by(signature.into_name()?))
+    /// The call with the operator named in the body.
+    fn operator_call(&self) -> Result<CallContext, Refusal> {
+        let operator: wire::alert::OperatorName = wire::parse(self.body())?;
+        Ok(self.logged_call(operator.into_name()?))
     }
 
     /// The call of a person, whose order is logged.
-    fn call_by(&self, person: String) -> Call {
+    fn logged_call(&self, person: String) -> CallContext {
         let (route, path) = (self.route.name(), value(self.request.uri().path()));
         let (by, peer) = (value(&person), self.peer);
         log::info!("event=api.order route={route} path={path} by={by} peer={peer}");
-        Call { by: Some(person), ..self.call.clone() }
+        CallContext { by: Some(person), ..self.call.clone() }
     }
 }
 
@@ -61,40 +61,41 @@
 pub async fn answer(
     backend: &dyn Backend,
     clock: &dyn Clock,
-    asked: Asked,
+    routed: RoutedRequest,
 ) -> Result<Response, Refusal> {
-    let call = asked.call.clone();
-    match &asked.route {
-        Route::Submit => submit(backend, clock, &asked).await,
-        Route::Jobs => jobs(backend, &asked).await,
+    let call = routed.call.clone();
+    match &routed.route {
+        Route::Submit => submit(backend, clock, &routed).await,
+        Route::Jobs => jobs(backend, &routed).await,
         Route::Job(id) => {
-            asked.query(&[])?;
+            routed.query(&[])?;
             Ok(ok(&wire::job::Job::from(backend.job(call, *id).await?)))
         }
         Route::Cancel(id) => {
-            asked.query(&[])?;
+            routed.query(&[])?;
             Ok(ok(&wire::job::Job::from(backend.cancel(call, *id).await?)))
         }
         Route::Explain(id) => {
             Ok(ok(&wire::job::Explanation::from(backend.explain(call, *id).await?)))
         }
-        Route::Alerts => alerts(backend, &asked).await,
+        Route::Alerts => alerts(backend, &routed).await,
         Route::Acknowledge(alert) => {
-            let alert = backend.acknowledge(asked.signed()?, alert.clone()).await?;
+            let alert = backend.acknowledge(routed.operator_call()?, alert.clone()).await?;
             Ok(ok(&wire::alert::Alert::from(alert)))
         }
-        Route::Presets => Ok(ok(&wire::preset::Choice::from(backend.presets(call).await?))),
-        Route::SetPreset => set_preset(backend, &asked).await,
-        Route::PresetHistory => preset_history(backend, &asked).await,
+        Route::Presets => Ok(ok(&wire::preset::PresetList::from(backend.presets(call).await?))),
+        Route::SetPreset => set_preset(backend, &routed).await,
+        Route::PresetHistory => preset_history(backend, &routed).await,
         Route::Quotas => Ok(ok(&wire::quota::Table::from(backend.quotas(call).await?))),
-        Route::SetQuota(team) => set_quota(backend, &asked, team).await,
+        Route::SetQuota(team) => set_quota(backend, &routed, team).await,
         Route::Workers => Ok(ok(&wire::worker::List::from(backend.workers(call).await?))),
-        Route::OrderWorker(name, order) => {
-            let worker = backend.order_worker(asked.signed()?, name.clone(), *order).await?;
+        Route::WorkerAction(name, action) => {
+            let worker =
+                backend.apply_worker_action(routed.operator_call()?, name.clone(), *action).await?;
             Ok(ok(&wire::worker::Worker::from(worker)))
         }
         Route::Status => Ok(ok(&wire::status::Status::from(backend.status(call).await?))),
-        Route::LogLevel => set_log_level(backend, &asked).await,
+        Route::LogLevel => set_log_level(backend, &routed).await,
         Route::Health => Ok(ok(&wire::status::Identity::from(backend.identity()))),
         Route::Ready => Ok(ready(backend)),
         Route::Dump => Ok(ok(&backend.dump(call).await?)),
@@ -111,16 +112,16 @@
 async fn submit(
     backend: &dyn Backend,
     clock: &dyn Clock,
-    asked: &Asked,
+    routed: &RoutedRequest,
 ) -> Result<Response, Refusal> {
-    asked.query(&[])?;
-    let key = header::idempotency_key(asked.request.headers())?;
-    let wire: wire::job::Spec = wire::parse(asked.body())?;
+    routed.query(&[])?;
+    let key = header::idempotency_key(routed.request.headers())?;
+    let wire: wire::job::Spec = wire::parse(routed.body())?;
     let submission = Submission { key, spec: job::Spec::try_from(wire)? };
-    let call = asked.call.clone();
+    let call = routed.call.clone();
     let accepted = match check_deadline(&submission, clock) {
         Ok(()) => backend.submit(call, submission).await?,
-        Err(refusal) => known(backend, call, &submission, refusal).await?,
+        Err(refusal) => find_earlier(backend, call, &submission, refusal).await?,
     };
     Ok(accepted_reply(accepted))
 }
@@ -134,9 +135,9 @@
 ///
 /// The caller may repeat, after the deadline, a submission whose answer was lost. Refusing that one
 /// as "not run" would be false: the first call may have been accepted, so the job is looked up.
-async fn known(
+async fn find_earlier(
     backend: &dyn Backend,
-    call: Call,
+    call: CallContext,
     submission: &Submission,
     refusal: Refusal,
 ) -> Result<Accepted, Refusal> {
@@ -153,51 +154,58 @@
 fn accepted_reply(accepted: Accepted) -> Response {
     let status = if accepted.duplicate { StatusCode::OK } else { StatusCode::CREATED };
     let mut response = reply::json(status, &wire::job::Accepted::from(accepted));
-    reply::location(&mut response, &format!("/v1/jobs/{}", accepted.job));
+    reply::set_location(&mut response, &format!("/v1/jobs/{}", accepted.job));
     response
 }
 
-async fn jobs(backend: &dyn Backend, asked: &Asked) -> Result<Response, Refusal> {
-    let query = asked.query(&["after", "limit", "team", "name", "state"])?;
-    let cut = query.cut_by(job::Id::parse)?;
-    let page = backend.jobs(asked.call.clone(), query.job_filter()?, cut).await?;
+async fn jobs(backend: &dyn Backend, routed: &RoutedRequest) -> Result<Response, Refusal> {
+    let query = routed.query(&["after", "limit", "team", "name", "state"])?;
+    let request = query.page_request_with(job::Id::parse)?;
+    let page = backend.jobs(routed.call.clone(), query.job_filter()?, request).await?;
     Ok(ok(&wire::Page::<wire::job::Summary>::from(page)))
 }
 
-async fn alerts(backend: &dyn Backend, asked: &Asked) -> Result<Response, Refusal> {
-    let query = asked.query(&["after", "limit", "all"])?;
-    let cut = query.cut::<String>()?;
-    let page = backend.alerts(asked.call.clone(), query.flag("all")?, cut).await?;
+async fn alerts(backend: &dyn Backend, routed: &RoutedRequest) -> Result<Response, Refusal> {
+    let query = routed.query(&["after", "limit", "all"])?;
+    let request = query.page_request::<String>()?;
+    let page = backend.alerts(routed.call.clone(), query.flag("all")?, request).await?;
     Ok(ok(&wire::Page::<wire::alert::Alert>::from(page)))
 }
 
-async fn set_preset(backend: &dyn Backend, asked: &Asked) -> Result<Response, Refusal> {
-    let wire: wire::preset::Change = wire::parse(asked.body())?;
+async fn set_preset(backend: &dyn Backend, routed: &RoutedRequest) -> Result<Response, Refusal> {
+    let wire: wire::preset::Change = wire::parse(routed.body())?;
     let by = wire.by.clone();
     let change = view::preset::Change::try_from(wire)?;
-    let call = asked.call_by(by);
-    Ok(ok(&wire::preset::InForce::from(backend.set_preset(call, change).await?)))
+    let call = routed.logged_call(by);
+    Ok(ok(&wire::preset::ActivePreset::from(backend.set_preset(call, change).await?)))
 }
 
-async fn preset_history(backend: &dyn Backend, asked: &Asked) -> Result<Response, Refusal> {
-    let cut = asked.query(&["after", "limit"])?.cut::<u64>()?;
-    let page = backend.preset_history(asked.call.clone(), cut).await?;
-    Ok(ok(&wire::Page::<wire::preset::InForce>::from(page)))
+async fn preset_history(
+    backend: &dyn Backend,
+    routed: &RoutedRequest,
+) -> Result<Response, Refusal> {
+    let request = routed.query(&["after", "limit"])?.page_request::<u64>()?;
+    let page = backend.preset_history(routed.call.clone(), request).await?;
+    Ok(ok(&wire::Page::<wire::preset::ActivePreset>::from(page)))
 }
 
-async fn set_quota(backend: &dyn Backend, asked: &Asked, team: &str) -> Result<Response, Refusal> {
-    let wire: wire::quota::Change = wire::parse(asked.body())?;
+async fn set_quota(
+    backend: &dyn Backend,
+    routed: &RoutedRequest,
+    team: &str,
+) -> Result<Response, Refusal> {
+    let wire: wire::quota::Change = wire::parse(routed.body())?;
     let by = wire.by.clone();
-    let change = wire.of_team(team)?;
-    let call = asked.call_by(by);
+    let change = wire.into_change(team)?;
+    let call = routed.logged_call(by);
     Ok(ok(&wire::quota::Table::from(backend.set_quota(call, change).await?)))
 }
 
-async fn set_log_level(backend: &dyn Backend, asked: &Asked) -> Result<Response, Refusal> {
-    let wanted: wire::status::LogLevel = wire::parse(asked.body())?;
-    let level = log::LevelFilter::try_from(&wanted)?;
-    backend.set_log_level(asked.call.clone(), level).await?;
-    Ok(ok(&wanted))
+async fn set_log_level(backend: &dyn Backend, routed: &RoutedRequest) -> Result<Response, Refusal> {
+    let log_level: wire::status::LogLevel = wire::parse(routed.body())?;
+    let level = log::LevelFilter::try_from(&log_level)?;
+    backend.set_log_level(routed.call.clone(), level).await?;
+    Ok(ok(&log_level))
 }
 
 fn ready(backend: &dyn Backend) -> Response {
--- a/src/api/header.rs
+++ b/src/api/header.rs
@@ -21,7 +21,7 @@
 /// Time a caller waits when it does not say.
 pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest time a caller can ask to wait.
-pub const LONGEST_TIMEOUT: Duration = Duration::from_secs(120);
+pub const MAX_TIMEOUT: Duration = Duration::from_secs(120);
 
 const BEARER: &str = "bearer ";
 
@@ -59,7 +59,7 @@
     let Some(text) = single(headers, TIMEOUT)? else { return Ok(absent) };
     let message = "must be a whole number of milliseconds";
     let millis = text.parse().map_err(|_| Refusal::invalid(TIMEOUT, message))?;
-    check::within(TIMEOUT, millis, 1, clock::millis(LONGEST_TIMEOUT))?;
+    check::in_range(TIMEOUT, millis, 1, clock::millis(MAX_TIMEOUT))?;
     Ok(Duration::from_millis(millis))
 }
 
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -15,7 +15,7 @@
 pub mod view;
 pub mod wire;
 
-pub use backend::{Answer, Backend, Call};
+pub use backend::{Backend, BackendFuture, CallContext};
 pub use configuration::Configuration;
-pub use refusal::{Ran, Reason, Refusal};
-pub use service::{Check, Options, Service};
+pub use refusal::{ExecutionStatus, Reason, Refusal};
+pub use service::{Options, Service, TokenCheck};
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -3,11 +3,11 @@
 use std::str::FromStr;
 
 use crate::api::refusal::Refusal;
-use crate::api::view::{Cut, job};
+use crate::api::view::{PageRequest, job};
 use crate::api::wire::check;
 
 /// Items on a page when the caller names no limit.
-const DEFAULT_PAGE: usize = 100;
+const DEFAULT_PAGE_SIZE: usize = 100;
 
 /// Parameters of one request, each given once at most.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     /// ```
     /// use oriolefork::api::query::Query;
     /// let query = Query::parse("limit=5", &["after", "limit"])?;
-    /// assert_eq!(query.cut::<u64>()?.limit, 5);
+    /// assert_eq!(query.page_request::<u64>()?.limit, 5);
     /// let refusal = Query::parse("limti=5", &["after", "limit"]).unwrap_err();
     /// assert_eq!(refusal.field.as_deref(), Some("limti"));
     /// # Ok::<(), oriolefork::api::Refusal>(())
@@ -56,8 +56,8 @@
     /// # Errors
     ///
     /// Names the one that is malformed or out of its range.
-    pub fn cut<C: FromStr>(&self) -> Result<Cut<C>, Refusal> {
-        self.cut_by(|text| text.parse().ok())
+    pub fn page_request<C: FromStr>(&self) -> Result<PageRequest<C>, Refusal> {
+        self.page_request_with(|text| text.parse().ok())
     }
 
     /// The parameters `after`, which `read` understands, and `limit`.
@@ -65,19 +65,21 @@
     /// # Errors
     ///
     /// Names the one that is malformed or out of its range.
-    pub fn cut_by<C>(&self, read: impl FnOnce(&str) -> Option<C>) -> Result<Cut<C>, Refusal> {
+    pub fn page_request_with<C>(
+        &self,
+        read: impl FnOnce(&str) -> Option<C>,
+    ) -> Result<PageRequest<C>, Refusal> {
         let malformed =
             || Refusal::invalid("after", "after must be the `next` of the page before, unchanged");
         let after = self.get("after").map(|text| read(text).ok_or_else(malformed)).transpose()?;
-        Ok(Cut { after, limit: self.limit()? })
+        Ok(PageRequest { after, limit: self.limit()? })
     }
 
     fn limit(&self) -> Result<usize, Refusal> {
-        let Some(text) = self.get("limit") else { return Ok(DEFAULT_PAGE) };
-        text.parse()
-            .ok()
-            .filter(|limit| (1..=check::PAGE).contains(limit))
-            .ok_or_else(|| Refusal::invalid("limit", format!("limit must be 1 to {}", check::PAGE)))
+        let Some(text) = self.get("limit") else { return Ok(DEFAULT_PAGE_SIZE) };
+        text.parse().ok().filter(|limit| (1..=check::MAX_PAGE_SIZE).contains(limit)).ok_or_else(
+            || Refusal::invalid("limit", format!("limit must be 1 to {}", check::MAX_PAGE_SIZE)),
+        )
     }
 
     /// The parameters that choose jobs.
--- a/src/api/refusal.rs
+++ b/src/api/refusal.rs
@@ -10,7 +10,7 @@
 /// Whether the work that a call asked for may have run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ran {
+pub enum ExecutionStatus {
     /// It did not run and never will because of this call.
     #[display("not-run")]
     NotRun,
@@ -87,7 +87,7 @@
 #[display("reason={reason} ran={ran} message={message}")]
 pub struct Refusal {
     /// Whether the work may have run.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// Why it was refused.
     pub reason: Reason,
     /// What happened, in a sentence for people.
@@ -102,17 +102,23 @@
     /// A refusal of a call that surely had no effect.
     ///
     /// ```
-    /// use oriolefork::api::{Ran, Reason, Refusal};
+    /// use oriolefork::api::{ExecutionStatus, Reason, Refusal};
     /// let refusal = Refusal::not_run(Reason::Overloaded, "the queue is full");
-    /// assert_eq!(refusal.ran, Ran::NotRun);
+    /// assert_eq!(refusal.ran, ExecutionStatus::NotRun);
     /// ```
     pub fn not_run(reason: Reason, message: impl Into<String>) -> Self {
-        Self { ran: Ran::NotRun, reason, message: message.into(), retry_after: None, field: None }
+        Self {
+            ran: ExecutionStatus::NotRun,
+            reason,
+            message: message.into(),
+            retry_after: None,
+            field: None,
+        }
     }
 
     /// A refusal of a call that may have had its effect.
     pub fn unknown(reason: Reason, message: impl Into<String>) -> Self {
-        Self { ran: Ran::Unknown, ..Self::not_run(reason, message) }
+        Self { ran: ExecutionStatus::Unknown, ..Self::not_run(reason, message) }
     }
 
     /// A refusal of a call whose field at `path` is out of its range.
@@ -121,7 +127,7 @@
     }
 
     /// The same refusal with the time after which a new try is worthwhile.
-    pub fn after(self, retry_after: Duration) -> Self {
+    pub fn with_retry_after(self, retry_after: Duration) -> Self {
         Self { retry_after: Some(retry_after), ..self }
     }
 }
--- a/src/api/reply.rs
+++ b/src/api/reply.rs
@@ -16,14 +16,14 @@
 /// A response with a JSON body.
 pub fn json(status: StatusCode, body: &impl Serialize) -> Response {
     match serde_json::to_vec(body) {
-        Ok(bytes) => whole(status, JSON, bytes.into()),
-        Err(cause) => whole(StatusCode::INTERNAL_SERVER_ERROR, TEXT, cause.to_string().into()),
+        Ok(bytes) => build(status, JSON, bytes.into()),
+        Err(cause) => build(StatusCode::INTERNAL_SERVER_ERROR, TEXT, cause.to_string().into()),
     }
 }
 
 /// A response with a text body.
 pub fn text(body: String) -> Response {
-    whole(StatusCode::OK, TEXT, body.into())
+    build(StatusCode::OK, TEXT, body.into())
 }
 
 /// The response to a call that was refused.
@@ -32,28 +32,28 @@
     let reason = refusal.reason;
     let mut response = json(status(reason), &wire::Refusal::from(refusal));
     if let Some(span) = retry_after {
-        set(&mut response, RETRY_AFTER, &span.as_millis().div_ceil(1_000).to_string());
+        set_header(&mut response, RETRY_AFTER, &span.as_millis().div_ceil(1_000).to_string());
     }
     if reason == Reason::Unauthorized {
-        set(&mut response, WWW_AUTHENTICATE, "Bearer");
+        set_header(&mut response, WWW_AUTHENTICATE, "Bearer");
     }
     response
 }
 
 /// Adds the methods that a path has.
-pub fn allow(response: &mut Response, methods: &str) {
-    set(response, ALLOW, methods);
+pub fn set_allow(response: &mut Response, methods: &str) {
+    set_header(response, ALLOW, methods);
 }
 
 /// Adds where the thing is that a call made.
-pub fn location(response: &mut Response, path: &str) {
-    set(response, LOCATION, path);
+pub fn set_location(response: &mut Response, path: &str) {
+    set_header(response, LOCATION, path);
 }
 
 /// Adds who answered.
-pub fn sign(response: &mut Response, identity: &Identity) {
-    set(response, HeaderName::from_static(header::INSTANCE), &identity.instance);
-    set(response, HeaderName::from_static(header::DOMAIN), identity.domain.as_str());
+pub fn set_identity(response: &mut Response, identity: &Identity) {
+    set_header(response, HeaderName::from_static(header::INSTANCE), &identity.instance);
+    set_header(response, HeaderName::from_static(header::DOMAIN), identity.domain.as_str());
 }
 
 /// The status code for a refusal.
@@ -77,7 +77,7 @@
     }
 }
 
-fn whole(status: StatusCode, content: HeaderValue, body: Bytes) -> Response {
+fn build(status: StatusCode, content: HeaderValue, body: Bytes) -> Response {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, content);
@@ -85,7 +85,7 @@
 }
 
 /// Sets a header, unless the text cannot stand in one.
-fn set(response: &mut Response, name: HeaderName, text: &str) {
+fn set_header(response: &mut Response, name: HeaderName, text: &str) {
     if let Ok(value) = HeaderValue::try_from(text) {
         response.headers_mut().insert(name, value);
     }
--- a/src/api/route.rs
+++ b/src/api/route.rs
@@ -3,7 +3,7 @@
 use ::http::Method;
 use percent_encoding::percent_decode_str;
 
-use crate::api::view::worker::Order;
+use crate::api::view::worker::Action;
 use crate::{job, worker};
 
 /// One thing that the interface does.
@@ -36,7 +36,7 @@
     /// `GET /v1/workers`
     Workers,
     /// `POST /v1/workers/{name}/{order}`
-    OrderWorker(worker::Name, Order),
+    WorkerAction(worker::Name, Action),
     /// `GET /v1/status`
     Status,
     /// `PUT /v1/log-level`
@@ -55,13 +55,13 @@
 
 /// Why a path and method lead nowhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Miss {
+pub enum RouteError {
     /// Nothing has this path.
-    Path,
+    NotFound,
     /// The identity in the path does not have the form of a job's.
-    JobId,
+    InvalidJobId,
     /// The path exists with these methods only, as for the header `allow`.
-    Method(&'static str),
+    MethodNotAllowed(&'static str),
 }
 
 impl Route {
@@ -69,16 +69,17 @@
     ///
     /// ```
     /// use http::Method;
-    /// use oriolefork::api::route::{Miss, Route};
+    /// use oriolefork::api::route::{Route, RouteError};
     /// assert_eq!(Route::find(&Method::GET, "/v1/status"), Ok(Route::Status));
-    /// assert_eq!(Route::find(&Method::PUT, "/v1/status"), Err(Miss::Method("GET")));
+    /// let wrong_method = Route::find(&Method::PUT, "/v1/status");
+    /// assert_eq!(wrong_method, Err(RouteError::MethodNotAllowed("GET")));
     /// ```
     ///
     /// # Errors
     ///
     /// Tells a wrong path from a wrong method.
-    pub fn find(method: &Method, path: &str) -> Result<Self, Miss> {
-        let segments = segments(path).ok_or(Miss::Path)?;
+    pub fn find(method: &Method, path: &str) -> Result<Self, RouteError> {
+        let segments = segments(path).ok_or(RouteError::NotFound)?;
         let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
         match segments.as_slice() {
             ["healthz"] => get(method, Self::Health),
@@ -86,42 +87,42 @@
             ["metrics"] => get(method, Self::Metrics),
             ["dump"] => get(method, Self::Dump),
             ["v1", rest @ ..] => Self::find_v1(method, rest),
-            _ => Err(Miss::Path),
+            _ => Err(RouteError::NotFound),
         }
     }
 
-    fn find_v1(method: &Method, segments: &[&str]) -> Result<Self, Miss> {
+    fn find_v1(method: &Method, segments: &[&str]) -> Result<Self, RouteError> {
         match segments {
             ["jobs", rest @ ..] => Self::find_job(method, rest),
             ["alerts"] => get(method, Self::Alerts),
             ["alerts", id, "acknowledge"] => post(method, Self::Acknowledge((*id).to_owned())),
             ["preset"] if *method == Method::GET => Ok(Self::Presets),
             ["preset"] if *method == Method::PUT => Ok(Self::SetPreset),
-            ["preset"] => Err(Miss::Method("GET, PUT")),
+            ["preset"] => Err(RouteError::MethodNotAllowed("GET, PUT")),
             ["preset", "history"] => get(method, Self::PresetHistory),
             ["quotas"] => get(method, Self::Quotas),
             ["quotas", team] => put(method, Self::SetQuota((*team).to_owned())),
             ["workers"] => get(method, Self::Workers),
-            ["workers", name, order] => {
-                let order = order_named(order).ok_or(Miss::Path)?;
-                post(method, Self::OrderWorker((*name).into(), order))
+            ["workers", name, action] => {
+                let action = parse_action(action).ok_or(RouteError::NotFound)?;
+                post(method, Self::WorkerAction((*name).into(), action))
             }
             ["status"] => get(method, Self::Status),
             ["log-level"] => put(method, Self::LogLevel),
             ["services", _, "requests"] => post(method, Self::Request),
-            _ => Err(Miss::Path),
+            _ => Err(RouteError::NotFound),
         }
     }
 
-    fn find_job(method: &Method, segments: &[&str]) -> Result<Self, Miss> {
+    fn find_job(method: &Method, segments: &[&str]) -> Result<Self, RouteError> {
         match segments {
             [] if *method == Method::GET => Ok(Self::Jobs),
             [] if *method == Method::POST => Ok(Self::Submit),
-            [] => Err(Miss::Method("GET, POST")),
+            [] => Err(RouteError::MethodNotAllowed("GET, POST")),
             [id] => get(method, Self::Job(job_id(id)?)),
             [id, "cancel"] => post(method, Self::Cancel(job_id(id)?)),
             [id, "explanation"] => get(method, Self::Explain(job_id(id)?)),
-            _ => Err(Miss::Path),
+            _ => Err(RouteError::NotFound),
         }
     }
 
@@ -141,7 +142,7 @@
             Self::Quotas => "quotas",
             Self::SetQuota(_) => "set-quota",
             Self::Workers => "workers",
-            Self::OrderWorker(..) => "order-worker",
+            Self::WorkerAction(..) => "order-worker",
             Self::Status => "status",
             Self::LogLevel => "log-level",
             Self::Request => "request",
@@ -153,13 +154,13 @@
     }
 
     /// Whether it takes the operators' token when one is set.
-    pub const fn is_for_operators(&self) -> bool {
+    pub const fn requires_operator_token(&self) -> bool {
         matches!(
             self,
             Self::Acknowledge(_)
                 | Self::SetPreset
                 | Self::SetQuota(_)
-                | Self::OrderWorker(..)
+                | Self::WorkerAction(..)
                 | Self::LogLevel
                 | Self::Dump
         )
@@ -174,7 +175,7 @@
                 | Self::Acknowledge(_)
                 | Self::SetPreset
                 | Self::SetQuota(_)
-                | Self::OrderWorker(..)
+                | Self::WorkerAction(..)
                 | Self::LogLevel
                 | Self::Request
         )
@@ -187,22 +188,24 @@
     path.strip_prefix('/')?.split('/').map(decode).collect()
 }
 
-fn job_id(text: &str) -> Result<job::Id, Miss> {
-    job::Id::parse(text).ok_or(Miss::JobId)
+fn job_id(text: &str) -> Result<job::Id, RouteError> {
+    job::Id::parse(text).ok_or(RouteError::InvalidJobId)
 }
 
-fn order_named(text: &str) -> Option<Order> {
-    [Order::Drain, Order::Undrain, Order::Lost].into_iter().find(|order| order.to_string() == text)
+fn parse_action(text: &str) -> Option<Action> {
+    [Action::Drain, Action::Undrain, Action::Lost]
+        .into_iter()
+        .find(|action| action.to_string() == text)
 }
 
-fn get(method: &Method, route: Route) -> Result<Route, Miss> {
-    if *method == Method::GET { Ok(route) } else { Err(Miss::Method("GET")) }
+fn get(method: &Method, route: Route) -> Result<Route, RouteError> {
+    if *method == Method::GET { Ok(route) } else { Err(RouteError::MethodNotAllowed("GET")) }
 }
 
-fn post(method: &Method, route: Route) -> Result<Route, Miss> {
-    if *method == Method::POST { Ok(route) } else { Err(Miss::Method("POST")) }
+fn post(method: &Method, route: Route) -> Result<Route, RouteError> {
+    if *method == Method::POST { Ok(route) } else { Err(RouteError::MethodNotAllowed("POST")) }
 }
 
-fn put(method: &Method, route: Route) -> Result<Route, Miss> {
-    if *method == Method::PUT { Ok(route) } else { Err(Miss::Method("PUT")) }
+fn put(method: &Method, route: Route) -> Result<Route, RouteError> {
+    if *method == Method::PUT { Ok(route) } else { Err(RouteError::MethodNotAllowed("PUT")) }
 }
--- a/src/api/service.rs
+++ b/src/api/service.rs
@@ -6,27 +6,27 @@
 
 use futures_util::future::{Either, FutureExt, LocalBoxFuture, select};
 
-use crate::api::backend::{Backend, Call};
-use crate::api::endpoint::{self, Asked};
-use crate::api::refusal::{Ran, Reason, Refusal};
-use crate::api::route::{Miss, Route};
+use crate::api::backend::{Backend, CallContext};
+use crate::api::endpoint::{self, RoutedRequest};
+use crate::api::refusal::{ExecutionStatus, Reason, Refusal};
+use crate::api::route::{Route, RouteError};
 use crate::api::{header, reply};
 use crate::clock::Clock;
 use crate::http::{Handler, Request, Response};
 use crate::telemetry::names;
 
 /// Renders the metrics of the process.
-pub type Render = Box<dyn Fn() -> String>;
+pub type MetricsRenderer = Box<dyn Fn() -> String>;
 
 /// Tells whether a text is the operators' token, in a time that does not depend on the text.
-pub type Check = Box<dyn Fn(&str) -> bool>;
+pub type TokenCheck = Box<dyn Fn(&str) -> bool>;
 
 /// What the handler needs besides the backend.
 pub struct Options {
     /// Checks the token that operators have to present, when one is set.
-    pub operator_token: Option<Check>,
+    pub operator_token: Option<TokenCheck>,
     /// Renders what `/metrics` answers.
-    pub metrics: Render,
+    pub metrics: MetricsRenderer,
     /// Answers the quick requests of services, when the instance takes them.
     pub requests: Option<Rc<dyn Handler>>,
 }
@@ -47,7 +47,7 @@
     async fn respond(&self, peer: SocketAddr, request: Request) -> Response {
         let route = match Route::find(request.method(), request.uri().path()) {
             Ok(route) => route,
-            Err(miss) => return missed(miss),
+            Err(error) => return route_error_response(error),
         };
         let name = route.name();
         let start = self.clock.now();
@@ -58,7 +58,8 @@
                 reply::refusal(refusal)
             }
         };
-        names::API_REQUESTS.increment(&[("route", name), ("status", class(response.status()))]);
+        names::API_REQUESTS
+            .increment(&[("route", name), ("status", status_class(response.status()))]);
         names::API_REQUEST.record(self.clock.now().since(start), &[("route", name)]);
         response
     }
@@ -74,19 +75,19 @@
             Route::Request => self.forward(peer, request).await,
             Route::Metrics => Ok(reply::text((self.options.metrics)())),
             route => {
-                let call = Call { within: header::timeout(request.headers())?, by: None };
+                let call = CallContext { within: header::timeout(request.headers())?, by: None };
                 let within = call.within;
-                let late = late(&route, within);
-                let asked = Asked { peer, call, route, request };
-                let answer = endpoint::answer(&*self.backend, &*self.clock, asked);
-                self.bounded(within, late, answer.boxed_local()).await
+                let on_timeout = timeout_refusal(&route, within);
+                let routed = RoutedRequest { peer, call, route, request };
+                let answer = endpoint::answer(&*self.backend, &*self.clock, routed);
+                self.with_timeout(within, on_timeout, answer.boxed_local()).await
             }
         }
     }
 
     fn authorize(&self, route: &Route, request: &Request) -> Result<(), Refusal> {
         let Some(is_token) = &self.options.operator_token else { return Ok(()) };
-        if !route.is_for_operators() {
+        if !route.requires_operator_token() {
             return Ok(());
         }
         let message = match header::bearer(request.headers()) {
@@ -105,15 +106,15 @@
     }
 
     /// Drops an answer that does not come in time, so that a caller never hangs on a fault inside.
-    async fn bounded(
+    async fn with_timeout(
         &self,
         within: Duration,
-        late: Refusal,
+        on_timeout: Refusal,
         answer: LocalBoxFuture<'_, Result<Response, Refusal>>,
     ) -> Result<Response, Refusal> {
         match select(answer, self.clock.sleep(within)).await {
             Either::Left((answer, _)) => answer,
-            Either::Right(_) => Err(late),
+            Either::Right(_) => Err(on_timeout),
         }
     }
 }
@@ -122,14 +123,14 @@
     fn handle(&self, peer: SocketAddr, request: Request) -> LocalBoxFuture<'_, Response> {
         async move {
             let mut response = self.respond(peer, request).await;
-            reply::sign(&mut response, &self.backend.identity());
+            reply::set_identity(&mut response, &self.backend.identity());
             response
         }
         .boxed_local()
     }
 }
 
-fn late(route: &Route, within: Duration) -> Refusal {
+fn timeout_refusal(route: &Route, within: Duration) -> Refusal {
     let waited = within.as_millis();
     if route.is_change() {
         let message = format!("no answer within {waited} ms; it may still take effect");
@@ -138,21 +139,21 @@
     Refusal::not_run(Reason::Deadline, format!("no answer within {waited} ms"))
 }
 
-fn missed(miss: Miss) -> Response {
-    match miss {
-        Miss::Path => {
+fn route_error_response(error: RouteError) -> Response {
+    match error {
+        RouteError::NotFound => {
             let message = "nothing has this path; docs/API.md lists all paths";
             reply::refusal(Refusal::not_run(Reason::NotFound, message))
         }
-        Miss::JobId => {
+        RouteError::InvalidJobId => {
             let message = "a job's id has 16 hexadecimal digits";
             reply::refusal(Refusal::invalid("id", message))
         }
-        Miss::Method(allowed) => {
+        RouteError::MethodNotAllowed(allowed) => {
             let message = format!("this path takes {allowed} only");
             let refusal = Refusal::not_run(Reason::MethodNotAllowed, message);
             let mut response = reply::refusal(refusal);
-            reply::allow(&mut response, allowed);
+            reply::set_allow(&mut response, allowed);
             response
         }
     }
@@ -161,7 +162,7 @@
 /// Logs a refusal; what is the caller's own mistake is told to the caller and logged quietly.
 fn log_refusal(peer: SocketAddr, route: &str, refusal: &Refusal) {
     let Refusal { ran, reason, .. } = refusal;
-    if *ran == Ran::Unknown || *reason == Reason::Internal {
+    if *ran == ExecutionStatus::Unknown || *reason == Reason::Internal {
         log::warn!("event=api.refused route={route} peer={peer} reason={reason} ran={ran}");
     } else {
         log::debug!("event=api.refused route={route} peer={peer} reason={reason} ran={ran}");
@@ -169,7 +170,7 @@
 }
 
 /// The class of a status, as a label of few values.
-fn class(status: ::http::StatusCode) -> &'static str {
+fn status_class(status: ::http::StatusCode) -> &'static str {
     match status.as_u16() / 100 {
         2 => "2xx",
         4 => "4xx",
--- a/src/api/view/alert.rs
+++ b/src/api/view/alert.rs
@@ -5,7 +5,7 @@
 
 use crate::alert::{self, Board};
 use crate::api::refusal::Refusal;
-use crate::api::view::{Cut, Page};
+use crate::api::view::{Page, PageRequest};
 use crate::clock::Unix;
 use crate::domain;
 
@@ -96,7 +96,7 @@
 
 impl Alert {
     /// An alert of the board of `domain`.
-    pub fn of(domain: &domain::Name, alert: &alert::Alert) -> Self {
+    pub fn new(domain: &domain::Name, alert: &alert::Alert) -> Self {
         let acknowledged = alert.acknowledged.as_ref();
         Self {
             id: alert.id.to_string(),
@@ -107,22 +107,24 @@
             raised: alert.raised,
             count: alert.count,
             ended: alert.ended,
-            acknowledged: acknowledged
-                .map(|word| Acknowledgement { by: word.by.clone(), at: word.at }),
+            acknowledged: acknowledged.map(|acknowledgement| Acknowledgement {
+                by: acknowledgement.by.clone(),
+                at: acknowledgement.at,
+            }),
         }
     }
 }
 
 /// Place of an alert in lists: open ones first, then the gravest kind, then the oldest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct SortKey {
     is_acknowledged: bool,
     kind: alert::Kind,
     id: alert::Id,
 }
 
-impl Place {
-    fn of(alert: &alert::Alert) -> Self {
+impl SortKey {
+    fn new(alert: &alert::Alert) -> Self {
         let is_acknowledged = alert.acknowledged.is_some();
         Self { is_acknowledged, kind: alert.key.kind, id: alert.id }
     }
@@ -157,18 +159,18 @@
     domain: &domain::Name,
     board: &Board,
     all: bool,
-    cut: &Cut<String>,
+    page: &PageRequest<String>,
 ) -> Result<Page<Alert, String>, Refusal> {
     let malformed = || Refusal::invalid("after", "must be the `next` of the page before");
-    let after = cut.after.as_deref().map(|text| Place::parse(text).ok_or_else(malformed));
+    let after = page.after.as_deref().map(|text| SortKey::parse(text).ok_or_else(malformed));
     let after = after.transpose()?;
     let seen = board.acknowledged().filter(|_| all);
     let mut alerts: Vec<&alert::Alert> = board.open().into_iter().chain(seen).collect();
-    alerts.retain(|alert| after.is_none_or(|after| Place::of(alert) > after));
-    alerts.sort_by_key(|alert| Place::of(alert));
-    let is_whole = alerts.len() <= cut.limit;
-    alerts.truncate(cut.limit);
-    let last = alerts.last().map(|alert| Place::of(alert).cursor());
-    let next = if is_whole { None } else { last };
-    Ok(Page { items: alerts.into_iter().map(|alert| Alert::of(domain, alert)).collect(), next })
+    alerts.retain(|alert| after.is_none_or(|after| SortKey::new(alert) > after));
+    alerts.sort_by_key(|alert| SortKey::new(alert));
+    let is_last = alerts.len() <= page.limit;
+    alerts.truncate(page.limit);
+    let last = alerts.last().map(|alert| SortKey::new(alert).cursor());
+    let next = if is_last { None } else { last };
+    Ok(Page { items: alerts.into_iter().map(|alert| Alert::new(domain, alert)).collect(), next })
 }
--- a/src/api/view/mod.rs
+++ b/src/api/view/mod.rs
@@ -36,7 +36,7 @@
 
 /// Which part of a list to show.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Cut<C> {
+pub struct PageRequest<C> {
     /// Last item of the page before, absent for the first page.
     pub after: Option<C>,
     /// Largest number of items; at least one.
--- a/src/api/view/preset.rs
+++ b/src/api/view/preset.rs
@@ -9,7 +9,7 @@
 
 /// The preset in force since some version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct InForce {
+pub struct ActivePreset {
     /// Name of the preset.
     pub preset: String,
     /// Version of the configuration that put it in force.
@@ -42,9 +42,9 @@
 
 /// The preset in force and all presets to choose from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Choice {
+pub struct PresetList {
     /// The one in force.
-    pub current: InForce,
+    pub current: ActivePreset,
     /// Version on which the next change has to be based.
     pub version: u64,
     /// All that there are.
@@ -63,7 +63,7 @@
 /// Who has set the preset while nobody has.
 const NOBODY: &str = "nobody";
 
-impl From<&config::Value> for InForce {
+impl From<&config::Value> for ActivePreset {
     fn from(value: &config::Value) -> Self {
         let preset = value.preset.to_string();
         match &value.preset_revision {
@@ -78,7 +78,7 @@
     }
 }
 
-impl From<&config::value::PresetActivation> for InForce {
+impl From<&config::value::PresetActivation> for ActivePreset {
     fn from(activation: &config::value::PresetActivation) -> Self {
         let config::value::PresetActivation { preset, revision } = activation;
         let (version, by) = (revision.version.raw(), revision.by.clone());
@@ -86,23 +86,23 @@
     }
 }
 
-impl Choice {
+impl PresetList {
     /// The presets of a deployment that weighs `weighs` more, with `value` in force.
-    pub fn of(value: &config::Value, weighs: Objective) -> Self {
+    pub fn new(value: &config::Value, objective: Objective) -> Self {
         let presets =
-            config::Preset::ALL.into_iter().map(|preset| Preset::of(preset, weighs)).collect();
+            config::Preset::ALL.into_iter().map(|preset| Preset::new(preset, objective)).collect();
         Self { current: value.into(), version: value.version.raw(), presets }
     }
 }
 
 impl Preset {
-    fn of(preset: config::Preset, weighs: Objective) -> Self {
+    fn new(preset: config::Preset, objective: Objective) -> Self {
         let about = match preset {
             config::Preset::Ordinary => "ordinary days",
             config::Preset::Peak => "peaks: waiting time goes before packing",
             config::Preset::Maintenance => "maintenance: workers are serviced rack by rack",
         };
-        let fields = fields(&Policy::for_preset(preset.into(), weighs));
+        let fields = fields(&Policy::for_preset(preset.into(), objective));
         Self { name: preset.to_string(), about: about.to_owned(), fields }
     }
 }
--- a/src/api/view/status.rs
+++ b/src/api/view/status.rs
@@ -25,7 +25,7 @@
 /// How the log answers an instance.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Health {
+pub enum LogHealth {
     /// Appends are answered in time.
     #[display("up")]
     Up,
@@ -47,17 +47,17 @@
     /// The owner's epoch.
     pub epoch: Epoch,
     /// The preset in force there, as last heard.
-    pub preset: preset::InForce,
+    pub preset: preset::ActivePreset,
     /// Age of what is known of the domain.
     pub heard: Duration,
     /// How long the domain's configuration has gone unconfirmed by the log.
     pub staleness: Duration,
     /// Its workers.
-    pub workers: worker::Count,
+    pub workers: worker::WorkerCounts,
     /// Its work.
     pub load: Load,
     /// How the log answers there.
-    pub log: Health,
+    pub log: LogHealth,
     /// Alerts that nobody has acknowledged.
     pub open_alerts: u64,
 }
@@ -68,7 +68,7 @@
     /// The instance that answers.
     pub instance: Identity,
     /// The preset in force, as this instance knows it.
-    pub preset: preset::InForce,
+    pub preset: preset::ActivePreset,
     /// All failure domains that this instance has heard of, its own first.
     pub domains: Vec<Domain>,
 }
--- a/src/api/view/worker.rs
+++ b/src/api/view/worker.rs
@@ -50,7 +50,7 @@
 /// An operator's order about a worker.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Order {
+pub enum Action {
     /// Give it no new work.
     #[display("drain")]
     Drain,
@@ -64,7 +64,7 @@
 
 /// How many workers stand in which way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Count {
+pub struct WorkerCounts {
     /// Take work.
     pub live: u32,
     /// Take no new work by order or because they fail what they start.
--- a/src/api/wire/alert.rs
+++ b/src/api/wire/alert.rs
@@ -39,7 +39,8 @@
 
 impl From<view::alert::Alert> for Alert {
     fn from(alert: view::alert::Alert) -> Self {
-        let acknowledged_unix_ms = alert.acknowledged.as_ref().map(|word| word.at.as_millis());
+        let acknowledged_unix_ms =
+            alert.acknowledged.as_ref().map(|acknowledgement| acknowledgement.at.as_millis());
         Self {
             id: alert.id,
             kind: alert.kind,
@@ -49,7 +50,7 @@
             raised_unix_ms: alert.raised.as_millis(),
             count: alert.count,
             ended_unix_ms: alert.ended.map(Unix::as_millis),
-            acknowledged_by: alert.acknowledged.map(|word| word.by),
+            acknowledged_by: alert.acknowledged.map(|acknowledgement| acknowledgement.by),
             acknowledged_unix_ms,
         }
     }
@@ -58,12 +59,12 @@
 /// A person's signature under an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Signature {
+pub struct OperatorName {
     /// The person.
     pub by: String,
 }
 
-impl Signature {
+impl OperatorName {
     /// The person's name, checked.
     ///
     /// # Errors
--- a/src/api/wire/amount.rs
+++ b/src/api/wire/amount.rs
@@ -25,11 +25,11 @@
     /// # Errors
     ///
     /// Names the dimension that is out of its range.
-    pub fn demand(self, path: &str) -> Result<resource::Amount, Refusal> {
+    pub fn into_demand(self, path: &str) -> Result<resource::Amount, Refusal> {
         let field = |name| format!("{path}.{name}");
-        check::within(&field("cpu-millis"), self.cpu_millis, 1, check::CPU_MILLIS)?;
-        check::within(&field("memory-mib"), self.memory_mib, 1, check::MEMORY_MIB)?;
-        check::within(&field("accelerators"), self.accelerators, 0, check::ACCELERATORS)?;
+        check::in_range(&field("cpu-millis"), self.cpu_millis, 1, check::MAX_CPU_MILLIS)?;
+        check::in_range(&field("memory-mib"), self.memory_mib, 1, check::MAX_MEMORY_MIB)?;
+        check::in_range(&field("accelerators"), self.accelerators, 0, check::MAX_ACCELERATORS)?;
         Ok(self.into())
     }
 
@@ -38,12 +38,17 @@
     /// # Errors
     ///
     /// Names the dimension that is out of its range.
-    pub fn quota(self, path: &str) -> Result<resource::Amount, Refusal> {
-        let tasks = u64::from(check::TASKS);
+    pub fn into_quota(self, path: &str) -> Result<resource::Amount, Refusal> {
+        let tasks = u64::from(check::MAX_TASKS);
         let field = |name| format!("{path}.{name}");
-        check::within(&field("cpu-millis"), self.cpu_millis, 0, check::CPU_MILLIS * tasks)?;
-        check::within(&field("memory-mib"), self.memory_mib, 0, check::MEMORY_MIB * tasks)?;
-        check::within(&field("accelerators"), self.accelerators, 0, check::ACCELERATORS * tasks)?;
+        check::in_range(&field("cpu-millis"), self.cpu_millis, 0, check::MAX_CPU_MILLIS * tasks)?;
+        check::in_range(&field("memory-mib"), self.memory_mib, 0, check::MAX_MEMORY_MIB * tasks)?;
+        check::in_range(
+            &field("accelerators"),
+            self.accelerators,
+            0,
+            check::MAX_ACCELERATORS * tasks,
+        )?;
         Ok(self.into())
     }
 }
--- a/src/api/wire/check.rs
+++ b/src/api/wire/check.rs
@@ -6,25 +6,25 @@
 use crate::clock::Unix;
 
 /// Longest name of a job, team, worker or person, in characters.
-pub const NAME_LENGTH: usize = 64;
+pub const MAX_NAME_LENGTH: usize = 64;
 /// Longest idempotency key, in characters.
-pub const KEY_LENGTH: usize = 128;
+pub const MAX_KEY_LENGTH: usize = 128;
 /// Most tasks of one job.
-pub const TASKS: u32 = 10_000;
+pub const MAX_TASKS: u32 = 10_000;
 /// Largest processor demand of a task, in thousandths of a core.
-pub const CPU_MILLIS: u64 = 10_000_000;
+pub const MAX_CPU_MILLIS: u64 = 10_000_000;
 /// Largest memory demand of a task, in MiB.
-pub const MEMORY_MIB: u64 = 64 * 1024 * 1024;
+pub const MAX_MEMORY_MIB: u64 = 64 * 1024 * 1024;
 /// Most accelerators of a task.
-pub const ACCELERATORS: u64 = 1_024;
+pub const MAX_ACCELERATORS: u64 = 1_024;
 /// Longest expected run time.
-pub const RUN_TIME: Duration = Duration::from_secs(366 * 24 * 60 * 60);
+pub const MAX_RUN_TIME: Duration = Duration::from_secs(366 * 24 * 60 * 60);
 /// Furthest deadline, counted from now.
-pub const DEADLINE: Duration = Duration::from_secs(366 * 24 * 60 * 60);
+pub const MAX_DEADLINE: Duration = Duration::from_secs(366 * 24 * 60 * 60);
 /// Longest payload, in bytes.
-pub const PAYLOAD_BYTES: usize = 16 * 1024;
+pub const MAX_PAYLOAD_BYTES: usize = 16 * 1024;
 /// Most items on one page of a list.
-pub const PAGE: usize = 500;
+pub const MAX_PAGE_SIZE: usize = 500;
 
 /// Checks a name: letters, digits, `.`, `_` and `-`, beginning with a letter or digit.
 ///
@@ -42,10 +42,10 @@
 /// Names `field` and the rule that `text` breaks.
 pub fn name(field: &str, text: &str) -> Result<(), Refusal> {
     let length = text.chars().count();
-    if length == 0 || length > NAME_LENGTH {
+    if length == 0 || length > MAX_NAME_LENGTH {
         return Err(Refusal::invalid(
             field,
-            format!("{field} has {length} characters; it must have 1 to {NAME_LENGTH}"),
+            format!("{field} has {length} characters; it must have 1 to {MAX_NAME_LENGTH}"),
         ));
     }
     let begins = text.starts_with(|c: char| c.is_ascii_alphanumeric());
@@ -69,10 +69,10 @@
 /// Names `field` and the rule that `text` breaks.
 pub fn key(field: &str, text: &str) -> Result<(), Refusal> {
     let visible = text.chars().all(|c| c.is_ascii_graphic());
-    if text.is_empty() || text.len() > KEY_LENGTH || !visible {
+    if text.is_empty() || text.len() > MAX_KEY_LENGTH || !visible {
         return Err(Refusal::invalid(
             field,
-            format!("{field} must have 1 to {KEY_LENGTH} visible ASCII characters, no spaces"),
+            format!("{field} must have 1 to {MAX_KEY_LENGTH} visible ASCII characters, no spaces"),
         ));
     }
     Ok(())
@@ -83,7 +83,7 @@
 /// # Errors
 ///
 /// Names `field`, the number and the range.
-pub fn within(field: &str, value: u64, low: u64, high: u64) -> Result<(), Refusal> {
+pub fn in_range(field: &str, value: u64, low: u64, high: u64) -> Result<(), Refusal> {
     if (low..=high).contains(&value) {
         return Ok(());
     }
@@ -95,7 +95,7 @@
 /// # Errors
 ///
 /// Names `field`, the length and the limit.
-pub fn length(field: &str, text: &str, limit: usize) -> Result<(), Refusal> {
+pub fn max_length(field: &str, text: &str, limit: usize) -> Result<(), Refusal> {
     if text.len() <= limit {
         return Ok(());
     }
@@ -113,8 +113,8 @@
         let late = now.since(deadline).as_secs();
         return Err(Refusal::invalid(field, format!("{field} lies {late} s in the past")));
     }
-    if deadline.since(now) > DEADLINE {
-        let days = DEADLINE.as_secs() / (24 * 60 * 60);
+    if deadline.since(now) > MAX_DEADLINE {
+        let days = MAX_DEADLINE.as_secs() / (24 * 60 * 60);
         return Err(Refusal::invalid(field, format!("{field} lies more than {days} days ahead")));
     }
     Ok(())
--- a/src/api/wire/job.rs
+++ b/src/api/wire/job.rs
@@ -54,12 +54,12 @@
     fn try_from(spec: Spec) -> Result<Self, Refusal> {
         check::name("name", &spec.name)?;
         check::name("team", &spec.team)?;
-        check::within("tasks", spec.tasks.into(), 1, check::TASKS.into())?;
-        let demand = spec.demand.demand("demand")?;
+        check::in_range("tasks", spec.tasks.into(), 1, check::MAX_TASKS.into())?;
+        let demand = spec.demand.into_demand("demand")?;
         if let Some(run_time) = spec.run_time_ms {
-            check::within("run-time-ms", run_time, 1, clock::millis(check::RUN_TIME))?;
+            check::in_range("run-time-ms", run_time, 1, clock::millis(check::MAX_RUN_TIME))?;
         }
-        check::length("payload", &spec.payload, check::PAYLOAD_BYTES)?;
+        check::max_length("payload", &spec.payload, check::MAX_PAYLOAD_BYTES)?;
         check_kind(&spec)?;
         Ok(Self {
             name: spec.name,
--- a/src/api/wire/parse.rs
+++ b/src/api/wire/parse.rs
@@ -6,7 +6,7 @@
 use crate::api::refusal::Refusal;
 
 /// Name that a fault of the body as a whole has.
-const WHOLE: &str = "body";
+const BODY: &str = "body";
 
 /// Reads one JSON object that fills the `body` of a request, which has no arrays.
 ///
@@ -21,12 +21,12 @@
 /// Names the field at fault.
 pub fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refusal> {
     if has_array(body) {
-        return Err(Refusal::invalid(WHOLE, "the body must be a JSON object without arrays"));
+        return Err(Refusal::invalid(BODY, "the body must be a JSON object without arrays"));
     }
     let mut reader = serde_json::Deserializer::from_slice(body);
     let value = serde_path_to_error::deserialize(&mut reader)
         .map_err(|error| refusal(error.path(), error.inner()))?;
-    reader.end().map_err(|error| Refusal::invalid(WHOLE, error.to_string()))?;
+    reader.end().map_err(|error| Refusal::invalid(BODY, error.to_string()))?;
     Ok(value)
 }
 
@@ -54,16 +54,16 @@
 
 /// The path of the field at fault, also where the parser names only the object around it.
 fn field(path: &Path, message: &str) -> String {
-    let around = path.to_string();
-    let around = if around == "." || around == "?" { "" } else { around.as_str() };
+    let object = path.to_string();
+    let object = if object == "." || object == "?" { "" } else { object.as_str() };
     let named = ["missing field `", "unknown field `", "duplicate field `"]
         .iter()
         .find_map(|start| message.strip_prefix(start))
         .and_then(|rest| rest.split('`').next());
     match named {
-        Some(name) if !ends_with(around, name) => join(around, name),
-        _ if around.is_empty() => WHOLE.to_owned(),
-        _ => around.to_owned(),
+        Some(name) if !ends_with(object, name) => join(object, name),
+        _ if object.is_empty() => BODY.to_owned(),
+        _ => object.to_owned(),
     }
 }
 
--- a/src/api/wire/preset.rs
+++ b/src/api/wire/preset.rs
@@ -9,7 +9,7 @@
 /// The preset in force since some version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct InForce {
+pub struct ActivePreset {
     /// Name of the preset.
     pub preset: String,
     /// Version of the configuration that put it in force.
@@ -20,9 +20,9 @@
     pub at_unix_ms: u64,
 }
 
-impl From<view::preset::InForce> for InForce {
-    fn from(current: view::preset::InForce) -> Self {
-        let view::preset::InForce { preset, version, by, at } = current;
+impl From<view::preset::ActivePreset> for ActivePreset {
+    fn from(current: view::preset::ActivePreset) -> Self {
+        let view::preset::ActivePreset { preset, version, by, at } = current;
         Self { preset, version, by, at_unix_ms: at.as_millis() }
     }
 }
@@ -60,17 +60,17 @@
 
 /// The preset in force and all presets to choose from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Choice {
+pub struct PresetList {
     /// The one in force.
-    pub current: InForce,
+    pub current: ActivePreset,
     /// Version on which the next change has to be based.
     pub version: u64,
     /// All that there are.
     pub presets: Vec<Preset>,
 }
 
-impl From<view::preset::Choice> for Choice {
-    fn from(choice: view::preset::Choice) -> Self {
+impl From<view::preset::PresetList> for PresetList {
+    fn from(choice: view::preset::PresetList) -> Self {
         Self {
             current: choice.current.into(),
             version: choice.version,
--- a/src/api/wire/quota.rs
+++ b/src/api/wire/quota.rs
@@ -51,10 +51,10 @@
     /// # Errors
     ///
     /// Names the field that is out of its range.
-    pub fn of_team(self, team: &str) -> Result<view::quota::Change, Refusal> {
+    pub fn into_change(self, team: &str) -> Result<view::quota::Change, Refusal> {
         check::name("team", team)?;
         check::name("by", &self.by)?;
-        let limit = self.limit.map(|limit| limit.quota("limit")).transpose()?;
+        let limit = self.limit.map(|limit| limit.into_quota("limit")).transpose()?;
         Ok(view::quota::Change { team: team.to_owned(), limit, based_on: self.based_on })
     }
 }
--- a/src/api/wire/refusal.rs
+++ b/src/api/wire/refusal.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::refusal::{self, Ran, Reason};
+use crate::api::refusal::{self, ExecutionStatus, Reason};
 use crate::clock;
 
 /// Body of every answer that is no success.
@@ -12,7 +12,7 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Refusal {
     /// Whether the work may have run.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// Why it was refused.
     pub reason: Reason,
     /// What happened, in a sentence for people.
--- a/src/api/wire/status.rs
+++ b/src/api/wire/status.rs
@@ -4,9 +4,9 @@
 
 use crate::api::refusal::Refusal;
 use crate::api::view;
-use crate::api::view::status::Health;
-use crate::api::wire::preset::InForce;
-use crate::api::wire::worker::Count;
+use crate::api::view::status::LogHealth;
+use crate::api::wire::preset::ActivePreset;
+use crate::api::wire::worker::WorkerCounts;
 use crate::clock;
 
 /// The instance that answers.
@@ -76,17 +76,17 @@
     /// The owner's epoch.
     pub epoch: String,
     /// The preset in force there, as last heard.
-    pub preset: InForce,
+    pub preset: ActivePreset,
     /// Age of what is known of the domain.
     pub heard_ms: u64,
     /// How long the domain's configuration has gone unconfirmed by the log.
     pub staleness_ms: u64,
     /// Its workers.
-    pub workers: Count,
+    pub workers: WorkerCounts,
     /// Its work.
     pub load: Load,
     /// How the log answers there.
-    pub log: Health,
+    pub log: LogHealth,
     /// Alerts that nobody has acknowledged.
     pub open_alerts: u64,
 }
@@ -114,7 +114,7 @@
     /// The instance that answers.
     pub instance: Identity,
     /// The preset in force, as this instance knows it.
-    pub preset: InForce,
+    pub preset: ActivePreset,
     /// All failure domains that this instance has heard of, its own first.
     pub domains: Vec<Domain>,
 }
--- a/src/api/wire/worker.rs
+++ b/src/api/wire/worker.rs
@@ -51,7 +51,7 @@
 
 /// How many workers stand in which way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Count {
+pub struct WorkerCounts {
     /// Take work.
     pub live: u32,
     /// Take no new work.
@@ -62,9 +62,9 @@
     pub unreachable: u32,
 }
 
-impl From<view::worker::Count> for Count {
-    fn from(count: view::worker::Count) -> Self {
-        let view::worker::Count { live, draining, unfenced, unreachable } = count;
+impl From<view::worker::WorkerCounts> for WorkerCounts {
+    fn from(count: view::worker::WorkerCounts) -> Self {
+        let view::worker::WorkerCounts { live, draining, unfenced, unreachable } = count;
         Self { live, draining, unfenced, unreachable }
     }
 }
--- a/src/cli/command/alert.rs
+++ b/src/cli/command/alert.rs
@@ -4,7 +4,7 @@
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
 
 use super::Context;
-use crate::api::wire::alert::{Alert, Signature};
+use crate::api::wire::alert::{Alert, OperatorName};
 use crate::api::wire::{Page, check};
 use crate::cli::entries::{Ask, Told};
 use crate::cli::failure::Failure;
@@ -13,7 +13,7 @@
 
 /// Lists alerts of the failure domain of the first instance that answers.
 pub async fn list(context: &Context, all: bool) -> Result<Report, Failure> {
-    let ask = Ask::get(format!("/v1/alerts?all={all}&limit={}", check::PAGE));
+    let ask = Ask::get(format!("/v1/alerts?all={all}&limit={}", check::MAX_PAGE_SIZE));
     let told: Told<Page<Alert>> = context.entries.ask(&ask).await?;
     Ok(Report::done(&told.body, listing(&told)))
 }
@@ -39,9 +39,9 @@
 
 /// Acknowledges an alert.
 pub async fn acknowledge(context: &Context, id: &str) -> Result<Report, Failure> {
-    let signature = Signature { by: context.by()? };
+    let operator = OperatorName { by: context.by()? };
     let id = utf8_percent_encode(id, NON_ALPHANUMERIC);
-    let ask = Ask::change(Method::POST, format!("/v1/alerts/{id}/acknowledge"), &signature);
+    let ask = Ask::change(Method::POST, format!("/v1/alerts/{id}/acknowledge"), &operator);
     let told: Told<Alert> = context.entries.ask(&ask).await?;
     let by = told.body.acknowledged_by.as_deref().unwrap_or("nobody");
     let text = format!("alert {} is acknowledged by {}\n", clean(&told.body.id), clean(by));
--- a/src/cli/command/preset.rs
+++ b/src/cli/command/preset.rs
@@ -4,7 +4,7 @@
 
 use super::Context;
 use crate::api::wire::Page;
-use crate::api::wire::preset::{Change, Choice, InForce, Preset};
+use crate::api::wire::preset::{ActivePreset, Change, Preset, PresetList};
 use crate::cli::entries::{Ask, Told};
 use crate::cli::failure::{Code, Failure};
 use crate::cli::flags::{Diff, Set};
@@ -25,8 +25,8 @@
     Ok(Report::done(&choice, text + &table.render()))
 }
 
-async fn fetch(context: &Context) -> Result<Choice, Failure> {
-    let told: Told<Choice> = context.entries.ask(&Ask::get(PATH)).await?;
+async fn fetch(context: &Context) -> Result<PresetList, Failure> {
+    let told: Told<PresetList> = context.entries.ask(&Ask::get(PATH)).await?;
     Ok(told.body)
 }
 
@@ -36,8 +36,8 @@
 }
 
 /// One preset in force, as a line.
-pub fn line(current: &InForce) -> String {
-    let InForce { preset, version, by, at_unix_ms } = current;
+pub fn line(current: &ActivePreset) -> String {
+    let ActivePreset { preset, version, by, at_unix_ms } = current;
     let preset = clean(preset);
     if *version == 0 {
         return format!("preset {preset} in force, version 0, as nobody has set one\n");
@@ -50,7 +50,7 @@
 pub async fn set(context: &Context, flags: Set) -> Result<Report, Failure> {
     let change = Change { preset: flags.name, based_on: flags.based_on, by: context.by()? };
     let ask = Ask::change(Method::PUT, PATH.to_owned(), &change);
-    let outcome = context.entries.ask::<InForce>(&ask).await;
+    let outcome = context.entries.ask::<ActivePreset>(&ask).await;
     let current = match outcome {
         Ok(told) => told.body,
         Err(failure) if matches!(failure.code, Code::Stale | Code::Unknown) => {
@@ -65,7 +65,7 @@
 ///
 /// When the answer to a change is lost, its repetition meets its own version and is refused as
 /// stale. The operator would be told that a colleague was faster, while the change is in force.
-async fn own(context: &Context, change: &Change) -> Option<InForce> {
+async fn own(context: &Context, change: &Change) -> Option<ActivePreset> {
     let current = fetch(context).await.ok()?.current;
     let is_own = current.preset == change.preset
         && current.by == change.by
@@ -90,7 +90,7 @@
     Ok(Report::done(&[one, other], text))
 }
 
-fn find<'a>(choice: &'a Choice, name: &str) -> Result<&'a Preset, Failure> {
+fn find<'a>(choice: &'a PresetList, name: &str) -> Result<&'a Preset, Failure> {
     let names: Vec<&str> = choice.presets.iter().map(|preset| preset.name.as_str()).collect();
     let missing = || Failure::usage(format!("no preset {name:?}; there are {}", names.join(", ")));
     choice.presets.iter().find(|preset| preset.name == name).ok_or_else(missing)
@@ -113,7 +113,7 @@
 /// Shows who put which preset in force.
 pub async fn history(context: &Context) -> Result<Report, Failure> {
     let ask = Ask::get(format!("{PATH}/history"));
-    let told: Told<Page<InForce>> = context.entries.ask(&ask).await?;
+    let told: Told<Page<ActivePreset>> = context.entries.ask(&ask).await?;
     let mut table = Table::new(&["VERSION", "PRESET", "SET BY", "AT"]);
     for change in &told.body.items {
         let version = change.version.to_string();
--- a/src/cli/command/worker.rs
+++ b/src/cli/command/worker.rs
@@ -4,9 +4,9 @@
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
 
 use super::Context;
-use crate::api::view::worker::Order;
+use crate::api::view::worker::Action;
 use crate::api::wire::Amount;
-use crate::api::wire::alert::Signature;
+use crate::api::wire::alert::OperatorName;
 use crate::api::wire::worker::{List, Worker};
 use crate::cli::entries::{Ask, Told};
 use crate::cli::failure::Failure;
@@ -39,12 +39,12 @@
 
 /// Gives a worker no new work.
 pub async fn drain(context: &Context, name: &str) -> Result<Report, Failure> {
-    order(context, name, Order::Drain).await
+    order(context, name, Action::Drain).await
 }
 
 /// Gives a drained worker work again.
 pub async fn undrain(context: &Context, name: &str) -> Result<Report, Failure> {
-    order(context, name, Order::Undrain).await
+    order(context, name, Action::Undrain).await
 }
 
 /// Gives a worker up for good.
@@ -55,13 +55,13 @@
         let next = "make sure that the machine is off, then add --i-made-sure-it-is-off";
         return Err(Failure { next: next.to_owned(), ..Failure::usage(what) });
     }
-    order(context, &flags.worker, Order::Lost).await
+    order(context, &flags.worker, Action::Lost).await
 }
 
-async fn order(context: &Context, name: &str, order: Order) -> Result<Report, Failure> {
-    let signature = Signature { by: context.by()? };
+async fn order(context: &Context, name: &str, order: Action) -> Result<Report, Failure> {
+    let operator = OperatorName { by: context.by()? };
     let name = utf8_percent_encode(name, NON_ALPHANUMERIC);
-    let ask = Ask::change(Method::POST, format!("/v1/workers/{name}/{order}"), &signature);
+    let ask = Ask::change(Method::POST, format!("/v1/workers/{name}/{order}"), &operator);
     let told: Told<Worker> = context.entries.ask(&ask).await?;
     let text = listing(std::slice::from_ref(&told.body));
     Ok(Report::done(&told.body, text))
--- a/src/cli/entries.rs
+++ b/src/cli/entries.rs
@@ -9,7 +9,7 @@
 use monoio::time::Instant;
 use serde::de::DeserializeOwned;
 
-use crate::api::{Ran, Reason, Refusal, header, wire};
+use crate::api::{ExecutionStatus, Reason, Refusal, header, wire};
 use crate::cli::failure::Failure;
 use crate::clock;
 use crate::http::{Client, Limits, Request, Response};
@@ -96,7 +96,7 @@
         match self {
             Self::Unsent(_) => false,
             Self::Lost(_) | Self::Unreadable(_) => true,
-            Self::Refused(refusal) => refusal.ran == Ran::Unknown,
+            Self::Refused(refusal) => refusal.ran == ExecutionStatus::Unknown,
         }
     }
 
@@ -246,7 +246,7 @@
 
     fn request(&self, ask: &Ask, within: Duration) -> Result<Request, String> {
         // The instance gives up a little earlier, so that its typed answer still arrives.
-        let server = clock::millis(within.mul_f64(0.9).min(header::LONGEST_TIMEOUT)).max(1);
+        let server = clock::millis(within.mul_f64(0.9).min(header::MAX_TIMEOUT)).max(1);
         let mut builder = ::http::Request::builder()
             .method(ask.method.clone())
             .uri(&ask.path)
--- a/src/cli/failure.rs
+++ b/src/cli/failure.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::api::{Ran, Reason, Refusal};
+use crate::api::{ExecutionStatus, Reason, Refusal};
 
 /// Exit code of the command; `docs/operators/cli.md` lists them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -100,7 +100,7 @@
             Some(field) => format!("{} (field: {field})", refusal.message),
             None => refusal.message.clone(),
         };
-        if refusal.ran == Ran::Unknown {
+        if refusal.ran == ExecutionStatus::Unknown {
             return Self::unknown(what);
         }
         let (code, next) = advice(refusal.reason);
--- a/src/entry/backend/alerts.rs
+++ b/src/entry/backend/alerts.rs
@@ -3,13 +3,13 @@
 use super::Entry;
 use super::jobs::refusal;
 use crate::alert;
-use crate::api::{Call, Reason, Refusal, view};
+use crate::api::{CallContext, Reason, Refusal, view};
 use crate::entry::forward::{Reply, Tell};
 use crate::owner::machine::{self, Answer};
 
 impl Entry {
     /// Marks an alert as seen, as the owner.
-    pub(super) async fn acknowledge_here(&self, call: Call, text: &str) -> Reply {
+    pub(super) async fn acknowledge_here(&self, call: CallContext, text: &str) -> Reply {
         let unknown = || Refusal::not_run(Reason::NotFound, format!("no alert {text} is known"));
         let id = alert::Id::parse(text).ok_or_else(unknown)?;
         let by = call.by.unwrap_or_default();
@@ -21,7 +21,7 @@
         }
         self.look(move |machine, _, _| {
             let alert = machine.board().get(id);
-            Ok(alert.map(|alert| view::alert::Alert::of(&machine.domain, alert)))
+            Ok(alert.map(|alert| view::alert::Alert::new(&machine.domain, alert)))
         })
         .await?
         .map(Tell::Alert)
--- a/src/entry/backend/dump.rs
+++ b/src/entry/backend/dump.rs
@@ -55,7 +55,7 @@
 #[serde(rename_all = "kebab-case")]
 struct Settings {
     version: u64,
-    preset: wire::preset::InForce,
+    preset: wire::preset::ActivePreset,
     quotas: Vec<wire::quota::Quota>,
     drained: Vec<String>,
     log_level: Option<String>,
@@ -140,7 +140,7 @@
     fn from(value: &config::Value) -> Self {
         Self {
             version: value.version.raw(),
-            preset: view::preset::InForce::from(value).into(),
+            preset: view::preset::ActivePreset::from(value).into(),
             quotas: wire::quota::Table::from(view::quota::Table::from(value)).teams,
             drained: value.drained.iter().map(ToString::to_string).collect(),
             log_level: value.log_level.map(|level| level.to_string().to_lowercase()),
--- a/src/entry/backend/elsewhere.rs
+++ b/src/entry/backend/elsewhere.rs
@@ -5,7 +5,7 @@
 use futures_util::future::join_all;
 
 use super::{Entry, OWNER_PAUSE, lost_call};
-use crate::api::{Call, Reason, Refusal};
+use crate::api::{CallContext, Reason, Refusal};
 use crate::domain::{self, Instance};
 use crate::entry::forward::{self, Ask, Envelope, Reply};
 use crate::job;
@@ -22,7 +22,7 @@
     ///
     /// Returns the refusal of the domain that has the job, or one that says that none knows it or
     /// which could not be asked.
-    pub(super) async fn ask_anywhere(&self, call: Call, job: job::Id, ask: Ask) -> Reply {
+    pub(super) async fn ask_anywhere(&self, call: CallContext, job: job::Id, ask: Ask) -> Reply {
         let own = self.ask(call.clone(), ask.clone()).await;
         let Err(refusal) = own else { return own };
         if !matches!(refusal.reason, Reason::NotFound | Reason::NoOwner) {
@@ -33,16 +33,16 @@
             Found::Unasked(domain) if refusal.reason == Reason::NotFound => {
                 let message =
                     format!("no job {job} is known here, and {domain} could not be asked");
-                Err(Refusal::not_run(Reason::NoOwner, message).after(OWNER_PAUSE))
+                Err(Refusal::not_run(Reason::NoOwner, message).with_retry_after(OWNER_PAUSE))
             }
             Found::Unasked(_) | Found::Nowhere => Err(refusal),
         }
     }
 
     /// Looks for a job in the other failure domains, all at once.
-    async fn find(&self, call: &Call, job: job::Id) -> Found {
+    async fn find(&self, call: &CallContext, job: job::Id) -> Found {
         let within = PATIENCE.min(call.within / 3);
-        let call = Call { within, ..call.clone() };
+        let call = CallContext { within, ..call.clone() };
         let others = self.directory.other_domains();
         let ask = |domain| self.ask_domain_owner(domain, call.clone(), Ask::Job(job));
         let answers = join_all(others.iter().map(ask)).await;
@@ -65,12 +65,12 @@
     pub(super) async fn ask_domain_owner(
         &self,
         domain: &domain::Name,
-        call: Call,
+        call: CallContext,
         ask: Ask,
     ) -> Reply {
         let change = ask.is_change();
         let within = forward::within(call.within);
-        let call = Call { within, ..call };
+        let call = CallContext { within, ..call };
         let envelope = Envelope { domain: domain.clone(), hops: forward::MAX_HOPS, call, ask };
         let mut refusal = cut_off(domain);
         for address in self.directory.entries_of(domain).into_iter().take(TRIES) {
@@ -102,5 +102,5 @@
 
 fn cut_off(domain: &domain::Name) -> Refusal {
     let message = format!("no instance of failure domain {domain} can be reached");
-    Refusal::not_run(Reason::NoOwner, message).after(OWNER_PAUSE)
+    Refusal::not_run(Reason::NoOwner, message).with_retry_after(OWNER_PAUSE)
 }
--- a/src/entry/backend/jobs.rs
+++ b/src/entry/backend/jobs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Entry, OWNER_PAUSE};
-use crate::api::{Call, Reason, Refusal, view};
+use crate::api::{CallContext, Reason, Refusal, view};
 use crate::entry::forward::{Reply, Tell};
 use crate::entry::views;
 use crate::job;
@@ -14,7 +14,11 @@
 
 impl Entry {
     /// Accepts a job as the owner.
-    pub(super) async fn submit_here(&self, call: Call, submission: view::job::Submission) -> Reply {
+    pub(super) async fn submit_here(
+        &self,
+        call: CallContext,
+        submission: view::job::Submission,
+    ) -> Reply {
         let id = submission.id();
         let view::job::Submission { key, spec } = submission;
         let change = machine::Call::Submit { job: id, key, spec };
@@ -29,7 +33,7 @@
     }
 
     /// Stops a job as the owner.
-    pub(super) async fn cancel_here(&self, call: Call, id: job::Id) -> Reply {
+    pub(super) async fn cancel_here(&self, call: CallContext, id: job::Id) -> Reply {
         let change = machine::Call::Cancel(id);
         match self.handle.call(&*self.clock, change, call.within).await {
             Answer::Cancelled => self
@@ -54,7 +58,7 @@
         | Answer::Acknowledged
         | Answer::GivenUp => {
             let message = "the log did not answer in time; repeat with the same key to learn more";
-            return Refusal::unknown(Reason::LogUnavailable, message).after(LOG_PAUSE);
+            return Refusal::unknown(Reason::LogUnavailable, message).with_retry_after(LOG_PAUSE);
         }
     };
     match cause {
@@ -71,11 +75,12 @@
             Refusal::not_run(Reason::Impossible, reason.to_string())
         }
         machine::Refusal::Busy => {
-            Refusal::not_run(Reason::Overloaded, "too much waits for the log").after(OWNER_PAUSE)
+            Refusal::not_run(Reason::Overloaded, "too much waits for the log")
+                .with_retry_after(OWNER_PAUSE)
         }
         machine::Refusal::LogUnavailable => {
             let message = "the platform's log cannot be reached, so nothing can be recorded";
-            Refusal::not_run(Reason::LogUnavailable, message).after(LOG_PAUSE)
+            Refusal::not_run(Reason::LogUnavailable, message).with_retry_after(LOG_PAUSE)
         }
         machine::Refusal::DeadlineExceeded => {
             Refusal::not_run(Reason::Deadline, "time ran out before anything was recorded")
--- a/src/entry/backend/mod.rs
+++ b/src/entry/backend/mod.rs
@@ -12,7 +12,7 @@
 
 use futures_util::FutureExt;
 
-use crate::api::{self, Backend, Call, Configuration, Reason, Refusal, view};
+use crate::api::{self, Backend, CallContext, Configuration, Reason, Refusal, view};
 use crate::clock::{Clock, Instant, Unix};
 use crate::domain::Instance;
 use crate::entry::binding::Binding;
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// Returns the owner's refusal, or one that says that the owner cannot be reached.
-    pub async fn ask(&self, call: Call, ask: Ask) -> Reply {
+    pub async fn ask(&self, call: CallContext, ask: Ask) -> Reply {
         let domain = self.domain.clone();
         self.route(Envelope { domain, hops: forward::MAX_HOPS, call, ask }).await
     }
@@ -96,7 +96,7 @@
     /// Submits a job to the failure domain that its key is bound to.
     async fn submit_bound(
         &self,
-        call: Call,
+        call: CallContext,
         submission: view::job::Submission,
     ) -> Result<view::job::Accepted, Refusal> {
         let started = self.clock.now();
@@ -107,7 +107,7 @@
             return Ok(view::job::Accepted { job, durability, duplicate: true });
         }
         let spent = self.clock.now().since(started);
-        let call = Call { within: call.within.saturating_sub(spent), ..call };
+        let call = CallContext { within: call.within.saturating_sub(spent), ..call };
         let ask = Ask::Submit(submission);
         let reply = match bound.domain == self.domain {
             true => self.ask(call, ask).await,
@@ -141,7 +141,7 @@
         }
     }
 
-    async fn answer(&self, call: Call, ask: Ask) -> Reply {
+    async fn answer(&self, call: CallContext, ask: Ask) -> Reply {
         match ask {
             Ask::Submit(submission) => self.submit_here(call, submission).await,
             Ask::Cancel(job) => self.cancel_here(call, job).await,
@@ -149,8 +149,8 @@
                 .look(move |machine, _, _| views::job(machine, id))
                 .await
                 .map(|job| Tell::Job(Box::new(job))),
-            Ask::Jobs(filter, cut) => self
-                .look(move |machine, _, _| Ok(views::jobs(machine, &filter, &cut)))
+            Ask::Jobs(filter, page) => self
+                .look(move |machine, _, _| Ok(views::jobs(machine, &filter, &page)))
                 .await
                 .map(Tell::Jobs),
             Ask::Explain(id) => self
@@ -163,9 +163,9 @@
                 .map(Tell::Workers),
             Ask::Worker(name) => self.show_worker(name).await.map(Tell::Worker),
             Ask::GiveUp(name) => self.give_up_here(call, name).await,
-            Ask::Alerts(all, cut) => self
+            Ask::Alerts(all, page) => self
                 .look(move |machine, _, _| {
-                    view::alert::page(&machine.domain, machine.board(), all, &cut)
+                    view::alert::page(&machine.domain, machine.board(), all, &page)
                 })
                 .await
                 .map(Tell::Alerts),
@@ -189,10 +189,10 @@
     log::warn!("event=entry.forward_failed owner={} {error}", owner.name);
     if change && error.sent {
         let message = "the owner did not answer; ask again with the same key to learn the outcome";
-        return Refusal::unknown(Reason::NoOwner, message).after(OWNER_PAUSE);
+        return Refusal::unknown(Reason::NoOwner, message).with_retry_after(OWNER_PAUSE);
     }
     Refusal::not_run(Reason::NoOwner, "the owner cannot be reached; try again shortly")
-        .after(OWNER_PAUSE)
+        .with_retry_after(OWNER_PAUSE)
 }
 
 /// Answer of another kind than the question, which only a fault in the owner can bring about.
@@ -224,13 +224,13 @@
 
     fn submit(
         &self,
-        call: Call,
+        call: CallContext,
         submission: view::job::Submission,
-    ) -> api::Answer<'_, view::job::Accepted> {
+    ) -> api::BackendFuture<'_, view::job::Accepted> {
         self.submit_bound(call, submission).boxed_local()
     }
 
-    fn cancel(&self, call: Call, job: job::Id) -> api::Answer<'_, view::job::Job> {
+    fn cancel(&self, call: CallContext, job: job::Id) -> api::BackendFuture<'_, view::job::Job> {
         async move {
             match self.ask_anywhere(call, job, Ask::Cancel(job)).await? {
                 Tell::Job(job) => Ok(*job),
@@ -240,7 +240,7 @@
         .boxed_local()
     }
 
-    fn job(&self, call: Call, job: job::Id) -> api::Answer<'_, view::job::Job> {
+    fn job(&self, call: CallContext, job: job::Id) -> api::BackendFuture<'_, view::job::Job> {
         async move {
             match self.ask_anywhere(call, job, Ask::Job(job)).await? {
                 Tell::Job(job) => Ok(*job),
@@ -252,14 +252,18 @@
 
     fn jobs(
         &self,
-        call: Call,
+        call: CallContext,
         filter: view::job::Filter,
-        cut: view::Cut<job::Id>,
-    ) -> api::Answer<'_, view::Page<view::job::Summary, job::Id>> {
-        ask!(self, call, Ask::Jobs(filter, cut), Tell::Jobs)
+        page: view::PageRequest<job::Id>,
+    ) -> api::BackendFuture<'_, view::Page<view::job::Summary, job::Id>> {
+        ask!(self, call, Ask::Jobs(filter, page), Tell::Jobs)
     }
 
-    fn explain(&self, call: Call, job: job::Id) -> api::Answer<'_, view::job::Explanation> {
+    fn explain(
+        &self,
+        call: CallContext,
+        job: job::Id,
+    ) -> api::BackendFuture<'_, view::job::Explanation> {
         async move {
             match self.ask_anywhere(call, job, Ask::Explain(job)).await? {
                 Tell::Explanation(explanation) => Ok(explanation),
@@ -271,71 +275,79 @@
 
     fn alerts(
         &self,
-        call: Call,
+        call: CallContext,
         all: bool,
-        cut: view::Cut<String>,
-    ) -> api::Answer<'_, view::Page<view::alert::Alert, String>> {
-        ask!(self, call, Ask::Alerts(all, cut), Tell::Alerts)
+        page: view::PageRequest<String>,
+    ) -> api::BackendFuture<'_, view::Page<view::alert::Alert, String>> {
+        ask!(self, call, Ask::Alerts(all, page), Tell::Alerts)
     }
 
-    fn acknowledge(&self, call: Call, alert: String) -> api::Answer<'_, view::alert::Alert> {
+    fn acknowledge(
+        &self,
+        call: CallContext,
+        alert: String,
+    ) -> api::BackendFuture<'_, view::alert::Alert> {
         ask!(self, call, Ask::Acknowledge(alert), Tell::Alert)
     }
 
-    fn presets(&self, _call: Call) -> api::Answer<'_, view::preset::Choice> {
+    fn presets(&self, _call: CallContext) -> api::BackendFuture<'_, view::preset::PresetList> {
         self.configuration.presets().boxed_local()
     }
 
     fn set_preset(
         &self,
-        call: Call,
+        call: CallContext,
         change: view::preset::Change,
-    ) -> api::Answer<'_, view::preset::InForce> {
+    ) -> api::BackendFuture<'_, view::preset::ActivePreset> {
         async move { self.configuration.set_preset(&call, &change).await }.boxed_local()
     }
 
     fn preset_history(
         &self,
-        _call: Call,
-        cut: view::Cut<u64>,
-    ) -> api::Answer<'_, view::Page<view::preset::InForce, u64>> {
-        async move { self.configuration.preset_history(&cut).await }.boxed_local()
+        _call: CallContext,
+        page: view::PageRequest<u64>,
+    ) -> api::BackendFuture<'_, view::Page<view::preset::ActivePreset, u64>> {
+        async move { self.configuration.preset_history(&page).await }.boxed_local()
     }
 
-    fn quotas(&self, _call: Call) -> api::Answer<'_, view::quota::Table> {
+    fn quotas(&self, _call: CallContext) -> api::BackendFuture<'_, view::quota::Table> {
         self.configuration.quotas().boxed_local()
     }
 
     fn set_quota(
         &self,
-        call: Call,
+        call: CallContext,
         change: view::quota::Change,
-    ) -> api::Answer<'_, view::quota::Table> {
+    ) -> api::BackendFuture<'_, view::quota::Table> {
         async move { self.configuration.set_quota(&call, &change).await }.boxed_local()
     }
 
-    fn workers(&self, call: Call) -> api::Answer<'_, Vec<view::worker::Worker>> {
+    fn workers(&self, call: CallContext) -> api::BackendFuture<'_, Vec<view::worker::Worker>> {
         ask!(self, call, Ask::Workers, Tell::Workers)
     }
 
-    fn order_worker(
+    fn apply_worker_action(
         &self,
-        call: Call,
+        call: CallContext,
         worker: worker::Name,
-        order: view::worker::Order,
-    ) -> api::Answer<'_, view::worker::Worker> {
+        order: view::worker::Action,
+    ) -> api::BackendFuture<'_, view::worker::Worker> {
         self.order(call, worker, order).boxed_local()
     }
 
-    fn status(&self, call: Call) -> api::Answer<'_, view::status::Status> {
+    fn status(&self, call: CallContext) -> api::BackendFuture<'_, view::status::Status> {
         self.status_of_all(call).boxed_local()
     }
 
-    fn dump(&self, _call: Call) -> api::Answer<'_, serde_json::Value> {
+    fn dump(&self, _call: CallContext) -> api::BackendFuture<'_, serde_json::Value> {
         self.dump_all().boxed_local()
     }
 
-    fn set_log_level(&self, _call: Call, level: log::LevelFilter) -> api::Answer<'_, ()> {
+    fn set_log_level(
+        &self,
+        _call: CallContext,
+        level: log::LevelFilter,
+    ) -> api::BackendFuture<'_, ()> {
         log::set_max_level(level);
         async { Ok(()) }.boxed_local()
     }
--- a/src/entry/backend/settings.rs
+++ b/src/entry/backend/settings.rs
@@ -4,8 +4,8 @@
 
 use super::jobs::refusal;
 use super::{Entry, mismatch};
-use crate::api::view::worker::{Order, State, Worker};
-use crate::api::{Call, Reason, Refusal};
+use crate::api::view::worker::{Action, State, Worker};
+use crate::api::{CallContext, Reason, Refusal};
 use crate::entry::forward::{Ask, Reply, Tell};
 use crate::entry::views;
 use crate::owner::machine::{self, Answer};
@@ -20,14 +20,14 @@
     /// Carries out an operator's order about a worker of this failure domain.
     pub(super) async fn order(
         &self,
-        call: Call,
+        call: CallContext,
         name: worker::Name,
-        order: Order,
+        order: Action,
     ) -> Result<Worker, Refusal> {
         let is_drained = match order {
-            Order::Drain => true,
-            Order::Undrain => false,
-            Order::Lost => return self.ask_worker(call, Ask::GiveUp(name)).await,
+            Action::Drain => true,
+            Action::Undrain => false,
+            Action::Lost => return self.ask_worker(call, Ask::GiveUp(name)).await,
         };
         // Asked first, so that a mistyped name is refused and drains nothing.
         self.ask_worker(call.clone(), Ask::Worker(name.clone())).await?;
@@ -38,7 +38,7 @@
     /// Waits until the owner acts by a drain, so that the operator sees it done.
     async fn settle(
         &self,
-        call: Call,
+        call: CallContext,
         name: worker::Name,
         is_drained: bool,
     ) -> Result<Worker, Refusal> {
@@ -53,7 +53,7 @@
         }
     }
 
-    async fn ask_worker(&self, call: Call, ask: Ask) -> Result<Worker, Refusal> {
+    async fn ask_worker(&self, call: CallContext, ask: Ask) -> Result<Worker, Refusal> {
         match self.ask(call, ask).await? {
             Tell::Worker(worker) => Ok(worker),
             _ => Err(mismatch()),
@@ -70,7 +70,7 @@
     }
 
     /// Takes a worker for gone, as the owner.
-    pub(super) async fn give_up_here(&self, call: Call, name: worker::Name) -> Reply {
+    pub(super) async fn give_up_here(&self, call: CallContext, name: worker::Name) -> Reply {
         let change = machine::Call::GiveUp(name.clone());
         match self.handle.call(&*self.clock, change, call.within).await {
             Answer::GivenUp => self.show_worker(name).await.map(Tell::Worker),
--- a/src/entry/backend/status.rs
+++ b/src/entry/backend/status.rs
@@ -8,9 +8,9 @@
 use futures_util::future::join_all;
 
 use super::Entry;
-use crate::api::view::preset::InForce;
-use crate::api::view::status::{Domain, Health, Status};
-use crate::api::{Call, Refusal, view};
+use crate::api::view::preset::ActivePreset;
+use crate::api::view::status::{Domain, LogHealth, Status};
+use crate::api::{CallContext, Refusal, view};
 use crate::clock::{Instant, Unix};
 use crate::config::Value;
 use crate::config::gossip::{SyncStatus, worst_by_domain};
@@ -43,7 +43,7 @@
 
 impl Entry {
     /// What all failure domains are doing, this instance's own first.
-    pub(super) async fn status_of_all(&self, call: Call) -> Result<Status, Refusal> {
+    pub(super) async fn status_of_all(&self, call: CallContext) -> Result<Status, Refusal> {
         let own = self.domain_status(call.clone()).await?;
         let others = self.directory.other_domains();
         let asked = join_all(others.iter().map(|domain| self.ask_domain(&call, domain))).await;
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// Refuses while the instance stops.
-    pub async fn domain_status(&self, call: Call) -> Result<Domain, Refusal> {
+    pub async fn domain_status(&self, call: CallContext) -> Result<Domain, Refusal> {
         match self.ask(call, Ask::Status).await {
             Ok(Tell::Status(status)) => Ok(*status),
             _ => self.status_here().await,
@@ -96,9 +96,9 @@
         .await
     }
 
-    async fn ask_domain(&self, call: &Call, domain: &domain::Name) -> Option<Domain> {
+    async fn ask_domain(&self, call: &CallContext, domain: &domain::Name) -> Option<Domain> {
         let within = PATIENCE.min(call.within / 4);
-        let call = Call { within, ..call.clone() };
+        let call = CallContext { within, ..call.clone() };
         for address in self.directory.entries_of(domain).into_iter().take(TRIES) {
             let answer: Result<Result<Domain, Refusal>, _> =
                 self.peers.call(address, STATUS, &call, within).await;
@@ -164,22 +164,22 @@
     }
 
     /// The preset that was in force where `status` was told.
-    fn preset_of(&self, status: &SyncStatus) -> Option<InForce> {
+    fn preset_of(&self, status: &SyncStatus) -> Option<ActivePreset> {
         let value = self.value.as_ref()?;
         if status.version == value.version {
             return Some((&**value).into());
         }
-        value.activation_at(status.version).map(InForce::from)
+        value.activation_at(status.version).map(ActivePreset::from)
     }
 }
 
 /// The preset in force, for people, also while it is not known.
-fn in_force(value: Option<&Value>) -> InForce {
-    value.map_or_else(unknown_preset, InForce::from)
+fn in_force(value: Option<&Value>) -> ActivePreset {
+    value.map_or_else(unknown_preset, ActivePreset::from)
 }
 
-fn unknown_preset() -> InForce {
-    InForce {
+fn unknown_preset() -> ActivePreset {
+    ActivePreset {
         preset: "unknown".to_owned(),
         version: 0,
         by: "unknown".to_owned(),
@@ -195,9 +195,9 @@
         preset: unknown_preset(),
         heard: Duration::ZERO,
         staleness: Duration::ZERO,
-        workers: view::worker::Count::default(),
+        workers: view::worker::WorkerCounts::default(),
         load: view::status::Load::default(),
-        log: Health::Down,
+        log: LogHealth::Down,
         open_alerts: 0,
     }
 }
--- a/src/entry/binding.rs
+++ b/src/entry/binding.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::api::{Call, Refusal, view};
+use crate::api::{CallContext, Refusal, view};
 use crate::clock::Clock;
 use crate::intent::{self, AttemptId, Deduplicator, DomainBinding, Key, Kind, Request};
 use crate::{codec, domain};
@@ -43,7 +43,7 @@
     /// another job. Nothing was handed over then.
     pub async fn fix(
         &self,
-        call: &Call,
+        call: &CallContext,
         submission: &view::job::Submission,
     ) -> Result<Bound, Refusal> {
         let request = self.request(submission)?;
@@ -52,7 +52,9 @@
             DomainBinding::Bound { attempt, domain, accepted, .. } => {
                 Ok(Bound { domain, accepted, request, attempt })
             }
-            DomainBinding::NotRun(refusal) => Err(Refusal::from(refusal).after(FIX_PAUSE)),
+            DomainBinding::NotRun(refusal) => {
+                Err(Refusal::from(refusal).with_retry_after(FIX_PAUSE))
+            }
         }
     }
 
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -195,6 +195,6 @@
     (Rc::new(entry), requests, running)
 }
 
-fn check(token: Secret) -> api::Check {
+fn check(token: Secret) -> api::TokenCheck {
     Box::new(move |offered| token.matches(offered))
 }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::{Call, Refusal, view};
+use crate::api::{CallContext, Refusal, view};
 use crate::{domain, job, worker};
 
 /// Peer method that carries a call to the owner.
@@ -23,7 +23,7 @@
     /// Instances it may still pass through.
     pub hops: u8,
     /// The caller's circumstances.
-    pub call: Call,
+    pub call: CallContext,
     /// What is asked.
     pub ask: Ask,
 }
@@ -38,7 +38,7 @@
     /// Show a job.
     Job(job::Id),
     /// List jobs.
-    Jobs(view::job::Filter, view::Cut<job::Id>),
+    Jobs(view::job::Filter, view::PageRequest<job::Id>),
     /// Say why a job waits.
     Explain(job::Id),
     /// List workers.
@@ -48,7 +48,7 @@
     /// Take a worker for gone.
     GiveUp(worker::Name),
     /// List alerts, acknowledged ones too when the flag is set.
-    Alerts(bool, view::Cut<String>),
+    Alerts(bool, view::PageRequest<String>),
     /// Mark an alert as seen.
     Acknowledge(String),
     /// Report the domain's state.
--- a/src/entry/views.rs
+++ b/src/entry/views.rs
@@ -25,7 +25,7 @@
 /// Refusal while the failure domain has no owner that can be reached.
 pub fn no_owner() -> Refusal {
     let message = "no instance owns the failure domain at the moment; try again shortly";
-    Refusal::not_run(Reason::NoOwner, message).after(std::time::Duration::from_secs(1))
+    Refusal::not_run(Reason::NoOwner, message).with_retry_after(std::time::Duration::from_secs(1))
 }
 
 fn not_found(id: job::Id) -> Refusal {
@@ -132,16 +132,16 @@
 pub fn jobs(
     machine: &Machine,
     filter: &view::job::Filter,
-    cut: &view::Cut<job::Id>,
+    page: &view::PageRequest<job::Id>,
 ) -> view::Page<view::job::Summary, job::Id> {
     let active = active(machine).ok();
     let mut matching = machine
         .replica
         .table
-        .after(cut.after)
+        .after(page.after)
         .map(|job| summary(job, active))
         .filter(|summary| matches(summary, filter));
-    let items: Vec<_> = matching.by_ref().take(cut.limit).collect();
+    let items: Vec<_> = matching.by_ref().take(page.limit).collect();
     let more = matching.next().is_some();
     let next = items.last().filter(|_| more).map(|summary| summary.id);
     view::Page { items, next }
@@ -228,9 +228,9 @@
     let failing = active.and_then(|active| active.journal.failing_since());
     let failing = failing.or(machine.election.read_failing_since());
     let log = match failing.map(|since| now.since(since)) {
-        None => view::status::Health::Up,
-        Some(span) if span < SLOW => view::status::Health::Slow,
-        Some(_) => view::status::Health::Down,
+        None => view::status::LogHealth::Up,
+        Some(span) if span < SLOW => view::status::LogHealth::Slow,
+        Some(_) => view::status::LogHealth::Down,
     };
     let workers = active.map(count_workers).unwrap_or_default();
     DomainState {
@@ -255,9 +255,9 @@
     /// Jobs and tasks.
     pub load: view::status::Load,
     /// How the log does.
-    pub log: view::status::Health,
+    pub log: view::status::LogHealth,
     /// Workers by state.
-    pub workers: view::worker::Count,
+    pub workers: view::worker::WorkerCounts,
 }
 
 fn count(job: &Job, active: Option<&Active>, load: &mut view::status::Load) {
@@ -274,8 +274,8 @@
     }
 }
 
-fn count_workers(active: &Active) -> view::worker::Count {
-    let mut count = view::worker::Count::default();
+fn count_workers(active: &Active) -> view::worker::WorkerCounts {
+    let mut count = view::worker::WorkerCounts::default();
     for (name, session) in &active.sessions {
         match worker_state(active, name, session) {
             view::worker::State::Unreachable => count.unreachable += 1,
--- a/src/runner/handler.rs
+++ b/src/runner/handler.rs
@@ -112,7 +112,7 @@
             }
             Admission::Duplicate(state) => duplicate_reply(&state),
             Admission::NotRun(refusal) => {
-                Err(api::Refusal::from(refusal).after(UNRECORDED_RETRY_AFTER))
+                Err(api::Refusal::from(refusal).with_retry_after(UNRECORDED_RETRY_AFTER))
             }
         }
     }
@@ -203,14 +203,15 @@
         Reply::Complete(answer) => complete(answer),
         Reply::NotRun { refusal, retry_after } => {
             let message = refusal.to_string();
-            refuse(api::Refusal::not_run(reason(refusal), message).after(retry_after))
+            refuse(api::Refusal::not_run(reason(refusal), message).with_retry_after(retry_after))
         }
         Reply::Unknown { id, cause, retry_after } => {
             let reason = match cause {
                 UnknownCause::Deadline => Reason::Deadline,
                 UnknownCause::Broken => Reason::AnswerLost,
             };
-            let refusal = api::Refusal::unknown(reason, cause.to_string()).after(retry_after);
+            let refusal =
+                api::Refusal::unknown(reason, cause.to_string()).with_retry_after(retry_after);
             let mut response = refuse(refusal);
             set_header(&mut response, REQUEST_ID, &id.to_string());
             response
@@ -234,7 +235,7 @@
     let mut response: ::http::Response<Bytes> = reply::refusal(refusal);
     // A request refused for load may be retried, whichever limit it met, so it gets status 503. A
     // caller that reads only the status would take 504 for an unknown outcome.
-    if for_load && ran == api::Ran::NotRun {
+    if for_load && ran == api::ExecutionStatus::NotRun {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
     set_header(&mut response, RESULT, &ran.to_string());
--- a/tests/logic/api/service.rs
+++ b/tests/logic/api/service.rs
@@ -6,7 +6,7 @@
 use futures_util::FutureExt;
 use futures_util::future::{LocalBoxFuture, pending, ready};
 use http::{Method, StatusCode};
-use oriolefork::api::{Check, Options, Service, wire};
+use oriolefork::api::{Options, Service, TokenCheck, wire};
 use oriolefork::clock::{Clock, Instant, Unix};
 use oriolefork::http::{Handler, Request, Response};
 use serde_json::{Value, json};
@@ -18,11 +18,11 @@
     r#"{"name":"n","team":"t","kind":"batch","demand":{"cpu-millis":1,"memory-mib":1}}"#;
 
 /// A clock that stands at one second; its timers never end, or at once.
-struct Fixed {
-    fires: bool,
+struct StubClock {
+    timers_elapse: bool,
 }
 
-impl Clock for Fixed {
+impl Clock for StubClock {
     fn now(&self) -> Instant {
         Instant::from_millis(1_000)
     }
@@ -32,24 +32,24 @@
     }
 
     fn sleep(&self, _: Duration) -> LocalBoxFuture<'static, ()> {
-        if self.fires { ready(()).boxed_local() } else { pending().boxed_local() }
+        if self.timers_elapse { ready(()).boxed_local() } else { pending().boxed_local() }
     }
 }
 
-struct Rig {
+struct Fixture {
     backend: Rc<Memory>,
     service: Service,
 }
 
-impl Rig {
-    fn new(token: Option<&str>, fires: bool) -> Self {
+impl Fixture {
+    fn new(token: Option<&str>, timers_elapse: bool) -> Self {
         let backend = Rc::new(Memory::new("kurow-hall", "kurow-1"));
         let options = Options {
             operator_token: token.map(exactly),
             metrics: Box::new(|| "up 1\n".to_owned()),
             requests: None,
         };
-        let service = Service::new(backend.clone(), Rc::new(Fixed { fires }), options);
+        let service = Service::new(backend.clone(), Rc::new(StubClock { timers_elapse }), options);
         Self { backend, service }
     }
 
@@ -70,7 +70,7 @@
     }
 }
 
-fn exactly(token: &str) -> Check {
+fn exactly(token: &str) -> TokenCheck {
     let token = token.to_owned();
     Box::new(move |offered| offered == token)
 }
@@ -85,9 +85,9 @@
 
 #[test]
 fn submit_repeated() {
-    let rig = Rig::new(None, false);
-    let first = rig.submit("k1", SPEC);
-    let second = rig.submit("k1", SPEC);
+    let fixture = Fixture::new(None, false);
+    let first = fixture.submit("k1", SPEC);
+    let second = fixture.submit("k1", SPEC);
     assert_eq!((first.status(), second.status()), (StatusCode::CREATED, StatusCode::OK));
     assert_eq!(body(&first)["job"], body(&second)["job"]);
     assert_eq!(body(&second)["duplicate"], json!(true));
@@ -100,24 +100,24 @@
 #[test_case(&[("idempotency-key", "a"), ("request-timeout-ms", "-1")], "request-timeout-ms" ; "negative_timeout")]
 #[test_case(&[("idempotency-key", "a"), ("request-timeout-ms", "0")], "request-timeout-ms" ; "no_timeout")]
 fn submit_bad_header(headers: &[(&str, &str)], field: &str) {
-    let rig = Rig::new(None, false);
-    let response = rig.send(&Method::POST, "/v1/jobs", headers, SPEC);
+    let fixture = Fixture::new(None, false);
+    let response = fixture.send(&Method::POST, "/v1/jobs", headers, SPEC);
     assert_eq!(response.status(), StatusCode::BAD_REQUEST);
     assert_eq!(refusal(&response).field.as_deref(), Some(field));
-    assert_eq!(rig.backend.submissions.get(), 0);
+    assert_eq!(fixture.backend.submissions.get(), 0);
 }
 
 // A caller submits a job with a deadline; the answer is lost. It repeats the call after the
 // deadline. A refusal "not run" would be false, because the first call was accepted.
 #[test]
 fn submit_repeated_past_deadline() {
-    let rig = Rig::new(None, false);
-    let accepted = rig.submit("k1", SPEC);
+    let fixture = Fixture::new(None, false);
+    let accepted = fixture.submit("k1", SPEC);
     let late = SPEC.replace("\"kind\"", "\"deadline-unix-ms\":999,\"kind\"");
-    let repeated = rig.submit("k1", &late);
+    let repeated = fixture.submit("k1", &late);
     assert_eq!(repeated.status(), StatusCode::OK);
     assert_eq!(body(&repeated)["job"], body(&accepted)["job"]);
-    let unknown = rig.submit("k2", &late);
+    let unknown = fixture.submit("k2", &late);
     assert_eq!(unknown.status(), StatusCode::BAD_REQUEST);
     assert_eq!(refusal(&unknown).field.as_deref(), Some("deadline-unix-ms"));
 }
@@ -127,23 +127,23 @@
 #[test_case(&Method::POST, "/v1/jobs", "unknown" ; "change")]
 #[test_case(&Method::GET, "/v1/jobs", "not-run" ; "read")]
 fn hanging_backend(method: &Method, path: &str, ran: &str) {
-    let rig = Rig::new(None, true);
-    rig.backend.hangs.set(true);
-    let response = rig.send(method, path, &[("idempotency-key", "k")], SPEC);
+    let fixture = Fixture::new(None, true);
+    fixture.backend.hangs.set(true);
+    let response = fixture.send(method, path, &[("idempotency-key", "k")], SPEC);
     assert_eq!(response.status(), StatusCode::GATEWAY_TIMEOUT);
     assert_eq!(body(&response)["ran"], json!(ran));
 }
 
 #[test]
 fn jobs_pages() {
-    let rig = Rig::new(None, false);
+    let fixture = Fixture::new(None, false);
     for key in 0..25 {
-        rig.submit(&format!("k{key}"), SPEC);
+        fixture.submit(&format!("k{key}"), SPEC);
     }
     let mut seen = Vec::new();
     let mut path = "/v1/jobs?limit=10".to_owned();
     loop {
-        let response = rig.send(&Method::GET, &path, &[], "");
+        let response = fixture.send(&Method::GET, &path, &[], "");
         let page: wire::Page<wire::job::Summary> = serde_json::from_slice(response.body()).unwrap();
         assert!(page.items.len() <= 10);
         seen.extend(page.items.into_iter().map(|job| job.id));
@@ -164,7 +164,7 @@
 #[test_case("/v1/alerts?all=1", "all" ; "bad_flag")]
 #[test_case("/v1/jobs/xyz", "id" ; "bad_id")]
 fn get_refused(path: &str, field: &str) {
-    let response = Rig::new(None, false).send(&Method::GET, path, &[], "");
+    let response = Fixture::new(None, false).send(&Method::GET, path, &[], "");
     assert_eq!(response.status(), StatusCode::BAD_REQUEST);
     assert_eq!(refusal(&response).field.as_deref(), Some(field));
 }
@@ -181,7 +181,7 @@
 #[test_case(&Method::GET, "/metrics", StatusCode::OK ; "metrics")]
 #[test_case(&Method::GET, "/v1/status", StatusCode::OK ; "status")]
 fn path_status(method: &Method, path: &str, expected: StatusCode) {
-    assert_eq!(Rig::new(None, false).send(method, path, &[], "").status(), expected);
+    assert_eq!(Fixture::new(None, false).send(method, path, &[], "").status(), expected);
 }
 
 #[test_case("Bearer right", StatusCode::OK ; "right")]
@@ -191,29 +191,29 @@
 #[test_case("Basic right", StatusCode::UNAUTHORIZED ; "scheme")]
 #[test_case("", StatusCode::UNAUTHORIZED ; "empty")]
 fn operator_token(header: &str, expected: StatusCode) {
-    let rig = Rig::new(Some("right"), false);
+    let fixture = Fixture::new(Some("right"), false);
     let headers = [("authorization", header)];
     let body = r#"{"preset":"peak","based-on":7,"by":"ana"}"#;
-    assert_eq!(rig.send(&Method::PUT, "/v1/preset", &headers, body).status(), expected);
-    assert_eq!(rig.send(&Method::GET, "/dump", &headers, "").status(), expected);
-    assert_eq!(rig.send(&Method::GET, "/v1/status", &[], "").status(), StatusCode::OK);
+    assert_eq!(fixture.send(&Method::PUT, "/v1/preset", &headers, body).status(), expected);
+    assert_eq!(fixture.send(&Method::GET, "/dump", &headers, "").status(), expected);
+    assert_eq!(fixture.send(&Method::GET, "/v1/status", &[], "").status(), StatusCode::OK);
 }
 
 // Two operators read version 7 and both change the preset. One wins, the other is told that the
 // version has moved on and that nothing changed.
 #[test]
 fn set_preset_race() {
-    let rig = Rig::new(None, false);
+    let fixture = Fixture::new(None, false);
     let body = r#"{"preset":"peak","based-on":7,"by":"ana"}"#;
-    let first = rig.send(&Method::PUT, "/v1/preset", &[], body);
-    let second = rig.send(&Method::PUT, "/v1/preset", &[], body);
+    let first = fixture.send(&Method::PUT, "/v1/preset", &[], body);
+    let second = fixture.send(&Method::PUT, "/v1/preset", &[], body);
     assert_eq!((first.status(), second.status()), (StatusCode::OK, StatusCode::CONFLICT));
     assert_eq!(refusal(&second).ran.to_string(), "not-run");
 }
 
 #[test_case("/v1/alerts/a1/acknowledge", "{}", "by" ; "no_person")]
 #[test_case("/v1/workers/w1/lost", r#"{"by":"a b"}"#, "by" ; "bad_person")]
-fn signature_refused(path: &str, body: &str, field: &str) {
-    let response = Rig::new(None, false).send(&Method::POST, path, &[], body);
+fn operator_name_refused(path: &str, body: &str, field: &str) {
+    let response = Fixture::new(None, false).send(&Method::POST, path, &[], body);
     assert_eq!(refusal(&response).field.as_deref(), Some(field));
 }
--- a/tests/logic/api/view.rs
+++ b/tests/logic/api/view.rs
@@ -1,9 +1,9 @@
 //! Views of the settings in force and of the board of alerts.
 
 use oriolefork::alert::{Board, Key, Kind, Subject};
-use oriolefork::api::configuration::settle;
-use oriolefork::api::view::{Cut, alert, preset, quota};
-use oriolefork::api::{Ran, Reason};
+use oriolefork::api::configuration::publish_result;
+use oriolefork::api::view::{PageRequest, alert, preset, quota};
+use oriolefork::api::{ExecutionStatus, Reason};
 use oriolefork::clock::Unix;
 use oriolefork::config::publish::Id;
 use oriolefork::config::{Preset, PublishOutcome, Value, Version};
@@ -11,20 +11,20 @@
 use oriolefork::placement::Objective;
 use test_case::test_case;
 
-#[test_case(&PublishOutcome::Superseded { winner: None }, Reason::StaleVersion, Ran::NotRun ; "superseded")]
-#[test_case(&PublishOutcome::BaseMismatch { current: Version::ZERO }, Reason::StaleVersion, Ran::NotRun ; "base")]
-#[test_case(&PublishOutcome::NotWritten, Reason::LogUnavailable, Ran::NotRun ; "not_written")]
-#[test_case(&PublishOutcome::NotReady, Reason::LogUnavailable, Ran::NotRun ; "not_ready")]
-#[test_case(&PublishOutcome::Busy, Reason::Overloaded, Ran::NotRun ; "busy")]
-#[test_case(&PublishOutcome::Unknown(Id::from_raw(1)), Reason::LogUnavailable, Ran::Unknown ; "unknown")]
-fn settle_refused(outcome: &PublishOutcome, reason: Reason, ran: Ran) {
-    let refusal = settle(outcome).unwrap_err();
+#[test_case(&PublishOutcome::Superseded { winner: None }, Reason::StaleVersion, ExecutionStatus::NotRun ; "superseded")]
+#[test_case(&PublishOutcome::BaseMismatch { current: Version::ZERO }, Reason::StaleVersion, ExecutionStatus::NotRun ; "base")]
+#[test_case(&PublishOutcome::NotWritten, Reason::LogUnavailable, ExecutionStatus::NotRun ; "not_written")]
+#[test_case(&PublishOutcome::NotReady, Reason::LogUnavailable, ExecutionStatus::NotRun ; "not_ready")]
+#[test_case(&PublishOutcome::Busy, Reason::Overloaded, ExecutionStatus::NotRun ; "busy")]
+#[test_case(&PublishOutcome::Unknown(Id::from_raw(1)), Reason::LogUnavailable, ExecutionStatus::Unknown ; "unknown")]
+fn publish_result_refused(outcome: &PublishOutcome, reason: Reason, ran: ExecutionStatus) {
+    let refusal = publish_result(outcome).unwrap_err();
     assert_eq!((refusal.reason, refusal.ran), (reason, ran));
 }
 
 #[test]
 fn presets_differ() {
-    let choice = preset::Choice::of(&Value::default(), Objective::Packing);
+    let choice = preset::PresetList::new(&Value::default(), Objective::Packing);
     assert_eq!(choice.presets.len(), Preset::ALL.len());
     assert_eq!(choice.current.preset, "ordinary");
     for (index, one) in choice.presets.iter().enumerate() {
@@ -53,8 +53,8 @@
     board.raise(Unix::from_millis(number), key, "why").unwrap();
 }
 
-fn cut(after: Option<String>) -> Cut<String> {
-    Cut { after, limit: 2 }
+fn page_request(after: Option<String>) -> PageRequest<String> {
+    PageRequest { after, limit: 2 }
 }
 
 // A person pages through alerts while a colleague acknowledges the one at the cut. No alert may
@@ -67,12 +67,12 @@
     }
     raise(&mut board, Kind::Lost, 4);
     let domain = "kurow-hall".into();
-    let first = alert::page(&domain, &board, false, &cut(None)).unwrap();
+    let first = alert::page(&domain, &board, false, &page_request(None)).unwrap();
     let kinds: Vec<String> = first.items.iter().map(|alert| alert.kind.to_string()).collect();
     assert_eq!(kinds, ["lost", "late"]);
     let last = oriolefork::alert::Id::parse(&first.items[1].id).unwrap();
     board.acknowledge(Unix::from_millis(9), last, "ana").unwrap();
-    let second = alert::page(&domain, &board, false, &cut(first.next)).unwrap();
+    let second = alert::page(&domain, &board, false, &page_request(first.next)).unwrap();
     assert_eq!((second.items.len(), second.next), (2, None));
     assert!(second.items.iter().all(|alert| alert.id != last.to_string()));
 }
@@ -85,7 +85,7 @@
     let id = board.open()[0].id;
     board.acknowledge(Unix::from_millis(9), id, "ana").unwrap();
     let domain = "kurow-hall".into();
-    let page = alert::page(&domain, &board, true, &cut(None)).unwrap();
+    let page = alert::page(&domain, &board, true, &page_request(None)).unwrap();
     let seen: Vec<bool> = page.items.iter().map(|alert| alert.acknowledged.is_some()).collect();
     assert_eq!(seen, [false, true]);
 }
@@ -96,6 +96,6 @@
 #[test_case("shut.lost.1" ; "bad_list")]
 fn alerts_page_bad_cursor(after: &str) {
     let board = Board::new();
-    let page = alert::page(&"d".into(), &board, false, &cut(Some(after.to_owned())));
+    let page = alert::page(&"d".into(), &board, false, &page_request(Some(after.to_owned())));
     assert_eq!(page.unwrap_err().field.as_deref(), Some("after"));
 }
--- a/tests/logic/api/wire.rs
+++ b/tests/logic/api/wire.rs
@@ -1,13 +1,13 @@
 //! Wire forms: what is refused, with which field, and what survives a round trip.
 
 use oriolefork::api::wire::{self, check};
-use oriolefork::api::{Ran, Reason, Refusal};
+use oriolefork::api::{ExecutionStatus, Reason, Refusal};
 use oriolefork::{clock, job};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use test_case::test_case;
 
-fn good() -> Value {
+fn valid_spec() -> Value {
     json!({
         "name": "nightly-backup",
         "team": "council",
@@ -25,7 +25,7 @@
 
 #[test]
 fn spec_defaults() {
-    let mut value = good();
+    let mut value = valid_spec();
     value.as_object_mut().unwrap().remove("tasks");
     let spec = read(&value).unwrap();
     assert_eq!((spec.tasks, spec.effect), (1, job::Effect::Idempotent));
@@ -54,11 +54,11 @@
 #[test_case("/run-time-ms", &json!(u64::MAX), "run-time-ms" ; "absurd_run_time")]
 #[test_case("/payload", &json!("x".repeat(16 * 1024 + 1)), "payload" ; "large_payload")]
 fn spec_refused(pointer: &str, value: &Value, field: &str) {
-    let mut spec = good();
+    let mut spec = valid_spec();
     *spec.pointer_mut(pointer).unwrap() = value.clone();
     let refusal = read(&spec).unwrap_err();
     assert_eq!(refusal.field.as_deref(), Some(field), "{refusal}");
-    assert_eq!((refusal.ran, refusal.reason), (Ran::NotRun, Reason::Invalid));
+    assert_eq!((refusal.ran, refusal.reason), (ExecutionStatus::NotRun, Reason::Invalid));
 }
 
 #[test_case(br#"{"name":"a","name":"b"}"#, "name" ; "repeated")]
@@ -77,7 +77,7 @@
 
 #[test]
 fn parse_trailing_bytes() {
-    let body = format!("{}{}", good(), good());
+    let body = format!("{}{}", valid_spec(), valid_spec());
     assert!(wire::parse::<wire::job::Spec>(body.as_bytes()).is_err());
 }
 
@@ -90,7 +90,7 @@
 #[test_case("deadline-unix-ms", &json!(5) ; "deadline")]
 #[test_case("effect", &json!("at-most-once") ; "effect")]
 fn long_running_contradiction(field: &str, value: &Value) {
-    let mut spec = good();
+    let mut spec = valid_spec();
     spec["kind"] = json!("long-running");
     spec[field] = value.clone();
     assert_eq!(read(&spec).unwrap_err().field.as_deref(), Some(field));
@@ -116,10 +116,10 @@
         name in "[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}",
         team in "[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}",
         kind in prop_oneof![Just(job::Kind::Batch), Just(job::Kind::Gang)],
-        tasks in 1..=check::TASKS,
-        cpu_millis in 1..=check::CPU_MILLIS,
-        memory_mib in 1..=check::MEMORY_MIB,
-        accelerators in 0..=check::ACCELERATORS,
+        tasks in 1..=check::MAX_TASKS,
+        cpu_millis in 1..=check::MAX_CPU_MILLIS,
+        memory_mib in 1..=check::MAX_MEMORY_MIB,
+        accelerators in 0..=check::MAX_ACCELERATORS,
         effect in prop_oneof![Just(job::Effect::Idempotent), Just(job::Effect::AtMostOnce)],
         urgency in prop_oneof![Just(job::Urgency::Normal), Just(job::Urgency::Urgent)],
         run_time_ms in proptest::option::of(1..1_000_000_u64),
--- a/tests/process/cli.rs
+++ b/tests/process/cli.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Output};
 
-use oriolefork::api::{Ran, wire};
+use oriolefork::api::{ExecutionStatus, wire};
 use serde_json::Value;
 use test_case::test_case;
 
@@ -211,7 +211,10 @@
     stream.read_to_string(&mut answer).unwrap();
     let body = answer.split("\r\n\r\n").nth(1).unwrap();
     let refusal: wire::Refusal = wire::parse(body.as_bytes()).unwrap();
-    assert_eq!((refusal.ran, refusal.reason.to_string().as_str()), (Ran::NotRun, reason));
+    assert_eq!(
+        (refusal.ran, refusal.reason.to_string().as_str()),
+        (ExecutionStatus::NotRun, reason)
+    );
 }
 
 // The address belongs to something else that answers in HTTP.
--- a/tests/process/cli/entry.rs
+++ b/tests/process/cli/entry.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use futures_util::FutureExt;
 use futures_util::future::{LocalBoxFuture, ready};
-use oriolefork::api::{Check, Options, Service};
+use oriolefork::api::{Options, Service, TokenCheck};
 use oriolefork::clock::System;
 use oriolefork::http::{Handler, Limits, Request, Response, Server};
 use oriolefork::shutdown::Shutdown;
@@ -57,7 +57,7 @@
     }
 }
 
-fn exactly(token: String) -> Check {
+fn exactly(token: String) -> TokenCheck {
     Box::new(move |offered| offered == token)
 }
 
--- a/tests/process/owner/work.rs
+++ b/tests/process/owner/work.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 use oriolefork::api::wire;
-use oriolefork::api::{Ran, view};
+use oriolefork::api::{ExecutionStatus, view};
 use oriolefork::job;
 use serde_json::{Value, json};
 use ureq::http::Method;
@@ -118,8 +118,8 @@
             Said::Accepted { duplicate: accepted.duplicate }
         }
         Ok(reply) => match reply.json::<wire::Refusal>().ran {
-            Ran::NotRun => Said::NotRun,
-            Ran::Unknown => Said::Unknown,
+            ExecutionStatus::NotRun => Said::NotRun,
+            ExecutionStatus::Unknown => Said::Unknown,
         },
         Err(ureq::Error::Io(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
             Said::Unreachable
@@ -156,8 +156,8 @@
         return Said::Accepted { duplicate: accepted.duplicate };
     }
     match wire::parse::<wire::Refusal>(body.as_bytes()).expect("a refusal").ran {
-        Ran::NotRun => Said::NotRun,
-        Ran::Unknown => Said::Unknown,
+        ExecutionStatus::NotRun => Said::NotRun,
+        ExecutionStatus::Unknown => Said::Unknown,
     }
 }
 
--- a/tests/support/backend.rs
+++ b/tests/support/backend.rs
@@ -7,7 +7,7 @@
 use futures_util::FutureExt;
 use futures_util::future::{pending, ready};
 use oriolefork::api::view::{self, alert, job as jobs, preset, quota, status, worker as workers};
-use oriolefork::api::{Answer, Backend, Call, Reason, Refusal};
+use oriolefork::api::{Backend, BackendFuture, CallContext, Reason, Refusal};
 use oriolefork::clock::Unix;
 use oriolefork::domain::Epoch;
 use oriolefork::resource::Amount;
@@ -36,7 +36,7 @@
         }
     }
 
-    fn answer<T: 'static>(&self, result: Result<T, Refusal>) -> Answer<'_, T> {
+    fn answer<T: 'static>(&self, result: Result<T, Refusal>) -> BackendFuture<'_, T> {
         if self.hangs.get() { pending().boxed_local() } else { ready(result).boxed_local() }
     }
 
@@ -45,8 +45,8 @@
         self.jobs.borrow().get(&id).cloned().ok_or_else(missing)
     }
 
-    fn in_force(&self) -> preset::InForce {
-        preset::InForce {
+    fn in_force(&self) -> preset::ActivePreset {
+        preset::ActivePreset {
             preset: "ordinary".to_owned(),
             version: self.version.get(),
             by: "ana".to_owned(),
@@ -132,40 +132,44 @@
         view::Readiness { ready: true, reasons: Vec::new() }
     }
 
-    fn submit(&self, _: Call, submission: jobs::Submission) -> Answer<'_, jobs::Accepted> {
+    fn submit(
+        &self,
+        _: CallContext,
+        submission: jobs::Submission,
+    ) -> BackendFuture<'_, jobs::Accepted> {
         let result = self.accept(submission);
         self.answer(result)
     }
 
-    fn cancel(&self, _: Call, id: job::Id) -> Answer<'_, jobs::Job> {
+    fn cancel(&self, _: CallContext, id: job::Id) -> BackendFuture<'_, jobs::Job> {
         if let Some(job) = self.jobs.borrow_mut().get_mut(&id) {
             job.summary.state = jobs::State::Cancelled;
         }
         self.answer(self.find(id))
     }
 
-    fn job(&self, _: Call, id: job::Id) -> Answer<'_, jobs::Job> {
+    fn job(&self, _: CallContext, id: job::Id) -> BackendFuture<'_, jobs::Job> {
         self.answer(self.find(id))
     }
 
     fn jobs(
         &self,
-        _: Call,
+        _: CallContext,
         filter: jobs::Filter,
-        cut: view::Cut<job::Id>,
-    ) -> Answer<'_, view::Page<jobs::Summary, job::Id>> {
+        page: view::PageRequest<job::Id>,
+    ) -> BackendFuture<'_, view::Page<jobs::Summary, job::Id>> {
         let jobs = self.jobs.borrow();
         let team = |job: &&jobs::Job| filter.team.as_ref().is_none_or(|t| *t == job.summary.team);
-        let past = |job: &&jobs::Job| cut.after.is_none_or(|after| job.summary.id > after);
+        let past = |job: &&jobs::Job| page.after.is_none_or(|after| job.summary.id > after);
         let mut items: Vec<jobs::Summary> =
             jobs.values().filter(team).filter(past).map(|job| job.summary.clone()).collect();
-        let more = items.len() > cut.limit;
-        items.truncate(cut.limit);
+        let more = items.len() > page.limit;
+        items.truncate(page.limit);
         let next = if more { items.last().map(|last| last.id) } else { None };
         self.answer(Ok(view::Page { items, next }))
     }
 
-    fn explain(&self, _: Call, id: job::Id) -> Answer<'_, jobs::Explanation> {
+    fn explain(&self, _: CallContext, id: job::Id) -> BackendFuture<'_, jobs::Explanation> {
         let explanation = self.find(id).map(|job| jobs::Explanation {
             job: id,
             state: job.summary.state,
@@ -178,10 +182,10 @@
 
     fn alerts(
         &self,
-        _: Call,
+        _: CallContext,
         _: bool,
-        _: view::Cut<String>,
-    ) -> Answer<'_, view::Page<alert::Alert, String>> {
+        _: view::PageRequest<String>,
+    ) -> BackendFuture<'_, view::Page<alert::Alert, String>> {
         let alert = alert::Alert {
             id: "a1".to_owned(),
             kind: alert::Kind::Late,
@@ -196,7 +200,7 @@
         self.answer(Ok(view::Page { items: vec![alert], next: None }))
     }
 
-    fn acknowledge(&self, call: Call, id: String) -> Answer<'_, alert::Alert> {
+    fn acknowledge(&self, call: CallContext, id: String) -> BackendFuture<'_, alert::Alert> {
         let by = call.by.unwrap_or_default();
         let word = alert::Acknowledgement { by, at: Unix::from_millis(10) };
         self.answer(Ok(alert::Alert {
@@ -212,7 +216,7 @@
         }))
     }
 
-    fn presets(&self, _: Call) -> Answer<'_, preset::Choice> {
+    fn presets(&self, _: CallContext) -> BackendFuture<'_, preset::PresetList> {
         let preset = |name: &str, reserve: &str| preset::Preset {
             name: name.to_owned(),
             about: format!("for {name} days"),
@@ -220,11 +224,15 @@
         };
         let presets = vec![preset("ordinary", "5 %"), preset("peak", "0 %")];
         let version = self.version.get();
-        self.answer(Ok(preset::Choice { current: self.in_force(), version, presets }))
+        self.answer(Ok(preset::PresetList { current: self.in_force(), version, presets }))
     }
 
-    fn set_preset(&self, call: Call, change: preset::Change) -> Answer<'_, preset::InForce> {
-        let result = self.raise(change.based_on).map(|()| preset::InForce {
+    fn set_preset(
+        &self,
+        call: CallContext,
+        change: preset::Change,
+    ) -> BackendFuture<'_, preset::ActivePreset> {
+        let result = self.raise(change.based_on).map(|()| preset::ActivePreset {
             preset: change.preset,
             by: call.by.unwrap_or_default(),
             ..self.in_force()
@@ -234,17 +242,17 @@
 
     fn preset_history(
         &self,
-        _: Call,
-        _: view::Cut<u64>,
-    ) -> Answer<'_, view::Page<preset::InForce, u64>> {
+        _: CallContext,
+        _: view::PageRequest<u64>,
+    ) -> BackendFuture<'_, view::Page<preset::ActivePreset, u64>> {
         self.answer(Ok(view::Page { items: vec![self.in_force()], next: None }))
     }
 
-    fn quotas(&self, _: Call) -> Answer<'_, quota::Table> {
+    fn quotas(&self, _: CallContext) -> BackendFuture<'_, quota::Table> {
         self.answer(Ok(quota::Table { version: self.version.get(), teams: Vec::new() }))
     }
 
-    fn set_quota(&self, _: Call, change: quota::Change) -> Answer<'_, quota::Table> {
+    fn set_quota(&self, _: CallContext, change: quota::Change) -> BackendFuture<'_, quota::Table> {
         let teams = change.limit.map(|limit| quota::Quota { team: change.team, limit });
         let table = self.raise(change.based_on).map(|()| quota::Table {
             version: self.version.get(),
@@ -253,25 +261,25 @@
         self.answer(table)
     }
 
-    fn workers(&self, _: Call) -> Answer<'_, Vec<workers::Worker>> {
+    fn workers(&self, _: CallContext) -> BackendFuture<'_, Vec<workers::Worker>> {
         self.answer(Ok(vec![worker_named("w1".into(), workers::State::Live)]))
     }
 
-    fn order_worker(
+    fn apply_worker_action(
         &self,
-        _: Call,
+        _: CallContext,
         name: worker::Name,
-        order: workers::Order,
-    ) -> Answer<'_, workers::Worker> {
+        order: workers::Action,
+    ) -> BackendFuture<'_, workers::Worker> {
         let state = match order {
-            workers::Order::Drain => workers::State::Draining,
-            workers::Order::Undrain => workers::State::Live,
-            workers::Order::Lost => workers::State::Lost,
+            workers::Action::Drain => workers::State::Draining,
+            workers::Action::Undrain => workers::State::Live,
+            workers::Action::Lost => workers::State::Lost,
         };
         self.answer(Ok(worker_named(name, state)))
     }
 
-    fn status(&self, _: Call) -> Answer<'_, status::Status> {
+    fn status(&self, _: CallContext) -> BackendFuture<'_, status::Status> {
         let domain = status::Domain {
             name: self.domain.as_str().into(),
             owner: Some(self.instance.clone()),
@@ -279,20 +287,20 @@
             preset: self.in_force(),
             heard: Duration::ZERO,
             staleness: Duration::ZERO,
-            workers: workers::Count { live: 50, ..workers::Count::default() },
+            workers: workers::WorkerCounts { live: 50, ..workers::WorkerCounts::default() },
             load: status::Load::default(),
-            log: status::Health::Up,
+            log: status::LogHealth::Up,
             open_alerts: 1,
         };
         let preset = self.in_force();
         self.answer(Ok(status::Status { instance: self.identity(), preset, domains: vec![domain] }))
     }
 
-    fn dump(&self, _: Call) -> Answer<'_, serde_json::Value> {
+    fn dump(&self, _: CallContext) -> BackendFuture<'_, serde_json::Value> {
         self.answer(Ok(serde_json::json!({"instance": self.instance})))
     }
 
-    fn set_log_level(&self, _: Call, _: log::LevelFilter) -> Answer<'_, ()> {
+    fn set_log_level(&self, _: CallContext, _: log::LevelFilter) -> BackendFuture<'_, ()> {
         self.answer(Ok(()))
     }
 }
