--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Client with pooled connections that tells surely-not-sent from maybe-sent.
+//! Client with pooled connections, whose errors state whether the request may have been sent.
 
 use std::fmt::Display;
 use std::future::Future;
@@ -10,54 +10,55 @@
 use http::{HeaderValue, Version};
 use monoio::time::Instant;
 
-use super::message::Fault;
-use super::pool::{Answer, Connection, Pool};
-use super::pools::Pools;
+use super::message::MessageError;
+use super::pool::{Connection, Pool, ReceivedResponse};
+use super::pools::PoolMap;
 use super::{CallPhase, Error, Limits, Request, Response};
 
 /// Sends requests to peers named by address.
 ///
-/// Each request has a connection of its own until its whole answer is read. A connection that saw a
-/// timeout, an error, a cut answer or an unasked byte, or whose caller went away, is closed, so
-/// that a late answer can never reach another caller.
+/// Each request uses a connection exclusively until its whole response is read. A connection is
+/// closed after a timeout, an error, a truncated response or unexpected data, or if the caller drops
+/// the request, so that a late response cannot reach another caller.
 ///
-/// Nothing is retried, with one exception: a pooled connection that fails before it took one byte
-/// of the request is replaced by a fresh one.
+/// Requests are not retried, with one exception: if a pooled connection fails without any byte of
+/// the request being sent, a new connection replaces it.
 ///
-/// Connections rest for half of the idle timeout, and at most once more as long until they are closed,
-/// also when nothing is sent any more. So a peer that bounds its connections is not held up by a
-/// process that calls it no longer.
+/// Connections are reused within half of the idle timeout, and closed within the whole of it even if
+/// no further requests are sent. A process that no longer calls a peer therefore does not use up the
+/// peer's limit of connections.
 pub struct Client {
     limits: Limits,
-    pools: Rc<Pools>,
+    pools: Rc<PoolMap>,
 }
 
 impl Client {
     /// Builds a client without connections.
     pub fn new(limits: Limits) -> Self {
-        Self { limits, pools: Rc::new(Pools::new(limits.connections, limits.idle_timeout / 2)) }
+        Self { limits, pools: Rc::new(PoolMap::new(limits.connections, limits.idle_timeout / 2)) }
     }
 
-    /// Sends `request` to `peer` and reads the whole answer, both within `timeout`.
+    /// Sends `request` to `peer` and reads the whole response, both within `timeout`.
     ///
-    /// The request's path and query are used, its authority is not; `host` is added when it is
+    /// The request's path and query are used, its authority is not; `host` is added if it is
     /// missing. Dropping the future abandons the request and closes its connection.
     ///
     /// # Errors
-    /// When no whole answer was read. [`Error::sent`] tells whether the peer may have acted.
+    /// Fails if no complete response was read. [`Error::sent`] states whether the peer may have acted
+    /// on the request.
     pub async fn send(
         &self,
         peer: SocketAddr,
         request: Request,
         timeout: Duration,
     ) -> Result<Response, Error> {
-        self.deliver(peer, None, request, timeout).await
+        self.send_inner(peer, None, request, timeout).await
     }
 
-    /// Sends `request` as [`Client::send`] does, on a connection whose other end has been made sure of.
+    /// Sends `request` like [`Client::send`], on a connection whose peer has passed `check`.
     ///
     /// # Errors
-    /// Likewise; [`CallPhase::IdentityCheck`] where the peer was not found to be the one that is wanted.
+    /// Fails like [`Client::send`], and with [`CallPhase::IdentityCheck`] if the check failed.
     pub async fn send_verified(
         &self,
         peer: SocketAddr,
@@ -65,10 +66,10 @@
         request: Request,
         timeout: Duration,
     ) -> Result<Response, Error> {
-        self.deliver(peer, Some(check), request, timeout).await
+        self.send_inner(peer, Some(check), request, timeout).await
     }
 
-    async fn deliver(
+    async fn send_inner(
         &self,
         peer: SocketAddr,
         check: Option<IdentityCheck<'_>>,
@@ -76,34 +77,34 @@
         timeout: Duration,
     ) -> Result<Response, Error> {
         let deadline = Instant::now() + timeout;
-        prepare(&mut request, peer);
+        set_version_and_host(&mut request, peer);
         let identity = check.as_ref().map(|check| check.expected);
         let pool = self.pools.of(peer);
-        let Some(_permit) = before(deadline, pool.permits().acquire()).await else {
+        let Some(_permit) = with_deadline(deadline, pool.permits().acquire()).await else {
             return Err(unsent(CallPhase::Timeout, peer, "no free connection in time"));
         };
-        if let Some(connection) = pool.take(self.pools.max_rest(), identity) {
+        if let Some(connection) = pool.take(self.pools.max_idle(), identity) {
             let result = self.exchange(&pool, connection, peer, &request, deadline).await;
             match result {
-                // The peer closed the resting connection and the system took nothing for it.
+                // The peer closed the idle connection, and no byte of the request was sent.
                 Err(Error { phase: CallPhase::Send, sent: false, .. }) => {}
                 result => return result,
             }
         }
         let mut connection = open(peer, deadline).await?;
-        pool.note_opened(peer);
+        pool.log_opened(peer);
         if let Some(check) = check {
             let answers_request = check.answers_request;
             let response = self.verify_peer(&mut connection, peer, check, deadline).await?;
             if answers_request {
-                self.keep(&pool, connection);
+                self.return_to_pool(&pool, connection);
                 return Ok(response);
             }
         }
         self.exchange(&pool, connection, peer, &request, deadline).await
     }
 
-    /// Makes sure of the peer on a new connection, before the request.
+    /// Verifies the peer's identity on a new connection, ahead of the request.
     async fn verify_peer(
         &self,
         connection: &mut Connection,
@@ -112,33 +113,39 @@
         deadline: Instant,
     ) -> Result<Response, Error> {
         let IdentityCheck { expected, mut request, verify, .. } = check;
-        prepare(&mut request, peer);
-        connection.begin();
-        let answer = match before(deadline, converse(connection, &request, &self.limits)).await {
-            Some(Ok(answer)) => answer,
-            Some(Err(failure)) => {
-                return Err(unsent(CallPhase::IdentityCheck, peer, failure.cause));
-            }
-            None => {
-                return Err(unsent(CallPhase::Timeout, peer, "no answer to the greeting in time"));
-            }
-        };
-        verify(&answer.response).map_err(|cause| unsent(CallPhase::IdentityCheck, peer, cause))?;
-        if !answer.reusable {
+        set_version_and_host(&mut request, peer);
+        connection.reset_written();
+        let received =
+            match with_deadline(deadline, round_trip(connection, &request, &self.limits)).await {
+                Some(Ok(received)) => received,
+                Some(Err(failure)) => {
+                    return Err(unsent(CallPhase::IdentityCheck, peer, failure.cause));
+                }
+                None => {
+                    return Err(unsent(
+                        CallPhase::Timeout,
+                        peer,
+                        "no response to the identity check in time",
+                    ));
+                }
+            };
+        verify(&received.response)
+            .map_err(|cause| unsent(CallPhase::IdentityCheck, peer, cause))?;
+        if !received.reusable {
             return Err(unsent(
                 CallPhase::IdentityCheck,
                 peer,
-                "the peer closes after the greeting",
+                "the peer closes the connection after the identity check",
             ));
         }
-        connection.identify(expected);
-        Ok(answer.response)
+        connection.set_identity(expected);
+        Ok(received.response)
     }
 
-    /// Keeps a connection whose answer was read whole for the next request.
-    fn keep(&self, pool: &Pool, connection: Connection) {
+    /// Returns a connection to the pool after a complete response.
+    fn return_to_pool(&self, pool: &Pool, connection: Connection) {
         pool.put(connection);
-        self.pools.keep_swept();
+        self.pools.start_sweeping();
     }
 
     async fn exchange(
@@ -149,59 +156,66 @@
         request: &Request,
         deadline: Instant,
     ) -> Result<Response, Error> {
-        connection.begin();
-        let outcome = before(deadline, converse(&mut connection, request, &self.limits)).await;
+        connection.reset_written();
+        let outcome =
+            with_deadline(deadline, round_trip(&mut connection, request, &self.limits)).await;
         let sent = connection.is_sent();
         match outcome {
-            Some(Ok(answer)) => {
-                if answer.reusable {
-                    self.keep(pool, connection);
+            Some(Ok(received)) => {
+                if received.reusable {
+                    self.return_to_pool(pool, connection);
                 }
-                Ok(answer.response)
+                Ok(received.response)
             }
-            Some(Err(Failure { phase, cause })) => {
-                pool.note_lost(peer, connection.is_fresh(), &cause);
+            Some(Err(ExchangeFailure { phase, cause })) => {
+                pool.log_lost(peer, connection.is_fresh(), &cause);
                 Err(Error { phase, peer, sent, cause })
             }
-            None => Err(Error { phase: CallPhase::Timeout, peer, sent, cause: late(sent) }),
+            None => {
+                Err(Error { phase: CallPhase::Timeout, peer, sent, cause: timeout_cause(sent) })
+            }
         }
     }
 }
 
-/// What is asked on each new connection before it carries a request.
+/// Request that verifies the identity of the peer on each new connection.
 ///
-/// Guards against a request that reaches the successor of the process that it is meant for, at the same
-/// address: a connection leads to one process as long as it lives, so that asking once is enough.
+/// Prevents a request from reaching the successor of the intended process at the same address. A
+/// connection leads to the same process for its lifetime, so that one check per connection suffices.
 pub struct IdentityCheck<'a> {
-    /// Who is wanted. Connections on which somebody else was found are not used.
+    /// Identity of the intended peer. Only pooled connections verified for it are reused.
     pub expected: &'a str,
-    /// What to ask.
+    /// Request whose response identifies the peer.
     pub request: Request,
-    /// Says from the answer why the peer is not the one that is wanted.
+    /// Checks the response; returns an error with the cause if it comes from another peer.
     pub verify: &'a dyn Fn(&Response) -> Result<(), String>,
-    /// Whether the request asks nothing else, so that on a new connection this answer will do.
+    /// Whether the response to the check also answers the actual request, which is then not sent on
+    /// a new connection.
     pub answers_request: bool,
 }
 
-/// What went wrong on one connection, before peer and progress are known.
-struct Failure {
+/// Error of one exchange; the caller adds the peer's address and whether anything was sent.
+struct ExchangeFailure {
     phase: CallPhase,
     cause: String,
 }
 
-impl From<Fault> for Failure {
-    fn from(fault: Fault) -> Self {
-        let phase = match fault {
-            Fault::Closed | Fault::Truncated | Fault::TimedOut | Fault::Io(_) => CallPhase::Receive,
-            Fault::HeadTooLarge | Fault::BodyTooLarge { .. } | Fault::Malformed(_) => {
-                CallPhase::Decode
-            }
+impl From<MessageError> for ExchangeFailure {
+    fn from(error: MessageError) -> Self {
+        let phase = match error {
+            MessageError::Closed
+            | MessageError::Truncated
+            | MessageError::TimedOut
+            | MessageError::Io(_) => CallPhase::Receive,
+            MessageError::HeadTooLarge
+            | MessageError::BodyTooLarge { .. }
+            | MessageError::Malformed(_) => CallPhase::Decode,
         };
-        Self { phase, cause: fault.to_string() }
+        Self { phase, cause: error.to_string() }
     }
 }
 
-fn prepare(request: &mut Request, peer: SocketAddr) {
+fn set_version_and_host(request: &mut Request, peer: SocketAddr) {
     *request.version_mut() = Version::HTTP_11;
     if let Ok(host) = HeaderValue::try_from(peer.to_string()) {
         request.headers_mut().entry(HOST).or_insert(host);
@@ -209,49 +223,53 @@
 }
 
 async fn open(peer: SocketAddr, deadline: Instant) -> Result<Connection, Error> {
-    match before(deadline, Connection::open(peer)).await {
+    match with_deadline(deadline, Connection::open(peer)).await {
         Some(Ok(connection)) => Ok(connection),
         Some(Err(cause)) => Err(unsent(CallPhase::Connect, peer, cause)),
-        None => Err(unsent(CallPhase::Timeout, peer, "no connection in time")),
+        None => Err(unsent(CallPhase::Timeout, peer, "connection not established in time")),
     }
 }
 
-async fn converse(
+async fn round_trip(
     connection: &mut Connection,
     request: &Request,
     limits: &Limits,
-) -> Result<Answer, Failure> {
+) -> Result<ReceivedResponse, ExchangeFailure> {
     if let Err(cause) = connection.write(request).await {
-        let failure = Failure { phase: CallPhase::Send, cause: cause.to_string() };
-        return early_answer(connection, request, limits, failure).await;
+        let failure = ExchangeFailure { phase: CallPhase::Send, cause: cause.to_string() };
+        return early_response(connection, request, limits, failure).await;
     }
-    connection.read(request.method(), limits).await.map_err(Failure::from)
+    connection.read(request.method(), limits).await.map_err(ExchangeFailure::from)
 }
 
-/// Reads the answer of a peer that refused the request before taking it whole.
-async fn early_answer(
+/// Reads the response of a peer that refused the request without reading the whole of it.
+async fn early_response(
     connection: &mut Connection,
     request: &Request,
     limits: &Limits,
-    failure: Failure,
-) -> Result<Answer, Failure> {
+    failure: ExchangeFailure,
+) -> Result<ReceivedResponse, ExchangeFailure> {
     if !connection.is_sent() {
         return Err(failure);
     }
     match connection.read(request.method(), limits).await {
-        Ok(answer) => Ok(Answer { reusable: false, ..answer }),
+        Ok(received) => Ok(ReceivedResponse { reusable: false, ..received }),
         Err(_) => Err(failure),
     }
 }
 
-fn late(sent: bool) -> String {
-    if sent { "no whole answer in time".to_owned() } else { "request not taken in time".to_owned() }
+fn timeout_cause(sent: bool) -> String {
+    if sent {
+        "no complete response in time".to_owned()
+    } else {
+        "request not sent in time".to_owned()
+    }
 }
 
 fn unsent(phase: CallPhase, peer: SocketAddr, cause: impl Display) -> Error {
     Error { phase, peer, sent: false, cause: cause.to_string() }
 }
 
-async fn before<F: Future>(deadline: Instant, future: F) -> Option<F::Output> {
+async fn with_deadline<F: Future>(deadline: Instant, future: F) -> Option<F::Output> {
     monoio::time::timeout_at(deadline, future).await.ok()
 }
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! One accepted connection: requests in, answers out, one after another.
+//! One accepted connection, whose requests are served one after another.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,25 +17,27 @@
 use monoio_http::h1::codec::encoder::GenericEncoder;
 
 use super::limited::Reader;
-use super::message::{self, Fault, Source};
-use super::server::explain;
+use super::message::{self, MessageError, MessageReader};
+use super::server::error_response;
 use super::{Handler, Limits, Request, Response};
 use crate::shutdown::Shutdown;
 
-/// Time after the trigger in which a resting connection still takes a request that was under way.
-const STOP_LINGER: Duration = Duration::from_millis(250);
+/// Time for which an idle connection still accepts requests after a stop or close signal, for those
+/// that were already under way.
+const STOP_DELAY: Duration = Duration::from_millis(250);
 
-/// Time and bytes for which the rest of a refused request is read and thrown away.
-const CLOSE_LINGER: Duration = Duration::from_millis(500);
+/// Limits of time and bytes for reading and discarding what the peer still sends before a
+/// connection closes.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 const CLOSE_DISCARD_BYTES: usize = 256 * 1024;
 
-/// Bytes thrown away at a time.
+/// Buffer size for discarded bytes.
 const DISCARD_CHUNK: usize = 16 * 1024;
 
-/// Answer to a peer that holds its body back until it is asked for.
+/// Interim response to a peer that sends `expect: 100-continue`.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// What to do after a request was dealt with.
+/// What to do after a request has been handled.
 #[derive(PartialEq, Eq)]
 enum Next {
     Continue,
@@ -43,7 +45,7 @@
 }
 
 pub(super) struct Connection {
-    source: Source<RequestHeadDecoder>,
+    source: MessageReader<RequestHeadDecoder>,
     sink: OwnedWriteHalf<TcpStream>,
     peer: SocketAddr,
     limits: Limits,
@@ -55,7 +57,7 @@
         let (read, write) = stream.into_split();
         let reader = Reader::new(read);
         Self {
-            source: Source::new(reader, GenericHeadDecoder::new(RequestHeadDecoder)),
+            source: MessageReader::new(reader, GenericHeadDecoder::new(RequestHeadDecoder)),
             sink: write,
             peer,
             limits,
@@ -65,41 +67,41 @@
 
     /// Serves requests until either side ends the connection.
     pub(super) async fn serve(mut self, handler: &dyn Handler) {
-        // A connection that never carried a request gets less time, so that a peer cannot hold
-        // many for nothing.
-        let mut patience = self.limits.read_timeout;
-        while self.wait_for_request(patience, handler.close_idle_signal()).await {
-            if self.step(handler).await == Next::Close {
+        // The first request has a shorter timeout, so that a peer cannot hold many unused
+        // connections for long.
+        let mut timeout = self.limits.read_timeout;
+        while self.wait_for_request(timeout, handler.close_idle_signal()).await {
+            if self.serve_request(handler).await == Next::Close {
                 break;
             }
-            patience = self.limits.idle_timeout;
+            timeout = self.limits.idle_timeout;
         }
         self.close().await;
     }
 
-    /// Answers `response` to whatever the peer sends and closes.
+    /// Sends `response` without reading a request, and closes the connection.
     pub(super) async fn refuse(mut self, response: Response) {
         let _ = self.write(response).await;
         self.close().await;
     }
 
-    /// Waits for the first byte of a request; `false` when the connection should close instead.
-    async fn wait_for_request(&mut self, patience: Duration, close_idle: Option<Shutdown>) -> bool {
+    /// Waits for the first byte of a request; returns `false` if the connection should close instead.
+    async fn wait_for_request(&mut self, timeout: Duration, close_idle: Option<Shutdown>) -> bool {
         self.source.get_mut().allow(self.limits.head_bytes());
         let mut arrived = Box::pin(self.source.peek_data().fuse());
-        let mut idle = Box::pin(rest(&self.stop, patience).fuse());
-        let mut closed_idle = Box::pin(closed_idle(close_idle).fuse());
+        let mut idle = Box::pin(idle_expired(&self.stop, timeout).fuse());
+        let mut closing = Box::pin(idle_close_requested(close_idle).fuse());
         futures_util::select_biased! {
             data = arrived => data.is_ok_and(|data| !data.is_empty()),
             () = idle => false,
-            () = closed_idle => false,
+            () = closing => false,
         }
     }
 
-    async fn step(&mut self, handler: &dyn Handler) -> Next {
+    async fn serve_request(&mut self, handler: &dyn Handler) -> Next {
         let request = match self.read().await {
             Ok(request) => request,
-            Err(fault) => return self.complain(&fault).await,
+            Err(error) => return self.send_error(&error).await,
         };
         let is_head = request.method() == Method::HEAD;
         let keeps_alive = message::keeps_alive(request.version(), request.headers());
@@ -110,37 +112,39 @@
         if !keeps_alive || self.stop.is_triggered() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        self.answer(response).await
+        self.respond(response).await
     }
 
-    async fn answer(&mut self, response: Response) -> Next {
+    async fn respond(&mut self, response: Response) -> Next {
         let keeps_alive = message::keeps_alive(Version::HTTP_11, response.headers());
         match self.write(response).await {
             Ok(()) if keeps_alive => Next::Continue,
             Ok(()) => Next::Close,
-            Err(fault) => {
-                log::debug!("event=http.answer_lost peer={} cause={fault:?}", self.peer);
+            Err(error) => {
+                log::debug!("event=http.answer_lost peer={} cause={error:?}", self.peer);
                 Next::Close
             }
         }
     }
 
-    async fn read(&mut self) -> Result<Request, Fault> {
+    async fn read(&mut self) -> Result<Request, MessageError> {
         let deadline = Instant::now() + self.limits.read_timeout;
-        monoio::time::timeout_at(deadline, self.message()).await.unwrap_or(Err(Fault::TimedOut))
+        monoio::time::timeout_at(deadline, self.read_message())
+            .await
+            .unwrap_or(Err(MessageError::TimedOut))
     }
 
-    async fn message(&mut self) -> Result<Request, Fault> {
+    async fn read_message(&mut self) -> Result<Request, MessageError> {
         let (head, framing) = message::head(&mut self.source, self.limits.head_bytes()).await?;
         check_head(&head, &self.limits)?;
         if expects_continue(&head) {
-            self.sink.write_all(CONTINUE).await.0.map_err(Fault::Io)?;
+            self.sink.write_all(CONTINUE).await.0.map_err(MessageError::Io)?;
         }
         let body = message::body(&mut self.source, framing, self.limits.body_bytes).await?;
         Ok(Request::from_parts(head, body))
     }
 
-    async fn write(&mut self, mut response: Response) -> Result<(), Fault> {
+    async fn write(&mut self, mut response: Response) -> Result<(), MessageError> {
         *response.version_mut() = Version::HTTP_11;
         let response = response.map(|body| HttpBody::Ready(Some(body)));
         let mut encoder = GenericEncoder::new(&mut self.sink);
@@ -151,73 +155,77 @@
         let written: Result<Result<(), HttpError>, _> =
             monoio::time::timeout(self.limits.read_timeout, written).await;
         match written {
-            Ok(result) => result.map_err(|error| Fault::Io(io::Error::other(error.to_string()))),
-            Err(_) => Err(Fault::TimedOut),
+            Ok(result) => {
+                result.map_err(|error| MessageError::Io(io::Error::other(error.to_string())))
+            }
+            Err(_) => Err(MessageError::TimedOut),
         }
     }
 
-    /// Tells the peer what is wrong with its request, where it can still be told.
-    async fn complain(&mut self, fault: &Fault) -> Next {
-        let Some(status) = complaint(fault) else { return Next::Close };
+    /// Sends an error response for a request that could not be read, unless the connection has
+    /// failed.
+    async fn send_error(&mut self, error: &MessageError) -> Next {
+        let Some(status) = error_status(error) else { return Next::Close };
         log::debug!(
-            "event=http.request_refused peer={} status={status} cause={fault:?}",
+            "event=http.request_refused peer={} status={status} cause={error:?}",
             self.peer
         );
-        let _ = self.write(explain(status, &fault.to_string())).await;
+        let _ = self.write(error_response(status, &error.to_string())).await;
         Next::Close
     }
 
-    /// Ends the connection so that the last answer arrives.
+    /// Closes the connection without losing the last response.
     ///
-    /// Closing a socket with unread bytes resets it, and the reset can overtake the answer that
-    /// explains a refusal. So the outgoing side is ended first and the rest of the request read.
+    /// Closing a socket with unread bytes resets it, and the reset can overtake the response that
+    /// explains a refusal. The outgoing side is therefore shut down first, and the rest of the
+    /// request is read and discarded.
     async fn close(mut self) {
         let _ = self.sink.shutdown().await;
         let reader = self.source.get_mut();
-        let _ = monoio::time::timeout(CLOSE_LINGER, discard(reader)).await;
+        let _ = monoio::time::timeout(CLOSE_TIMEOUT, discard(reader)).await;
     }
 }
 
-/// Completes once a resting connection should close.
-async fn rest(stop: &Shutdown, patience: Duration) {
-    let stopped = monoio::time::timeout(patience, stop.wait()).await;
+/// Completes once an idle connection should close because of its timeout or a server stop.
+async fn idle_expired(stop: &Shutdown, timeout: Duration) {
+    let stopped = monoio::time::timeout(timeout, stop.wait()).await;
     if stopped.is_ok() {
-        monoio::time::sleep(STOP_LINGER).await;
+        monoio::time::sleep(STOP_DELAY).await;
     }
 }
 
-/// Completes once the handler has asked for resting connections to close.
-async fn closed_idle(close_idle: Option<Shutdown>) {
+/// Completes once an idle connection should close because the handler has requested it.
+async fn idle_close_requested(close_idle: Option<Shutdown>) {
     match close_idle {
         Some(close_idle) => {
             close_idle.wait().await;
-            monoio::time::sleep(STOP_LINGER).await;
+            monoio::time::sleep(STOP_DELAY).await;
         }
         None => std::future::pending().await,
     }
 }
 
-fn check_head(head: &http::request::Parts, limits: &Limits) -> Result<(), Fault> {
+fn check_head(head: &http::request::Parts, limits: &Limits) -> Result<(), MessageError> {
     if head.version == Version::HTTP_11 && head.headers.get_all(HOST).iter().count() != 1 {
-        return Err(Fault::Malformed("exactly one host header is needed".to_owned()));
+        return Err(MessageError::Malformed("exactly one host header is needed".to_owned()));
     }
     message::check_framing(head.version, &head.headers, limits.body_bytes)
 }
 
-/// Whether the peer holds its body back until it is asked for.
+/// Whether the peer waits for `100 Continue` before it sends the body.
 fn expects_continue(head: &http::request::Parts) -> bool {
     let expected = head.headers.get(EXPECT).map(HeaderValue::as_bytes);
     head.version == Version::HTTP_11
         && expected.is_some_and(|value| value.eq_ignore_ascii_case(b"100-continue"))
 }
 
-fn complaint(fault: &Fault) -> Option<StatusCode> {
-    match fault {
-        Fault::Malformed(_) | Fault::Truncated => Some(StatusCode::BAD_REQUEST),
-        Fault::HeadTooLarge => Some(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE),
-        Fault::BodyTooLarge { .. } => Some(StatusCode::PAYLOAD_TOO_LARGE),
-        Fault::TimedOut => Some(StatusCode::REQUEST_TIMEOUT),
-        Fault::Closed | Fault::Io(_) => None,
+fn error_status(error: &MessageError) -> Option<StatusCode> {
+    match error {
+        MessageError::Malformed(_) | MessageError::Truncated => Some(StatusCode::BAD_REQUEST),
+        MessageError::HeadTooLarge => Some(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE),
+        MessageError::BodyTooLarge { .. } => Some(StatusCode::PAYLOAD_TOO_LARGE),
+        MessageError::TimedOut => Some(StatusCode::REQUEST_TIMEOUT),
+        MessageError::Closed | MessageError::Io(_) => None,
     }
 }
 
--- a/src/http/error.rs
+++ b/src/http/error.rs
@@ -1,33 +1,33 @@
-//! Why a call brought no answer.
+//! Errors of requests sent by the client.
 
 use std::net::SocketAddr;
 
 use derive_more::{Display, Error};
 
-/// Where in a call an error arose.
+/// Phase of a call in which an error occurred.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum CallPhase {
     /// Opening a connection.
     #[display("connect")]
     Connect,
-    /// Making sure of a peer's identity on a new connection.
+    /// Verifying the peer's identity on a new connection.
     #[display("greet")]
     IdentityCheck,
-    /// Writing the request.
+    /// Sending the request.
     #[display("send")]
     Send,
-    /// Waiting for the answer, or reading it.
+    /// Waiting for the response, or reading it.
     #[display("receive")]
     Receive,
-    /// Making sense of the answer.
+    /// Decoding the response.
     #[display("decode")]
     Decode,
-    /// The time given for the call ended.
+    /// The call exceeded its timeout.
     #[display("timeout")]
     Timeout,
 }
 
-/// A call that brought no whole answer.
+/// Error of a call that got no complete response.
 ///
 /// ```
 /// use oriolefork::http::{Error, CallPhase};
@@ -38,13 +38,13 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{phase} {peer}: {cause} ({})", if *sent { "may have been sent" } else { "surely not sent" })]
 pub struct Error {
-    /// Where it arose.
+    /// Phase in which the error occurred.
     pub phase: CallPhase,
     /// The peer that was called.
     pub peer: SocketAddr,
-    /// Whether any byte of the request may have left this process. When `false`, the peer has
-    /// surely not acted on the request.
+    /// Whether any byte of the request may have left this process; `false` means that the peer has
+    /// certainly not acted on the request.
     pub sent: bool,
-    /// What went wrong, for people.
+    /// Human-readable cause.
     pub cause: String,
 }
--- a/src/http/limited.rs
+++ b/src/http/limited.rs
@@ -1,4 +1,4 @@
-//! Halves of a connection that bound what is read and count what is written.
+//! Halves of a connection: the reader limits the bytes read, the writer counts the bytes written.
 
 use std::cell::Cell;
 use std::io;
@@ -9,10 +9,11 @@
 use monoio::io::{AsyncReadRent, AsyncWriteRent, OwnedReadHalf, OwnedWriteHalf};
 use monoio::net::TcpStream;
 
-/// The reading half, with an allowance of bytes.
+/// The reading half, with an allowance of bytes that may still be read.
 ///
-/// The codec buffers until a message is whole, however large it grows. The allowance stops a peer
-/// that never ends its message: further reads fail, and [`Reader::is_exceeded`] tells why.
+/// The codec buffers a message until it is complete, whatever its size. The allowance stops a peer
+/// that never ends its message: once it is used up, reads fail and [`Reader::is_exceeded`] returns
+/// `true`.
 pub(super) struct Reader {
     half: OwnedReadHalf<TcpStream>,
     allowance: usize,
@@ -25,7 +26,7 @@
         Self { half, allowance: 0, exceeded: false, ended: false }
     }
 
-    /// Lets the peer send about `bytes` from now on.
+    /// Sets the allowance to `bytes`. The read that uses it up may exceed it.
     pub(super) fn allow(&mut self, bytes: usize) {
         self.allowance = bytes;
     }
@@ -40,7 +41,7 @@
         self.ended
     }
 
-    fn check(&mut self) -> io::Result<()> {
+    fn check_allowance(&mut self) -> io::Result<()> {
         if self.allowance > 0 {
             return Ok(());
         }
@@ -57,8 +58,8 @@
 
 impl AsyncReadRent for Reader {
     async fn read<T: IoBufMut>(&mut self, buf: T) -> BufResult<usize, T> {
-        if let Err(refused) = self.check() {
-            return (Err(refused), buf);
+        if let Err(exceeded) = self.check_allowance() {
+            return (Err(exceeded), buf);
         }
         let (result, buf) = self.half.read(buf).await;
         self.count(&result);
@@ -66,8 +67,8 @@
     }
 
     async fn readv<T: IoVecBufMut>(&mut self, buf: T) -> BufResult<usize, T> {
-        if let Err(refused) = self.check() {
-            return (Err(refused), buf);
+        if let Err(exceeded) = self.check_allowance() {
+            return (Err(exceeded), buf);
         }
         let (result, buf) = self.half.readv(buf).await;
         self.count(&result);
@@ -75,7 +76,7 @@
     }
 }
 
-/// The writing half, with a count of the bytes that the system has taken.
+/// The writing half, with a count of the bytes that the operating system has accepted.
 pub(super) struct Writer {
     half: OwnedWriteHalf<TcpStream>,
     written: Rc<Cell<usize>>,
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -1,4 +1,4 @@
-//! Reading one message, request or response, within its bounds.
+//! Reads one message, a request or a response, within size limits.
 
 use std::io;
 
@@ -16,23 +16,23 @@
 
 use super::limited::Reader;
 
-/// Bytes that chunk sizes and line ends may add to a chunked body on top of twice its size.
-const CHUNK_SLACK: usize = 64 * 1024;
+/// Bytes that chunk headers may add to a chunked body, on top of twice the limit of its size.
+const CHUNK_OVERHEAD_BYTES: usize = 64 * 1024;
 
-/// How the body after a head is delimited.
+/// Decoder of the body that follows a head.
 pub(super) type Framing = PayloadDecoder<FixedBodyDecoder, ChunkedBodyDecoder>;
 
-/// A connection's incoming messages with heads of `D`.
-pub(super) type Source<D> = FramedRead<Reader, GenericHeadDecoder<(), D, DirectWrapper>>;
+/// Reads the messages of a connection, whose heads are decoded by `D`.
+pub(super) type MessageReader<D> = FramedRead<Reader, GenericHeadDecoder<(), D, DirectWrapper>>;
 
 /// Why a message could not be read.
 #[derive(Debug, Display)]
-pub(super) enum Fault {
+pub(super) enum MessageError {
     /// The peer closed the connection between two messages.
     #[display("connection closed by the peer")]
     Closed,
-    /// The peer closed the connection within a message.
-    #[display("message cut short")]
+    /// The peer closed the connection in the middle of a message.
+    #[display("message truncated")]
     Truncated,
     /// The head is larger than allowed.
     #[display("head too large")]
@@ -40,39 +40,42 @@
     /// The body is larger than allowed.
     #[display("body larger than {limit} bytes")]
     BodyTooLarge {
-        /// Bytes allowed.
+        /// The limit, in bytes.
         limit: usize,
     },
-    /// The message breaks the rules of HTTP/1.1.
+    /// The message violates HTTP/1.1.
     #[display("{_0}")]
     Malformed(String),
-    /// The message took longer than allowed.
-    #[display("message took too long")]
+    /// The transfer of the message exceeded its time limit.
+    #[display("message transfer timed out")]
     TimedOut,
     /// The connection failed.
     #[display("{_0}")]
     Io(io::Error),
 }
 
-/// Reads the next head, of about `limit` bytes at most.
-pub(super) async fn head<D, H>(source: &mut Source<D>, limit: usize) -> Result<(H, Framing), Fault>
+/// Reads the next head, of at most about `limit` bytes.
+pub(super) async fn head<D, H>(
+    source: &mut MessageReader<D>,
+    limit: usize,
+) -> Result<(H, Framing), MessageError>
 where
-    Source<D>: Stream<Item = Result<(H, Framing), HttpError>>,
+    MessageReader<D>: Stream<Item = Result<(H, Framing), HttpError>>,
 {
     source.get_mut().allow(limit);
     match source.next().await {
         Some(Ok(head)) => Ok(head),
-        Some(Err(error)) => Err(head_fault(source.get_ref(), error)),
-        None => Err(Fault::Closed),
+        Some(Err(error)) => Err(head_error(source.get_ref(), error)),
+        None => Err(MessageError::Closed),
     }
 }
 
-/// Reads the body that `framing` delimits, of `limit` bytes at most.
+/// Reads the body that `framing` delimits, of at most `limit` bytes.
 pub(super) async fn body<D>(
-    source: &mut Source<D>,
+    source: &mut MessageReader<D>,
     framing: Framing,
     limit: usize,
-) -> Result<Bytes, Fault> {
+) -> Result<Bytes, MessageError> {
     match framing {
         PayloadDecoder::None => Ok(Bytes::new()),
         PayloadDecoder::Fixed(decoder) => fixed(source, decoder, limit).await,
@@ -81,48 +84,49 @@
 }
 
 async fn fixed<D>(
-    source: &mut Source<D>,
+    source: &mut MessageReader<D>,
     mut decoder: FixedBodyDecoder,
     limit: usize,
-) -> Result<Bytes, Fault> {
+) -> Result<Bytes, MessageError> {
     source.get_mut().allow(limit);
     match source.next_with(&mut decoder).await {
         Some(Ok(body)) => Ok(body),
-        Some(Err(error)) => Err(body_fault(source.get_ref(), error, limit)),
-        None => Err(Fault::Truncated),
+        Some(Err(error)) => Err(body_error(source.get_ref(), error, limit)),
+        None => Err(MessageError::Truncated),
     }
 }
 
 async fn chunked<D>(
-    source: &mut Source<D>,
+    source: &mut MessageReader<D>,
     mut decoder: ChunkedBodyDecoder,
     limit: usize,
-) -> Result<Bytes, Fault> {
-    source.get_mut().allow(limit.saturating_mul(2).saturating_add(CHUNK_SLACK));
+) -> Result<Bytes, MessageError> {
+    source.get_mut().allow(limit.saturating_mul(2).saturating_add(CHUNK_OVERHEAD_BYTES));
     let mut body = BytesMut::new();
     loop {
         match source.next_with(&mut decoder).await {
             Some(Ok(Some(chunk))) => body.extend_from_slice(&chunk),
             Some(Ok(None)) => return Ok(body.freeze()),
-            Some(Err(error)) => return Err(body_fault(source.get_ref(), error, limit)),
-            None => return Err(Fault::Truncated),
+            Some(Err(error)) => return Err(body_error(source.get_ref(), error, limit)),
+            None => return Err(MessageError::Truncated),
         }
         if body.len() > limit {
-            return Err(Fault::BodyTooLarge { limit });
+            return Err(MessageError::BodyTooLarge { limit });
         }
     }
 }
 
-/// Checks that `headers` delimit the body in exactly one way and keep it within `limit`.
+/// Checks that `headers` do not delimit the body in more than one way, and that a declared length is
+/// within `limit` bytes.
 ///
-/// Guards against request smuggling: two peers that read different lengths out of one head would
-/// take the rest of a body for the next message, and answers would reach the wrong caller. The
-/// codec takes the first length it finds, so that every second one is refused here.
+/// Prevents request smuggling: if two peers read different lengths from one head, one of them takes
+/// the rest of a body for the next message, and responses reach the wrong caller. The codec uses the
+/// first length it finds, so that a head with a second one is rejected here.
 pub(super) fn check_framing(
     version: Version,
     headers: &HeaderMap,
     limit: usize,
-) -> Result<(), Fault> {
+) -> Result<(), MessageError> {
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let encodings = headers.get_all(TRANSFER_ENCODING).iter().count();
     if lengths + encodings > 1 {
@@ -134,20 +138,20 @@
     if headers.get(TRANSFER_ENCODING).is_some_and(|value| value.as_bytes() != b"chunked") {
         return malformed("transfer-encoding other than chunked");
     }
-    match length(headers) {
-        Some(length) if length > limit => Err(Fault::BodyTooLarge { limit }),
+    match content_length(headers) {
+        Some(length) if length > limit => Err(MessageError::BodyTooLarge { limit }),
         _ => Ok(()),
     }
 }
 
-/// Whether `headers` say where the body ends.
+/// Whether `headers` delimit the body.
 pub(super) fn is_delimited(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Whether `headers` say that bytes of a body follow.
-pub(super) fn announces_body(headers: &HeaderMap) -> bool {
-    is_delimited(headers) && length(headers) != Some(0)
+/// Whether `headers` declare a body that is not empty.
+pub(super) fn has_body(headers: &HeaderMap) -> bool {
+    is_delimited(headers) && content_length(headers) != Some(0)
 }
 
 /// Whether the peer keeps the connection open after this message.
@@ -164,39 +168,39 @@
         .any(|item| item.trim().eq_ignore_ascii_case(token))
 }
 
-fn length(headers: &HeaderMap) -> Option<usize> {
+fn content_length(headers: &HeaderMap) -> Option<usize> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-fn malformed(reason: &str) -> Result<(), Fault> {
-    Err(Fault::Malformed(reason.to_owned()))
+fn malformed(reason: &str) -> Result<(), MessageError> {
+    Err(MessageError::Malformed(reason.to_owned()))
 }
 
-fn head_fault(reader: &Reader, error: HttpError) -> Fault {
+fn head_error(reader: &Reader, error: HttpError) -> MessageError {
     if reader.is_exceeded() {
-        return Fault::HeadTooLarge;
+        return MessageError::HeadTooLarge;
     }
     match error {
-        HttpError::IOError(error) => io_fault(reader, error),
-        HttpError::H1DecodeError(error) => decode_fault(reader, error),
-        error => Fault::Malformed(error.to_string()),
+        HttpError::IOError(error) => io_error(reader, error),
+        HttpError::H1DecodeError(error) => decode_error(reader, error),
+        error => MessageError::Malformed(error.to_string()),
     }
 }
 
-fn body_fault(reader: &Reader, error: DecodeError, limit: usize) -> Fault {
+fn body_error(reader: &Reader, error: DecodeError, limit: usize) -> MessageError {
     if reader.is_exceeded() {
-        return Fault::BodyTooLarge { limit };
+        return MessageError::BodyTooLarge { limit };
     }
-    decode_fault(reader, error)
+    decode_error(reader, error)
 }
 
-fn decode_fault(reader: &Reader, error: DecodeError) -> Fault {
+fn decode_error(reader: &Reader, error: DecodeError) -> MessageError {
     match error {
-        DecodeError::Io(error) => io_fault(reader, error),
-        error => Fault::Malformed(error.to_string()),
+        DecodeError::Io(error) => io_error(reader, error),
+        error => MessageError::Malformed(error.to_string()),
     }
 }
 
-fn io_fault(reader: &Reader, error: io::Error) -> Fault {
-    if reader.is_ended() { Fault::Truncated } else { Fault::Io(error) }
+fn io_error(reader: &Reader, error: io::Error) -> MessageError {
+    if reader.is_ended() { MessageError::Truncated } else { MessageError::Io(error) }
 }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 for callers, upstreams, the platform and operators: a server and a pooled client, both
-//! bounded in size, time and connections.
+//! HTTP/1.1 server and pooled client, with limits on sizes, times and connections, for
+//! callers, operators, upstreams and the services of the platform.
 //!
 //! Requests and responses are those of the `http` crate with their whole body in memory. A message
-//! that is cut short, too large or too slow is an error and never a shorter message.
+//! that is truncated, too large or too slow yields an error, never a partial message.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -33,45 +33,45 @@
 
 /// Answers the requests that a [`Server`] receives.
 ///
-/// A panic in a handler ends the thread: the runtime catches none, so that no fault is hidden.
+/// A panic in a handler ends the thread: the runtime does not catch it, so that no bug is hidden.
 pub trait Handler {
-    /// Answers one request of `peer`.
+    /// Handles one request from `peer`.
     ///
-    /// Requests on one connection are handled one after another, those of several connections side
-    /// by side. A handler that has begun runs to its end even when the peer has gone.
+    /// Requests on one connection are handled one after another, those on different connections
+    /// concurrently. A handler that has begun runs to its end even if the peer has disconnected.
     fn handle(&self, peer: SocketAddr, request: Request) -> LocalBoxFuture<'_, Response>;
 
-    /// A flag that is raised when resting connections should close, for an instance whose callers
-    /// are served better elsewhere; `None` where that never happens.
+    /// Returns a signal on which the server closes idle connections, for an instance whose callers
+    /// are better served by another one; `None` if idle connections are closed only on timeout
+    /// and when the server stops.
     fn close_idle_signal(&self) -> Option<Shutdown> {
         None
     }
 }
 
-/// Bounds on what one peer can make this process hold or wait for.
+/// Limits on the memory, connections and time that peers can take up in this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest request line or status line with its headers, in bytes; exceeded by at most one
-    /// read of a few kilobytes. At most [`Limits::HEAD_BYTES_CAP`].
+    /// Largest request line or status line with its headers, in bytes. May be exceeded by one read
+    /// of a few kilobytes. Values are capped at [`Limits::HEAD_BYTES_CAP`].
     pub head_bytes: usize,
     /// Largest body, in bytes.
     pub body_bytes: usize,
-    /// Time for one whole message to arrive, counted from its first byte, or to be taken by the
-    /// peer.
+    /// Time limit for receiving one message, counted from its first byte, and for sending one.
     pub read_timeout: Duration,
-    /// Time that a connection may rest between two requests; before the first it is
-    /// `read_timeout`. A client reuses a connection only
-    /// within half of it, so that the server is seldom the first to close.
+    /// Time for which a connection may be idle between two requests; before the first request the
+    /// limit is `read_timeout`. A client reuses a connection only within half of this time, so that
+    /// the server is seldom the first to close it.
     pub idle_timeout: Duration,
-    /// Connections that a server holds in all, or that a client holds to each peer.
+    /// Connections: in total for a server, in use at once per peer for a client.
     pub connections: usize,
 }
 
 impl Limits {
-    /// The largest head that is ever accepted, whatever the settings say.
+    /// Upper limit of [`Limits::head_bytes`], whatever the settings.
     ///
-    /// The `http` crate refuses header names of 64 KiB and more by panicking, so that a head must
-    /// stay below that size.
+    /// The `http` crate panics on header names of 64 KiB and more, so that a head must stay below
+    /// that size.
     pub const HEAD_BYTES_CAP: usize = 32 * 1024;
 
     fn head_bytes(&self) -> usize {
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one peer that rest between two requests.
+//! Pool of the connections to one peer.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -20,33 +20,33 @@
 use monoio_http::h1::codec::encoder::GenericEncoder;
 
 use super::limited::{Reader, Writer};
-use super::message::{self, Fault, Source};
+use super::message::{self, MessageError, MessageReader};
 use super::{Limits, Request, Response};
 use crate::permit;
 
-/// Interim answers that are passed over before the final one.
-const INTERIM_LIMIT: usize = 4;
+/// Maximum number of heads read for one response, interim (1xx) ones included.
+const MAX_RESPONSE_HEADS: usize = 4;
 
-/// Connections to one peer of which each further such number is told in the log.
-const NOTED_CONNECTIONS: usize = 16;
+/// Open connections to one peer are logged each time their number has grown by this many.
+const LOGGED_CONNECTIONS_STEP: usize = 16;
 
-/// Rest between two log lines on lost connections to one peer.
-const NOTE_REST: Duration = Duration::from_secs(1);
+/// Minimum interval between two log lines about lost connections to one peer.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One connection to a peer, used by one request at a time.
 pub(super) struct Connection {
-    source: Source<ResponseHeadDecoder>,
+    source: MessageReader<ResponseHeadDecoder>,
     sink: GenericEncoder<Writer>,
     written: Rc<Cell<usize>>,
-    rested: Instant,
-    /// Whether it has not carried an answer yet.
+    idle_since: Instant,
+    /// Whether no response has been read on it yet.
     fresh: bool,
-    /// Who has been found at its other end, where that was asked.
+    /// Verified identity of the peer, if it was checked.
     identity: Option<Rc<str>>,
 }
 
-/// An answer, and whether the connection may carry another request.
-pub(super) struct Answer {
+/// A response, and whether the connection may be reused.
+pub(super) struct ReceivedResponse {
     pub(super) response: Response,
     pub(super) reusable: bool,
 }
@@ -56,97 +56,104 @@
         let stream = TcpStream::connect_addr(peer).await?;
         stream.set_nodelay(true)?;
         let (read, write) = stream.into_split();
-        Ok(Self::over(read, write))
+        Ok(Self::from_halves(read, write))
     }
 
-    fn over(read: OwnedReadHalf<TcpStream>, write: monoio::io::OwnedWriteHalf<TcpStream>) -> Self {
+    fn from_halves(
+        read: OwnedReadHalf<TcpStream>,
+        write: monoio::io::OwnedWriteHalf<TcpStream>,
+    ) -> Self {
         let written = Rc::new(Cell::new(0));
         let reader = Reader::new(read);
         Self {
-            source: Source::new(reader, GenericHeadDecoder::new(ResponseHeadDecoder)),
+            source: MessageReader::new(reader, GenericHeadDecoder::new(ResponseHeadDecoder)),
             sink: GenericEncoder::new(Writer::new(write, written.clone())),
             written,
-            rested: Instant::now(),
+            idle_since: Instant::now(),
             fresh: true,
             identity: None,
         }
     }
 
-    /// Whether any byte of the present request has been taken by the system.
+    /// Whether the operating system has accepted any byte of the current request.
     pub(super) fn is_sent(&self) -> bool {
         self.written.get() > 0
     }
 
-    /// Whether it has not carried an answer yet.
+    /// Whether no response has been read on it yet.
     pub(super) fn is_fresh(&self) -> bool {
         self.fresh
     }
 
-    /// Notes who has been found at its other end.
-    pub(super) fn identify(&mut self, identity: &str) {
+    /// Records the verified identity of the peer.
+    pub(super) fn set_identity(&mut self, identity: &str) {
         self.identity = Some(identity.into());
     }
 
-    /// Forgets the bytes of the request before.
-    pub(super) fn begin(&mut self) {
+    /// Resets the count of written bytes before a request.
+    pub(super) fn reset_written(&mut self) {
         self.written.set(0);
     }
 
-    /// Writes `request` whole.
+    /// Writes the whole request.
     pub(super) async fn write(&mut self, request: &Request) -> Result<(), HttpError> {
         let item =
-            RequestRef { parts: RequestHeadRef::from_http(request), body: outgoing(request) };
+            RequestRef { parts: RequestHeadRef::from_http(request), body: request_body(request) };
         self.sink.send(item).await?;
         Sink::<RequestRef<'_, HttpBody>>::flush(&mut self.sink).await
     }
 
-    /// Reads the whole answer to a request of `method`.
-    pub(super) async fn read(&mut self, method: &Method, limits: &Limits) -> Result<Answer, Fault> {
+    /// Reads the whole response to a request with `method`.
+    pub(super) async fn read(
+        &mut self,
+        method: &Method,
+        limits: &Limits,
+    ) -> Result<ReceivedResponse, MessageError> {
         let (head, framing) = self.final_head(limits).await?;
         let bodiless = is_bodiless(method, head.status);
         if !bodiless {
-            check_end(head.version, &head.headers, limits.body_bytes)?;
+            check_delimited(head.version, &head.headers, limits.body_bytes)?;
         }
         let body = if bodiless {
             Bytes::new()
         } else {
             message::body(&mut self.source, framing, limits.body_bytes).await?
         };
-        // Bytes after the answer belong to no request of this connection: a peer that crosses or
-        // repeats answers shows itself so, and the next caller must not meet them.
+        // Bytes after the response belong to no request of this connection: the peer mixes up or
+        // repeats responses. The next caller must not receive them.
         let reusable = message::keeps_alive(head.version, &head.headers)
             && self.source.read_buffer().is_empty()
-            && !(bodiless && message::announces_body(&head.headers));
-        Ok(Answer { response: Response::from_parts(head, body), reusable })
+            && !(bodiless && message::has_body(&head.headers));
+        Ok(ReceivedResponse { response: Response::from_parts(head, body), reusable })
     }
 
     async fn final_head(
         &mut self,
         limits: &Limits,
-    ) -> Result<(http::response::Parts, message::Framing), Fault> {
-        for _ in 0..INTERIM_LIMIT {
+    ) -> Result<(http::response::Parts, message::Framing), MessageError> {
+        for _ in 0..MAX_RESPONSE_HEADS {
             let (head, framing) = message::head(&mut self.source, limits.head_bytes()).await?;
             if !head.status.is_informational() {
                 return Ok((head, framing));
             }
         }
-        Err(Fault::Malformed("too many interim answers".to_owned()))
+        Err(MessageError::Malformed("too many interim responses".to_owned()))
     }
 
     /// Whether the peer has neither closed the connection nor sent anything on it.
     ///
-    /// A byte that arrives while no request is out is a late or crossed answer; it must not reach
-    /// the next caller, so that the connection is given up.
+    /// A byte that arrives while no request is in flight belongs to a late or misdirected response.
+    /// It must not reach the next caller, so that the connection is closed.
     fn is_quiet(&mut self) -> bool {
         self.source.get_mut().allow(1);
         self.source.read_buffer().is_empty() && self.source.peek_data().now_or_never().is_none()
     }
 }
 
-/// The body to send; none only where the method commonly has none.
-fn outgoing(request: &Request) -> HttpBody {
-    let none = matches!(*request.method(), Method::GET | Method::HEAD | Method::DELETE);
-    if none && request.body().is_empty() {
+/// Returns the body to send; an empty body is omitted for methods that usually have none.
+fn request_body(request: &Request) -> HttpBody {
+    let omit_body = matches!(*request.method(), Method::GET | Method::HEAD | Method::DELETE);
+    if omit_body && request.body().is_empty() {
         return HttpBody::Ready(None);
     }
     HttpBody::Ready(Some(request.body().clone()))
@@ -156,11 +163,15 @@
     method == Method::HEAD || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
 }
 
-/// Refuses an answer whose end cannot be told from a cut connection.
-fn check_end(version: Version, headers: &HeaderMap, limit: usize) -> Result<(), Fault> {
+/// Rejects a response whose end cannot be distinguished from a lost connection.
+fn check_delimited(
+    version: Version,
+    headers: &HeaderMap,
+    limit: usize,
+) -> Result<(), MessageError> {
     if !message::is_delimited(headers) {
-        let reason = "the answer has neither content-length nor chunked encoding";
-        return Err(Fault::Malformed(reason.to_owned()));
+        let reason = "the response has neither content-length nor chunked encoding";
+        return Err(MessageError::Malformed(reason.to_owned()));
     }
     message::check_framing(version, headers, limit)
 }
@@ -168,80 +179,82 @@
 /// The connections to one peer.
 pub(super) struct Pool {
     permits: permit::Semaphore,
-    resting: RefCell<Vec<Connection>>,
-    /// Most connections that the log has told of.
-    noted: Cell<usize>,
-    next_note: Cell<Instant>,
+    idle: RefCell<Vec<Connection>>,
+    /// Largest number of open connections that has been logged.
+    logged: Cell<usize>,
+    next_log: Cell<Instant>,
 }
 
 impl Pool {
     pub(super) fn new(connections: usize) -> Self {
         Self {
             permits: permit::Semaphore::new(connections),
-            resting: RefCell::new(Vec::new()),
-            noted: Cell::new(0),
-            next_note: Cell::new(Instant::now()),
+            idle: RefCell::new(Vec::new()),
+            logged: Cell::new(0),
+            next_log: Cell::new(Instant::now()),
         }
     }
 
-    /// The right to use one connection; waits while all are in use.
+    /// Semaphore that limits the connections in use.
     pub(super) fn permits(&self) -> &permit::Semaphore {
         &self.permits
     }
 
-    /// Takes the connection to a peer of that identity that was used last, when it is young and quiet.
-    pub(super) fn take(&self, max_rest: Duration, identity: Option<&str>) -> Option<Connection> {
-        let mut resting = self.resting.borrow_mut();
-        let suits = |connection: &Connection| connection.identity.as_deref() == identity;
-        while let Some(at) = resting.iter().rposition(suits) {
-            let mut connection = resting.remove(at);
-            if connection.rested.elapsed() < max_rest && connection.is_quiet() {
+    /// Takes the most recently used idle connection with that verified identity. Connections that
+    /// have been idle for `max_idle`, were closed or received unexpected data are dropped.
+    pub(super) fn take(&self, max_idle: Duration, identity: Option<&str>) -> Option<Connection> {
+        let mut idle = self.idle.borrow_mut();
+        let matches_identity = |connection: &Connection| connection.identity.as_deref() == identity;
+        while let Some(index) = idle.iter().rposition(matches_identity) {
+            let mut connection = idle.remove(index);
+            if connection.idle_since.elapsed() < max_idle && connection.is_quiet() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Connections in use or at rest.
+    /// Number of connections in use or idle.
     fn open(&self) -> usize {
-        self.permits.in_use() + self.resting.borrow().len()
+        self.permits.in_use() + self.idle.borrow().len()
     }
 
-    /// Tells the log when the peer has many connections of this process: it may bound their number.
-    pub(super) fn note_opened(&self, peer: SocketAddr) {
+    /// Logs when this process has many connections to the peer, which may limit their number.
+    pub(super) fn log_opened(&self, peer: SocketAddr) {
         let open = self.open();
-        if open >= self.noted.get() + NOTED_CONNECTIONS {
-            self.noted.set(open);
+        if open >= self.logged.get() + LOGGED_CONNECTIONS_STEP {
+            self.logged.set(open);
             log::info!("event=http.connections_many peer={peer} open={open}");
         }
     }
 
-    /// Tells the log of a connection that ended without an answer: whether it ever carried one, and
-    /// how many others there are, tell a peer that takes no more from a way that is dead.
-    pub(super) fn note_lost(&self, peer: SocketAddr, fresh: bool, cause: &str) {
+    /// Logs a connection that failed before a complete response. Whether it had carried a response
+    /// before, and how many others are open, help to distinguish a peer that accepts no more
+    /// connections from a broken network path.
+    pub(super) fn log_lost(&self, peer: SocketAddr, fresh: bool, cause: &str) {
         let now = Instant::now();
-        if now < self.next_note.get() {
+        if now < self.next_log.get() {
             return;
         }
-        self.next_note.set(now + NOTE_REST);
-        let (used, resting) = (self.permits.in_use(), self.resting.borrow().len());
+        self.next_log.set(now + LOG_INTERVAL);
+        let (used, resting) = (self.permits.in_use(), self.idle.borrow().len());
         log::info!(
             "event=http.connection_lost peer={peer} fresh={fresh} used={used} resting={resting} \
              cause={cause:?}"
         );
     }
 
-    /// Keeps a connection whose answer was read whole.
+    /// Returns a connection to the pool after a complete response.
     pub(super) fn put(&self, mut connection: Connection) {
         connection.fresh = false;
-        connection.rested = Instant::now();
-        self.resting.borrow_mut().push(connection);
+        connection.idle_since = Instant::now();
+        self.idle.borrow_mut().push(connection);
     }
 
-    /// Closes connections that rested too long; whether any connection is left or in use.
-    pub(super) fn sweep(&self, max_rest: Duration) -> bool {
-        let mut resting = self.resting.borrow_mut();
-        resting.retain(|connection| connection.rested.elapsed() < max_rest);
-        !resting.is_empty() || self.permits.is_in_use()
+    /// Closes connections that were idle too long; returns whether any connection is left or in use.
+    pub(super) fn sweep(&self, max_idle: Duration) -> bool {
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|connection| connection.idle_since.elapsed() < max_idle);
+        !idle.is_empty() || self.permits.is_in_use()
     }
 }
--- a/src/http/pools.rs
+++ b/src/http/pools.rs
@@ -1,4 +1,4 @@
-//! The connections of a client to all its peers, and their end.
+//! The connection pools of a client, one for each peer, and the task that closes idle connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -9,60 +9,61 @@
 use super::pool::Pool;
 
 /// A pool for each peer.
-pub(super) struct Pools {
+pub(super) struct PoolMap {
     connections: usize,
-    max_rest: Duration,
+    max_idle: Duration,
     by_peer: RefCell<HashMap<SocketAddr, Rc<Pool>>>,
-    /// Whether a task closes connections that rest.
-    swept: Cell<bool>,
+    /// Whether a task that closes idle connections is running.
+    sweeping: Cell<bool>,
 }
 
-impl Pools {
-    /// At most `connections` to each peer, which are used again within `max_rest`.
-    pub(super) fn new(connections: usize, max_rest: Duration) -> Self {
+impl PoolMap {
+    /// Creates a map whose pools allow `connections` in use at once per peer, and reuse a connection
+    /// that has been idle for less than `max_idle`.
+    pub(super) fn new(connections: usize, max_idle: Duration) -> Self {
         let by_peer = RefCell::new(HashMap::new());
-        Self { connections, max_rest, by_peer, swept: Cell::new(false) }
+        Self { connections, max_idle, by_peer, sweeping: Cell::new(false) }
     }
 
-    /// The pool of one peer.
+    /// Returns the pool of one peer.
     pub(super) fn of(&self, peer: SocketAddr) -> Rc<Pool> {
         let mut by_peer = self.by_peer.borrow_mut();
         by_peer.entry(peer).or_insert_with(|| Rc::new(Pool::new(self.connections))).clone()
     }
 
-    /// Longest rest of a connection that is used again.
-    pub(super) const fn max_rest(&self) -> Duration {
-        self.max_rest
+    /// Idle time after which a connection is not reused.
+    pub(super) const fn max_idle(&self) -> Duration {
+        self.max_idle
     }
 
-    /// Closes connections that rest too long, in a task of its own while there are any.
+    /// Starts a task that closes idle connections until none are left, unless it is running.
     ///
-    /// Guards against a peer that takes a bounded number of connections and is called no more: swept
-    /// beside calls alone, all that the last calls had opened stayed for as long as the process, and
-    /// the peer reset the orders of others.
-    pub(super) fn keep_swept(self: &Rc<Self>) {
-        if !self.swept.replace(true) {
-            monoio::spawn(sweep_while_used(Rc::downgrade(self), self.max_rest));
+    /// When idle connections were closed only during calls, those to a peer that was no longer
+    /// called stayed open for the lifetime of the process. A worker that limits its connections then
+    /// reset the commands of other instances.
+    pub(super) fn start_sweeping(self: &Rc<Self>) {
+        if !self.sweeping.replace(true) {
+            monoio::spawn(sweep_until_unused(Rc::downgrade(self), self.max_idle));
         }
     }
 
-    /// Lets go of connections and peers that are no longer used; whether any are left.
+    /// Closes idle connections and drops unused pools; returns whether any pools are left.
     fn sweep(&self) -> bool {
         let mut by_peer = self.by_peer.borrow_mut();
-        // A pool whose calls never pause is swept as well: the next long poll is out before the last
-        // connection of a burst has rested its time.
-        by_peer.retain(|_, pool| pool.sweep(self.max_rest) || Rc::strong_count(pool) > 1);
+        // Pools in use are swept too: a peer that always has a long poll in flight would otherwise
+        // keep the idle connections of a burst of calls open.
+        by_peer.retain(|_, pool| pool.sweep(self.max_idle) || Rc::strong_count(pool) > 1);
         !by_peer.is_empty()
     }
 }
 
-/// Sweeps until no peer is left or the client is gone.
-async fn sweep_while_used(pools: Weak<Pools>, rest: Duration) {
+/// Sweeps at intervals of `max_idle` until no pool is left or the client is dropped.
+async fn sweep_until_unused(pools: Weak<PoolMap>, max_idle: Duration) {
     loop {
-        monoio::time::sleep(rest).await;
+        monoio::time::sleep(max_idle).await;
         let Some(pools) = pools.upgrade() else { return };
         if !pools.sweep() {
-            pools.swept.set(false);
+            pools.sweeping.set(false);
             return;
         }
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Server: accepts connections within its bounds and stops without cutting requests.
+//! Server that limits its connections and finishes the requests in flight when it stops.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,42 +18,43 @@
 use crate::permit::{Semaphore, SemaphorePermit};
 use crate::shutdown::Shutdown;
 
-/// Refusals that are told to their callers at once; beyond, connections are closed untold.
-const REFUSALS: usize = 64;
+/// Excess connections that are answered with status 503 at the same time; any beyond are closed
+/// without a response.
+const MAX_REFUSALS: usize = 64;
 
-/// Seconds after which a refused caller may try again.
+/// Seconds after which a refused caller may retry.
 const RETRY_AFTER_SECONDS: u64 = 1;
 
-/// A bound listener that is not serving yet.
+/// A bound listener that does not serve yet.
 pub struct Server {
     listener: Listener,
     limits: Limits,
 }
 
 impl Server {
-    /// Binds `addr`; port 0 takes a free one.
+    /// Binds `addr`; port 0 selects a free port.
     ///
-    /// Needs a running runtime on this thread.
+    /// Requires a running runtime on this thread.
     ///
     /// # Errors
-    /// When the address cannot be bound, also because another process has it.
+    /// Fails if the address cannot be bound, for instance because another process uses it.
     pub fn bind(addr: SocketAddr, limits: Limits) -> io::Result<Self> {
         Ok(Self { listener: Listener::bind(addr)?, limits })
     }
 
-    /// The address that is bound.
+    /// Returns the bound address.
     ///
     /// # Errors
-    /// When the system does not tell.
+    /// Fails if the operating system does not return the address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
     /// Serves until `stop` is triggered, then finishes the requests in flight and returns.
     ///
-    /// After the trigger the listener closes, resting connections close after a moment in which a
-    /// request that was already on its way is still answered, and every answer says
-    /// `connection: close`. What has not ended `grace` after the trigger is cut.
+    /// After the trigger the listener closes and every response carries `connection: close`. Idle
+    /// connections close after a short delay, in which requests that were already under way are
+    /// still answered. Requests still in flight `grace` after the trigger are aborted.
     pub async fn serve(self, handler: Rc<dyn Handler>, stop: Shutdown, grace: Duration) {
         let abort = Shutdown::new();
         let acceptor = Acceptor {
@@ -62,7 +63,7 @@
             stop: stop.clone(),
             abort: abort.clone(),
             permits: Semaphore::new(self.limits.connections),
-            refusals: Semaphore::new(REFUSALS),
+            refusals: Semaphore::new(MAX_REFUSALS),
         };
         self.listener.accept_until(&stop, |stream, peer| acceptor.admit(stream, peer)).await;
         let ended = monoio::time::timeout(grace, acceptor.permits.wait_until_unused()).await;
@@ -110,38 +111,39 @@
         let Some(permit) = self.refusals.try_acquire() else { return };
         let connection = Connection::new(stream, peer, self.limits, self.stop.clone());
         monoio::spawn(async move {
-            connection.refuse(overload()).await;
+            connection.refuse(too_many_connections()).await;
             drop(permit);
         });
     }
 }
 
-fn overload() -> Response {
-    let mut response = explain(StatusCode::SERVICE_UNAVAILABLE, "too many connections");
+fn too_many_connections() -> Response {
+    let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, "too many connections");
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(RETRY_AFTER_SECONDS));
     response
 }
 
-/// The form of `api::wire::Refusal`, so that callers read one form whoever refuses.
+/// Body of an error response; it has the form of `api::wire::Refusal`, so that callers parse one
+/// form for all refusals.
 #[derive(Serialize)]
-struct Explanation<'a> {
+struct ErrorBody<'a> {
     ran: &'a str,
     reason: &'a str,
     message: &'a str,
 }
 
-/// An answer of the server itself, after which it closes the connection.
+/// Builds a response of the server itself, after which it closes the connection.
 ///
-/// No handler has seen the request, so that it surely did not run.
-pub(super) fn explain(status: StatusCode, message: &str) -> Response {
+/// The request has not reached a handler, so that it certainly did not run.
+pub(super) fn error_response(status: StatusCode, message: &str) -> Response {
     let reason = match status {
         StatusCode::SERVICE_UNAVAILABLE => "overloaded",
         StatusCode::PAYLOAD_TOO_LARGE | StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE => "too-large",
         StatusCode::REQUEST_TIMEOUT => "deadline",
         _ => "invalid",
     };
-    let explanation = Explanation { ran: "not-run", reason, message };
-    let body = serde_json::to_vec(&explanation).unwrap_or_default();
+    let error_body = ErrorBody { ran: "not-run", reason, message };
+    let body = serde_json::to_vec(&error_body).unwrap_or_default();
     let mut response = Response::new(Bytes::from(body));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/src/peer/body.rs
+++ b/src/peer/body.rs
@@ -1,61 +1,64 @@
-//! Bodies on h2 streams, bounded and under flow control.
+//! Reads and writes the bodies of h2 streams with a size limit and flow control.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, From};
 use monoio_http::h2::{self, RecvStream, SendStream};
 
-/// Why a body did not pass.
+/// Why a body could not be read or written.
 #[derive(Debug, Display, From)]
-pub(super) enum Fault {
+pub(super) enum BodyError {
     /// The body is larger than allowed.
     #[display("body larger than {limit} bytes")]
     #[from(skip)]
     TooLarge {
-        /// Bytes allowed.
+        /// The limit, in bytes.
         limit: usize,
     },
-    /// The stream ended before the body was taken.
+    /// The peer closed the stream before it had accepted the whole body.
     #[display("stream closed by the peer")]
     #[from(skip)]
     Closed,
-    /// The body took longer than allowed.
-    #[display("body took too long")]
+    /// The transfer exceeded its time limit.
+    #[display("body transfer timed out")]
     #[from(skip)]
     TimedOut,
     /// The stream or its connection failed.
     H2(h2::Error),
 }
 
-/// Reads a body of `limit` bytes at most.
-pub(super) async fn read(stream: &mut RecvStream, limit: usize) -> Result<Bytes, Fault> {
+/// Reads a whole body of at most `limit` bytes.
+pub(super) async fn read(stream: &mut RecvStream, limit: usize) -> Result<Bytes, BodyError> {
     let mut body = BytesMut::new();
     while let Some(data) = stream.data().await {
         let data = data?;
         stream.flow_control().release_capacity(data.len())?;
         if body.len() + data.len() > limit {
-            return Err(Fault::TooLarge { limit });
+            return Err(BodyError::TooLarge { limit });
         }
         body.extend_from_slice(&data);
     }
     Ok(body.freeze())
 }
 
-/// Reads a body to its end and throws it away.
-pub(super) async fn discard(stream: &mut RecvStream) -> Result<(), Fault> {
+/// Reads a body to its end and discards it.
+pub(super) async fn discard(stream: &mut RecvStream) -> Result<(), BodyError> {
     while let Some(data) = stream.data().await {
         stream.flow_control().release_capacity(data?.len())?;
     }
     Ok(())
 }
 
-/// Writes a body as fast as the peer takes it.
-pub(super) async fn write(stream: &mut SendStream<Bytes>, mut body: Bytes) -> Result<(), Fault> {
+/// Writes a body as flow control permits.
+pub(super) async fn write(
+    stream: &mut SendStream<Bytes>,
+    mut body: Bytes,
+) -> Result<(), BodyError> {
     while !body.is_empty() {
         stream.reserve_capacity(body.len());
         let capacity = std::future::poll_fn(|cx| stream.poll_capacity(cx)).await;
-        let capacity = capacity.ok_or(Fault::Closed)??;
-        let part = body.split_to(capacity.min(body.len()));
-        stream.send_data(part, body.is_empty())?;
+        let capacity = capacity.ok_or(BodyError::Closed)??;
+        let chunk = body.split_to(capacity.min(body.len()));
+        stream.send_data(chunk, body.is_empty())?;
     }
     Ok(())
 }
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! Client that keeps one connection to each peer.
+//! Client with one connection to each peer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,46 +16,48 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::body::{self, Fault};
-use super::link::Link;
+use super::body::{self, BodyError};
+use super::connection::PeerConnection;
 use super::stream::REASON_BYTES;
 use super::{CallPhase, Code, Error, Limits};
 use crate::codec;
 
 /// Calls methods of peers named by address.
 ///
-/// Nothing is retried, save that a call of which nothing has left finds its connection closed and
-/// opens another. Answers belong to their streams, so that a late answer reaches no other caller.
+/// Calls are not retried, with one exception: a call that finds its connection closed, and of which
+/// nothing has been sent, opens a new connection. Each call has its own stream, so that a late
+/// response cannot reach another caller.
 pub struct Client {
     limits: Limits,
-    links: RefCell<HashMap<SocketAddr, Rc<Link>>>,
-    swept: Cell<Instant>,
+    connections: RefCell<HashMap<SocketAddr, Rc<PeerConnection>>>,
+    last_sweep: Cell<Instant>,
 }
 
 impl Client {
     /// Builds a client without connections.
     pub fn new(limits: Limits) -> Self {
-        Self { limits, links: RefCell::default(), swept: Cell::new(Instant::now()) }
+        Self { limits, connections: RefCell::default(), last_sweep: Cell::new(Instant::now()) }
     }
 
-    /// Calls `method` of `peer` with `ask` and decodes the whole answer, all within `timeout`.
+    /// Calls `method` of `peer` with `payload` and decodes the response, all within `timeout`.
     ///
     /// `method` is a name without slashes. Dropping the future abandons the call.
     ///
     /// # Errors
-    /// When no whole answer was read or the peer refused. [`Error::sent`] tells whether the peer
-    /// may have acted.
+    /// Fails if no complete response was read or the peer refused the call. [`Error::sent`] states
+    /// whether the peer may have acted on the call.
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         peer: SocketAddr,
         method: &str,
-        ask: &Q,
+        payload: &Q,
         timeout: Duration,
     ) -> Result<A, Error> {
         let deadline = Instant::now() + timeout;
-        let ask = codec::encode(ask).map_err(|cause| unsent(CallPhase::Encode, peer, cause))?;
-        let answer = self.call_bytes(peer, method, ask, deadline).await?;
-        codec::decode(&answer).map_err(|cause| Error {
+        let payload =
+            codec::encode(payload).map_err(|cause| unsent(CallPhase::Encode, peer, cause))?;
+        let response_body = self.call_bytes(peer, method, payload, deadline).await?;
+        codec::decode(&response_body).map_err(|cause| Error {
             phase: CallPhase::Decode,
             peer,
             sent: true,
@@ -67,69 +69,74 @@
         &self,
         peer: SocketAddr,
         method: &str,
-        ask: Bytes,
+        payload: Bytes,
         deadline: Instant,
     ) -> Result<Bytes, Error> {
         let request =
             request(peer, method).map_err(|cause| unsent(CallPhase::Encode, peer, cause))?;
         self.sweep();
-        let link = self.link(peer);
-        let Some(_permit) = before(deadline, link.calls().acquire()).await else {
-            return Err(unsent(CallPhase::Timeout, peer, "too many calls are out"));
+        let connection = self.connection(peer);
+        let Some(_permit) = with_deadline(deadline, connection.calls().acquire()).await else {
+            return Err(unsent(CallPhase::Timeout, peer, "too many calls are in flight"));
         };
-        let Some(ready) = before(deadline, link.sender(peer)).await else {
-            return Err(unsent(CallPhase::Timeout, peer, "no connection in time"));
+        let Some(ready) = with_deadline(deadline, connection.sender(peer)).await else {
+            return Err(unsent(CallPhase::Timeout, peer, "connection not established in time"));
         };
-        let (sender, running) = ready.map_err(|cause| unsent(CallPhase::Connect, peer, cause))?;
-        let exchange = exchange(sender, request, ask, self.limits.body_bytes);
-        match before(deadline, exchange).await {
-            Some(Ok(answer)) => {
-                running.note_answer();
-                Ok(answer)
+        let (sender, in_flight) = ready.map_err(|cause| unsent(CallPhase::Connect, peer, cause))?;
+        let exchange = exchange(sender, request, payload, self.limits.body_bytes);
+        match with_deadline(deadline, exchange).await {
+            Some(Ok(response_body)) => {
+                in_flight.note_response();
+                Ok(response_body)
+            }
+            Some(Err(StreamFailure { phase, sent, cause })) => {
+                Err(Error { phase, peer, sent, cause })
             }
-            Some(Err(Failure { phase, sent, cause })) => Err(Error { phase, peer, sent, cause }),
             None => {
-                let cause = "no whole answer in time".to_owned();
+                let cause = "no complete response in time".to_owned();
                 Err(Error { phase: CallPhase::Timeout, peer, sent: true, cause })
             }
         }
     }
 
-    fn link(&self, peer: SocketAddr) -> Rc<Link> {
-        let mut links = self.links.borrow_mut();
-        links.entry(peer).or_insert_with(|| Rc::new(Link::new(self.limits))).clone()
+    fn connection(&self, peer: SocketAddr) -> Rc<PeerConnection> {
+        let mut connections = self.connections.borrow_mut();
+        connections.entry(peer).or_insert_with(|| Rc::new(PeerConnection::new(self.limits))).clone()
     }
 
-    /// Closes connections that rested too long, so that departed peers are forgotten.
+    /// Closes connections that have been idle too long, so that entries of removed peers are dropped.
     fn sweep(&self) {
-        let rest = self.limits.idle_timeout / 2;
-        if self.swept.get().elapsed() < rest {
+        let max_idle = self.limits.idle_timeout / 2;
+        if self.last_sweep.get().elapsed() < max_idle {
             return;
         }
-        self.swept.set(Instant::now());
-        self.links.borrow_mut().retain(|_, link| Rc::strong_count(link) > 1 || link.idle() < rest);
+        self.last_sweep.set(Instant::now());
+        self.connections.borrow_mut().retain(|_, connection| {
+            Rc::strong_count(connection) > 1 || connection.idle() < max_idle
+        });
     }
 }
 
-/// What went wrong on one stream, before the peer is named.
-struct Failure {
+/// Failure of one stream; the caller adds the peer's address.
+struct StreamFailure {
     phase: CallPhase,
     sent: bool,
     cause: String,
 }
 
-impl Failure {
-    fn new(phase: CallPhase, fault: &Fault) -> Self {
-        let phase = if matches!(fault, Fault::TooLarge { .. }) { CallPhase::Decode } else { phase };
-        let sent = !matches!(fault, Fault::H2(error) if is_refused(error));
-        Self { phase, sent, cause: fault.to_string() }
+impl StreamFailure {
+    fn new(phase: CallPhase, error: &BodyError) -> Self {
+        let phase =
+            if matches!(error, BodyError::TooLarge { .. }) { CallPhase::Decode } else { phase };
+        let sent = !matches!(error, BodyError::H2(error) if is_refused(error));
+        Self { phase, sent, cause: error.to_string() }
     }
 }
 
-/// Whether the peer turned the stream away unread.
+/// Whether the peer rejected the stream without processing it.
 ///
-/// It says so by refusing the stream, or by ending the connection below the stream's number; the
-/// protocol allows either only where the peer took no action.
+/// A peer does so by `REFUSED_STREAM`, or by a `GOAWAY` whose last stream identifier is below this
+/// stream's. HTTP/2 allows either only if the peer took no action.
 fn is_refused(error: &h2::Error) -> bool {
     let refused = error.is_reset() && error.reason() == Some(Reason::REFUSED_STREAM);
     error.is_remote() && (refused || error.is_go_away())
@@ -146,32 +153,46 @@
 async fn exchange(
     mut sender: SendRequest<Bytes>,
     request: http::Request<()>,
-    ask: Bytes,
+    payload: Bytes,
     limit: usize,
-) -> Result<Bytes, Failure> {
-    let (response, mut stream) = sender.send_request(request, ask.is_empty()).map_err(|error| {
-        Failure { phase: CallPhase::Connect, sent: false, cause: error.to_string() }
-    })?;
-    let written = body::write(&mut stream, ask).await;
-    // A peer that refuses early resets the rest of the body; its answer tells more than the reset.
+) -> Result<Bytes, StreamFailure> {
+    let (response, mut stream) =
+        sender.send_request(request, payload.is_empty()).map_err(|error| StreamFailure {
+            phase: CallPhase::Connect,
+            sent: false,
+            cause: error.to_string(),
+        })?;
+    let written = body::write(&mut stream, payload).await;
+    // A peer that refuses early resets the stream while the body is being written; its response
+    // explains more than the reset.
     let response = match (response.await, written) {
         (Ok(response), _) => response,
-        (Err(_), Err(fault)) => return Err(Failure::new(CallPhase::Send, &fault)),
-        (Err(error), Ok(())) => return Err(Failure::new(CallPhase::Receive, &Fault::H2(error))),
+        (Err(_), Err(error)) => return Err(StreamFailure::new(CallPhase::Send, &error)),
+        (Err(error), Ok(())) => {
+            return Err(StreamFailure::new(CallPhase::Receive, &BodyError::H2(error)));
+        }
     };
     let status = response.status();
     let limit = if status == StatusCode::OK { limit } else { REASON_BYTES };
-    let answer = body::read(&mut response.into_body(), limit)
+    let response_body = body::read(&mut response.into_body(), limit)
         .await
-        .map_err(|fault| Failure::new(CallPhase::Receive, &fault))?;
-    if status == StatusCode::OK { Ok(answer) } else { Err(refusal(status, &answer)) }
+        .map_err(|error| StreamFailure::new(CallPhase::Receive, &error))?;
+    if status == StatusCode::OK {
+        Ok(response_body)
+    } else {
+        Err(refused_call(status, &response_body))
+    }
 }
 
-fn refusal(status: StatusCode, reason: &[u8]) -> Failure {
+fn refused_call(status: StatusCode, reason: &[u8]) -> StreamFailure {
     let cause = String::from_utf8_lossy(reason).into_owned();
     match Code::of_status(status) {
-        Some(code) => Failure { phase: CallPhase::Refused(code), sent: true, cause },
-        None => Failure { phase: CallPhase::Decode, sent: true, cause: format!("status {status}") },
+        Some(code) => StreamFailure { phase: CallPhase::Refused(code), sent: true, cause },
+        None => StreamFailure {
+            phase: CallPhase::Decode,
+            sent: true,
+            cause: format!("status {status}"),
+        },
     }
 }
 
@@ -179,6 +200,6 @@
     Error { phase, peer, sent: false, cause: cause.to_string() }
 }
 
-async fn before<F: Future>(deadline: Instant, future: F) -> Option<F::Output> {
+async fn with_deadline<F: Future>(deadline: Instant, future: F) -> Option<F::Output> {
     monoio::time::timeout_at(deadline, future).await.ok()
 }
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -1,4 +1,4 @@
-//! Why a call to a peer brought no answer.
+//! Errors of calls to peers.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,19 +6,19 @@
 use derive_more::{Display, Error};
 use http::StatusCode;
 
-/// Kind of a refusal.
+/// Why a handler refuses a call.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Code {
-    /// The peer knows no such method.
+    /// The peer has no such method.
     #[display("unknown method")]
     UnknownMethod,
-    /// The peer cannot read the call.
+    /// The peer cannot decode the call.
     #[display("malformed")]
     Malformed,
-    /// The peer has too much to do; the call had no effect.
+    /// The peer is overloaded; the call had no effect.
     #[display("busy")]
     Busy,
-    /// The call does not fit the state that the peer is in.
+    /// The call conflicts with the peer's state.
     #[display("conflict")]
     Conflict,
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// The answer of a handler that does not carry out a call.
+/// Response of a handler that refuses a call.
 ///
 /// ```
 /// use oriolefork::peer::{Code, Refusal};
@@ -50,14 +50,14 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{code}: {reason}")]
 pub struct Refusal {
-    /// Its kind.
+    /// Kind of the refusal.
     pub code: Code,
-    /// What is wrong, for people.
+    /// Human-readable explanation.
     pub reason: String,
 }
 
 impl Refusal {
-    /// A refusal of kind `code`, with its reason for people.
+    /// Creates a refusal with a human-readable explanation.
     ///
     /// ```
     /// use oriolefork::peer::{Code, Refusal};
@@ -68,7 +68,7 @@
     }
 }
 
-/// Where in a call an error arose.
+/// Phase of a call in which an error occurred.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum CallPhase {
     /// Encoding the call.
@@ -77,39 +77,39 @@
     /// Opening the connection, or a stream on it.
     #[display("connect")]
     Connect,
-    /// Writing the call.
+    /// Sending the call.
     #[display("send")]
     Send,
-    /// Waiting for the answer, or reading it.
+    /// Waiting for the response, or reading it.
     #[display("receive")]
     Receive,
-    /// Making sense of the answer.
+    /// Decoding the response.
     #[display("decode")]
     Decode,
     /// The peer refused the call.
     #[display("refused ({_0})")]
     Refused(Code),
-    /// The time given for the call ended.
+    /// The call exceeded its timeout.
     #[display("timeout")]
     Timeout,
 }
 
-/// A call that brought no whole answer.
+/// Error of a call that was refused or got no complete response.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{phase} {peer}: {cause} ({})", if *sent { "may have been sent" } else { "surely not sent" })]
 pub struct Error {
-    /// Where it arose.
+    /// Phase in which the error occurred.
     pub phase: CallPhase,
     /// The peer that was called.
     pub peer: SocketAddr,
-    /// Whether the peer may have acted on the call. When `false`, it surely has not.
+    /// Whether the peer may have acted on the call; `false` means that it certainly has not.
     pub sent: bool,
-    /// What went wrong, for people.
+    /// Human-readable cause.
     pub cause: String,
 }
 
 impl Error {
-    /// Whether the peer answered that it takes no call at present, and took none.
+    /// Whether the peer rejected the call without acting on it because it accepts no calls at present.
     ///
     /// ```
     /// use oriolefork::peer::{Error, CallPhase};
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,5 +1,5 @@
-//! Calls between instances: one h2 connection to each peer, one stream a call, bodies in the form
-//! of [`crate::codec`].
+//! Calls between instances over HTTP/2: one connection to each peer, one stream per call, bodies
+//! encoded by [`crate::codec`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 
 mod body;
 mod client;
+mod connection;
 mod error;
-mod link;
 mod server;
 mod stream;
 
@@ -21,10 +21,10 @@
 pub use error::{CallPhase, Code, Error, Refusal};
 pub use server::Server;
 
-/// Reads the body of a call.
+/// Decodes the body of a call.
 ///
 /// # Errors
-/// A refusal for the caller when the body is not a `T`.
+/// Returns a refusal with [`Code::Malformed`] if the body is not an encoded `T`.
 ///
 /// ```
 /// use oriolefork::{codec, peer};
@@ -38,12 +38,12 @@
 
 /// Answers the calls that a [`Server`] receives.
 ///
-/// A panic in a handler ends the thread: the runtime catches none, so that no fault is hidden.
+/// A panic in a handler ends the thread: the runtime does not catch it, so that no bug is hidden.
 pub trait Handler {
-    /// Answers one call of `peer`.
+    /// Handles one call from `peer`.
     ///
-    /// Calls are handled side by side. A handler that has begun runs to its end even when the
-    /// caller has given up, save at the end of the grace of a stop.
+    /// Calls are handled concurrently. A handler that has begun runs to its end even if the caller
+    /// has abandoned the call, unless the grace period of a shutdown ends first.
     fn handle(
         &self,
         peer: SocketAddr,
@@ -52,21 +52,21 @@
     ) -> LocalBoxFuture<'_, Result<Bytes, Refusal>>;
 }
 
-/// Bounds on what one peer can make this process hold or wait for.
+/// Limits on the memory, connections and time that peers can take up in this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest body of a call or an answer, in bytes.
+    /// Largest body of a call or a response, in bytes.
     pub body_bytes: usize,
-    /// Calls at once: to each peer for a client, in all for a server.
+    /// Calls in flight: per peer for a client, in total for a server.
     pub calls: usize,
-    /// Connections that a server holds in all.
+    /// Open connections of a server.
     pub connections: usize,
-    /// Time for a handshake, for the body of a call to arrive, or for an answer to be taken.
+    /// Time limit for a handshake, for receiving the body of a call, and for sending a response.
     pub read_timeout: Duration,
-    /// Time that a connection may rest without calls.
+    /// Time after which a connection without calls is closed.
     pub idle_timeout: Duration,
-    /// Rest between two probes of a peer while calls to it are out. A peer that leaves one probe
-    /// unanswered for twice as long is taken for dead, and its connection is closed.
+    /// Interval between two probes of a peer while calls to it are in flight. If a probe stays
+    /// unanswered for twice this time, the connection is closed and its calls fail.
     pub keepalive: Duration,
 }
 
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Server of calls from other instances.
+//! Server for calls from other instances.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,45 +13,45 @@
 use monoio_http::h2::server::{self, Connection, SendResponse};
 use monoio_http::h2::{self, Reason, RecvStream};
 
-use super::body::{self, Fault};
+use super::body::{self, BodyError};
 use super::stream::{CONNECTION_WINDOW, HEADER_BYTES, REASON_BYTES, STREAM_WINDOW};
 use super::{Code, Handler, Limits, Refusal};
 use crate::listener::Listener;
 use crate::permit::{Semaphore, SemaphorePermit};
 use crate::shutdown::Shutdown;
 
-/// Calls whose peers gave them up and whose streams are remembered, to tell late frames apart.
+/// Streams that are remembered after a reset, so that their late frames are not taken for errors.
 const RESET_STREAMS: usize = 64;
 
-/// A bound listener that is not serving yet.
+/// A bound listener that does not serve yet.
 pub struct Server {
     listener: Listener,
     limits: Limits,
 }
 
 impl Server {
-    /// Binds `addr`; port 0 takes a free one.
+    /// Binds `addr`; port 0 selects a free port.
     ///
-    /// Needs a running runtime on this thread.
+    /// Requires a running runtime on this thread.
     ///
     /// # Errors
-    /// When the address cannot be bound, also because another process has it.
+    /// Fails if the address cannot be bound, for instance because another process uses it.
     pub fn bind(addr: SocketAddr, limits: Limits) -> io::Result<Self> {
         Ok(Self { listener: Listener::bind(addr)?, limits })
     }
 
-    /// The address that is bound.
+    /// Returns the bound address.
     ///
     /// # Errors
-    /// When the system does not tell.
+    /// Fails if the operating system does not return the address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
     /// Serves until `stop` is triggered, then finishes the calls in flight and returns.
     ///
-    /// After the trigger peers are told to open no more streams. What has not ended `grace` after
-    /// the trigger is cut.
+    /// After the trigger, peers receive `GOAWAY` and open no more streams. Calls that are still in
+    /// flight `grace` after the trigger are aborted.
     pub async fn serve(self, handler: Rc<dyn Handler>, stop: Shutdown, grace: Duration) {
         let abort = Shutdown::new();
         let acceptor = Acceptor {
@@ -128,8 +128,8 @@
     accept_calls(&calls, connection?, peer, &stop).await
 }
 
-/// Takes calls until the peer closes, the connection rests too long, or `stop` is triggered; the
-/// calls then in flight end first.
+/// Accepts calls until the peer closes the connection, it has been idle too long, or `stop` is
+/// triggered. In the last two cases the calls in flight are finished first.
 async fn accept_calls(
     calls: &Rc<Calls>,
     mut connection: Connection<TcpStream, Bytes>,
@@ -137,7 +137,7 @@
     stop: &Shutdown,
 ) -> Result<(), h2::Error> {
     let mut stopped = Box::pin(stop.wait().fuse());
-    let mut open = Rc::new(());
+    let mut in_flight = Rc::new(());
     loop {
         let mut idle = Box::pin(monoio::time::sleep(calls.limits.idle_timeout).fuse());
         let mut accept = Box::pin(connection.accept().fuse());
@@ -145,21 +145,21 @@
             accepted = accept => accepted,
             () = stopped => break,
             () = idle => {
-                if Rc::get_mut(&mut open).is_none() {
+                if Rc::get_mut(&mut in_flight).is_none() {
                     continue;
                 }
                 break;
             }
         };
         match accepted {
-            Some(call) => calls.start(call?, peer, open.clone()),
+            Some(call) => calls.start(call?, peer, in_flight.clone()),
             None => return Ok(()),
         }
     }
     connection.graceful_shutdown();
     let closing = async {
         while let Some(call) = connection.accept().await {
-            calls.start(call?, peer, open.clone());
+            calls.start(call?, peer, in_flight.clone());
         }
         Ok(())
     };
@@ -179,11 +179,11 @@
 }
 
 impl Calls {
-    /// Runs one call in a task of its own; `open` lives as long.
+    /// Runs one call in a task of its own, which holds `in_flight` until it ends.
     ///
-    /// A peer that resets streams at once may open new ones while their handlers still run. The
-    /// permits bound the handlers, where the protocol bounds only the open streams.
-    fn start(self: &Rc<Self>, (request, mut respond): Call, peer: SocketAddr, open: Rc<()>) {
+    /// A peer may reset streams and open new ones while the handlers of the former still run. HTTP/2
+    /// limits only the open streams; the permits limit the running handlers.
+    fn start(self: &Rc<Self>, (request, mut respond): Call, peer: SocketAddr, in_flight: Rc<()>) {
         let Some(permit) = self.permits.try_acquire() else {
             respond.send_reset(Reason::REFUSED_STREAM);
             return;
@@ -196,7 +196,7 @@
                 () = running => {}
                 () = aborted => {}
             }
-            drop(open);
+            drop(in_flight);
         });
     }
 
@@ -209,26 +209,28 @@
     ) {
         let (head, mut stream) = request.into_parts();
         let read = body::read(&mut stream, self.limits.body_bytes);
-        let result = match before(self.deadline(), read).await {
+        let result = match with_deadline(self.deadline(), read).await {
             Ok(body) => {
                 let method = head.uri.path().trim_start_matches('/');
                 self.handler.handle(peer, method, body).await
             }
-            Err(Fault::TooLarge { limit }) => {
+            Err(BodyError::TooLarge { limit }) => {
                 Err(malformed(format!("body larger than {limit} bytes")))
             }
-            Err(fault) => {
-                log::debug!("event=peer.call_cut peer={peer} cause={:?}", fault.to_string());
+            Err(error) => {
+                log::debug!("event=peer.call_cut peer={peer} cause={:?}", error.to_string());
                 return respond.send_reset(Reason::CANCEL);
             }
         };
-        if let Err(fault) = before(self.deadline(), answer(&mut respond, result)).await {
-            log::debug!("event=peer.answer_lost peer={peer} cause={:?}", fault.to_string());
+        if let Err(error) =
+            with_deadline(self.deadline(), send_response(&mut respond, result)).await
+        {
+            log::debug!("event=peer.answer_lost peer={peer} cause={:?}", error.to_string());
             return respond.send_reset(Reason::CANCEL);
         }
-        // Letting go of a body that is still arriving resets the stream, and the reset would
-        // overtake the answer that explains the refusal.
-        let _ = before(self.deadline(), body::discard(&mut stream)).await;
+        // Dropping a body that is still arriving resets the stream, and the reset could overtake
+        // the response that explains the refusal.
+        let _ = with_deadline(self.deadline(), body::discard(&mut stream)).await;
     }
 
     fn deadline(&self) -> Instant {
@@ -240,13 +242,13 @@
     Refusal { code: Code::Malformed, reason }
 }
 
-async fn answer(
+async fn send_response(
     respond: &mut SendResponse<Bytes>,
     result: Result<Bytes, Refusal>,
-) -> Result<(), Fault> {
+) -> Result<(), BodyError> {
     let (status, body) = match result {
         Ok(body) => (StatusCode::OK, body),
-        Err(refusal) => (refusal.code.status(), reason(refusal.reason)),
+        Err(refusal) => (refusal.code.status(), reason_body(refusal.reason)),
     };
     let mut head = http::Response::new(());
     *head.status_mut() = status;
@@ -254,14 +256,14 @@
     body::write(&mut stream, body).await
 }
 
-fn reason(mut reason: String) -> Bytes {
+fn reason_body(mut reason: String) -> Bytes {
     reason.truncate(reason.floor_char_boundary(REASON_BYTES));
     Bytes::from(reason)
 }
 
-async fn before<T>(
+async fn with_deadline<T>(
     deadline: Instant,
-    future: impl Future<Output = Result<T, Fault>>,
-) -> Result<T, Fault> {
-    monoio::time::timeout_at(deadline, future).await.unwrap_or(Err(Fault::TimedOut))
+    future: impl Future<Output = Result<T, BodyError>>,
+) -> Result<T, BodyError> {
+    monoio::time::timeout_at(deadline, future).await.unwrap_or(Err(BodyError::TimedOut))
 }
--- a/src/peer/stream.rs
+++ b/src/peer/stream.rs
@@ -1,18 +1,18 @@
-//! Settings that both ends of an h2 connection share.
+//! Limits used by both ends of an h2 connection.
 
-/// Bytes of one stream that may be on their way unread.
+/// Flow-control window of one stream, in bytes.
 ///
-/// Guards against a fault of the h2 library: where a window runs out while calls are given up, it
-/// counts their bytes twice and ends the process. The largest message is a configuration of about
-/// 100 KiB, so that neither window ever runs out.
+/// Large enough that it is never exhausted: if a window is exhausted while calls are abandoned, a
+/// bug of the h2 library counts their bytes twice and ends the process. The largest message is a
+/// configuration of about 100 KiB.
 pub(super) const STREAM_WINDOW: u32 = 1024 * 1024;
 
-/// Bytes of a whole connection that may be on their way unread; bounds what a peer can make this
-/// process buffer.
+/// Flow-control window of a whole connection, in bytes; limits how much a peer can make this process
+/// buffer. Like [`STREAM_WINDOW`], it must never be exhausted.
 pub(super) const CONNECTION_WINDOW: u32 = 16 * 1024 * 1024;
 
-/// Largest set of headers of a call, in bytes.
+/// Largest header list of a call, in bytes.
 pub(super) const HEADER_BYTES: u32 = 8 * 1024;
 
-/// Longest reason of a refusal that is sent, in bytes.
+/// Longest explanation sent with a refusal, in bytes; longer ones are truncated.
 pub(super) const REASON_BYTES: usize = 1024;
