--- a/tests/process/http.rs
+++ b/tests/process/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server over real sockets, against honest and hostile clients.
+//! The HTTP server over real sockets, with correct and malicious clients.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown as Side, SocketAddr, TcpStream};
@@ -16,13 +16,13 @@
 
 use crate::support::{GENEROUS, run};
 
-/// Echoes path and body; `/hold` waits for the stop, `/stop` triggers it, `/freeze` keeps the whole
-/// process from doing anything until it is told to go on, and then triggers the stop. `/relieve` wants
-/// resting connections to close.
+/// Handler that echoes path and body. `/hold` waits for the stop, `/stop` triggers it, and `/freeze`
+/// blocks the server's thread until `resume` receives a message and then triggers the stop. `/relieve`
+/// triggers the signal that closes idle connections.
 struct Echo {
     stop: Shutdown,
     close_idle: Shutdown,
-    thaw: mpsc::Receiver<()>,
+    resume: mpsc::Receiver<()>,
 }
 
 impl Handler for Echo {
@@ -32,7 +32,7 @@
                 "/stop" => self.stop.trigger(),
                 "/relieve" => self.close_idle.trigger(),
                 "/freeze" => {
-                    self.thaw.recv().unwrap();
+                    self.resume.recv().unwrap();
                     self.stop.trigger();
                 }
                 "/hold" => self.stop.wait().await,
@@ -51,52 +51,52 @@
     }
 }
 
-struct Running {
+struct TestServer {
     addr: SocketAddr,
-    thaw: mpsc::Sender<()>,
+    resume: mpsc::Sender<()>,
     thread: JoinHandle<()>,
 }
 
-fn serve(limits: Limits) -> Running {
+fn serve(limits: Limits) -> TestServer {
     let (sender, receiver) = mpsc::channel();
-    let (thaw, thawed) = mpsc::channel();
+    let (resume, resumed) = mpsc::channel();
     let thread = std::thread::spawn(move || {
         run(async move {
             let server = Server::bind("127.0.0.1:0".parse().unwrap(), limits).unwrap();
             sender.send(server.local_addr().unwrap()).unwrap();
             let stop = Shutdown::new();
             let handler =
-                Rc::new(Echo { stop: stop.clone(), close_idle: Shutdown::new(), thaw: thawed });
+                Rc::new(Echo { stop: stop.clone(), close_idle: Shutdown::new(), resume: resumed });
             server.serve(handler, stop, GENEROUS).await;
         });
     });
-    Running { addr: receiver.recv().unwrap(), thaw, thread }
+    TestServer { addr: receiver.recv().unwrap(), resume, thread }
 }
 
-impl Running {
+impl TestServer {
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.addr).unwrap();
         stream.set_read_timeout(Some(GENEROUS)).unwrap();
         stream
     }
 
-    /// Whether the server answers a new connection within a moment.
-    fn is_taking_connections(&self) -> bool {
+    /// Whether the server answers a request on a new connection within 0.2 s.
+    fn answers_new_connection(&self) -> bool {
         let mut stream = self.connect();
         stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
         stream.write_all(b"GET /probe HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
         stream.read(&mut [0; 100]).is_ok()
     }
 
-    /// Sends `bytes` and reads until the server closes.
-    fn converse(&self, bytes: &[u8]) -> String {
+    /// Sends `bytes` on a new connection and reads until the server closes it.
+    fn exchange(&self, bytes: &[u8]) -> String {
         let mut stream = self.connect();
         stream.write_all(bytes).unwrap();
         read_all(&mut stream)
     }
 
     fn stop(self) {
-        self.converse(STOP);
+        self.exchange(STOP);
         self.thread.join().unwrap();
     }
 }
@@ -157,14 +157,14 @@
     server.stop();
 }
 
-fn small() -> Limits {
+fn small_limits() -> Limits {
     Limits { head_bytes: 4096, body_bytes: 10_000, ..Limits::default() }
 }
 
 #[test]
 fn serve_pipelined() {
     let server = serve(Limits::default());
-    let answer = server.converse(
+    let answer = server.exchange(
         b"POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\nhi\
           GET /b HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n",
     );
@@ -176,7 +176,7 @@
 #[test]
 fn serve_chunked() {
     let server = serve(Limits::default());
-    let answer = server.converse(
+    let answer = server.exchange(
         b"POST /a HTTP/1.1\r\nhost: x\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n\
           3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n",
     );
@@ -198,40 +198,40 @@
 
 #[test]
 fn serve_oversize_head() {
-    let server = serve(small());
+    let server = serve(small_limits());
     let mut request = b"GET / HTTP/1.1\r\nhost: x\r\nlong: ".to_vec();
     request.resize(20_000, b'a');
-    assert!(server.converse(&request).starts_with("HTTP/1.1 431 "));
+    assert!(server.exchange(&request).starts_with("HTTP/1.1 431 "));
     server.stop();
 }
 
 #[test]
 fn serve_oversize_chunks() {
-    let server = serve(small());
+    let server = serve(small_limits());
     let mut request = b"POST / HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n".to_vec();
     for _ in 0..11 {
         request.extend_from_slice(b"3E8\r\n");
         request.resize(request.len() + 1000, b'a');
         request.extend_from_slice(b"\r\n");
     }
-    assert!(server.converse(&request).starts_with("HTTP/1.1 413 "));
+    assert!(server.exchange(&request).starts_with("HTTP/1.1 413 "));
     server.stop();
 }
 
-// A caller announces a chunk far beyond the bound and keeps sending it. The server must answer
+// A client declares a chunk far beyond the size limit and keeps sending. The server must refuse it
 // before it has buffered the chunk.
 #[test]
 fn serve_endless_chunk() {
-    let server = serve(small());
+    let server = serve(small_limits());
     let mut request = b"POST / HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n".to_vec();
     request.extend_from_slice(b"FFFFFFFF\r\n");
     request.resize(request.len() + 150_000, b'a');
-    assert!(server.converse(&request).starts_with("HTTP/1.1 413 "));
+    assert!(server.exchange(&request).starts_with("HTTP/1.1 413 "));
     server.stop();
 }
 
-// A caller sends its head one byte at a time and never ends it. Each byte comes in time, the whole
-// does not: the connection must not be held for as long as the caller likes.
+// A client sends its head one byte at a time and never ends it. The read timeout must apply to the whole
+// message, not to each read, or the client could hold the connection for as long as it likes.
 #[test]
 fn serve_slow_head() {
     let limits = Limits { read_timeout: Duration::from_millis(200), ..Limits::default() };
@@ -257,7 +257,7 @@
 fn serve_idle(request: &[u8]) {
     let short = Duration::from_millis(100);
     let server = serve(Limits { read_timeout: short, idle_timeout: short, ..Limits::default() });
-    let answer = server.converse(request);
+    let answer = server.exchange(request);
     assert_eq!(answer.contains("200 OK"), !request.is_empty());
     server.stop();
 }
@@ -268,68 +268,70 @@
     let mut first = server.connect();
     first.write_all(b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
     read_until(&mut first, "/a ");
-    let refused = server.converse(b"GET /b HTTP/1.1\r\nhost: x\r\n\r\n");
+    let refused = server.exchange(b"GET /b HTTP/1.1\r\nhost: x\r\n\r\n");
     assert!(refused.starts_with("HTTP/1.1 503 "), "{refused}");
     assert!(refused.contains("retry-after: 1\r\n"), "{refused}");
     drop(first);
     let begin = Instant::now();
-    while !server.converse(STOP).contains("/stop ") {
+    while !server.exchange(STOP).contains("/stop ") {
         assert!(begin.elapsed() < GENEROUS);
     }
     server.thread.join().unwrap();
 }
 
-// An operator stops the process at a busy moment. One request is being handled; one has just come in
-// on a connection that rested; one is in a connection that the process has not yet accepted. All get
-// their whole answers; a resting connection closes; nobody can connect any more.
+// The server is stopped while one request is being handled, one has just arrived on an idle connection,
+// and one waits on a connection that is not accepted yet. All three get complete responses, an idle
+// connection closes, and new connections are refused.
 #[test]
 fn serve_graceful_stop() {
     let server = serve(Limits::default());
-    let mut resting = server.connect();
-    let mut busy = server.connect();
-    for stream in [&mut resting, &mut busy] {
+    let mut idle = server.connect();
+    let mut reused = server.connect();
+    for stream in [&mut idle, &mut reused] {
         stream.write_all(b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
         read_until(stream, "/a ");
     }
-    let mut held = server.connect();
-    held.write_all(b"GET /hold HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
-    let mut freezing = server.connect();
-    freezing.write_all(b"GET /freeze HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
-    while server.is_taking_connections() {}
-    busy.write_all(b"GET /late HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
+    let mut in_flight = server.connect();
+    in_flight.write_all(b"GET /hold HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
+    let mut blocking = server.connect();
+    blocking.write_all(b"GET /freeze HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
+    while server.answers_new_connection() {}
+    reused.write_all(b"GET /late HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
     let mut waiting = server.connect();
     waiting.write_all(b"GET /new HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
-    server.thaw.send(()).unwrap();
-    for (stream, body) in [(&mut held, "/hold "), (&mut busy, "/late "), (&mut waiting, "/new ")] {
+    server.resume.send(()).unwrap();
+    for (stream, body) in
+        [(&mut in_flight, "/hold "), (&mut reused, "/late "), (&mut waiting, "/new ")]
+    {
         let answer = read_all(stream);
         assert!(answer.contains("connection: close\r\n"), "{answer}");
         assert!(answer.ends_with(body), "{answer}");
     }
-    assert_eq!(read_all(&mut resting), "");
+    assert_eq!(read_all(&mut idle), "");
     server.thread.join().unwrap();
-    // A child process that another test is just starting may hold the listener for a moment.
+    // A child process that another test has just started may briefly keep the listener open.
     let begin = Instant::now();
     while TcpStream::connect(server.addr).is_ok() {
         assert!(begin.elapsed() < GENEROUS);
     }
 }
 
-// Two daemons are set to one address by mistake. The second must say so rather than take half of
-// the first one's connections.
-/// A failure domain is cut off. Its instances refuse each call, but their callers keep the connection
-/// and begin the next call at the same instance. So connections that rest are closed.
+/// Instances of a partitioned failure domain refuse each call, but callers that reuse their connections
+/// would call the same instance again. Idle connections are therefore closed.
 #[test]
-fn serve_relieved_closes_resting_connections() {
+fn serve_close_idle_signal_closes_idle_connections() {
     let server = serve(Limits::default());
-    let mut resting = server.connect();
-    resting.write_all(b"GET /first HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
-    read_until(&mut resting, "/first ");
-    server.converse(b"GET /relieve HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-    assert_eq!(resting.read(&mut [0; 100]).unwrap(), 0, "the server ends it");
-    assert!(server.is_taking_connections(), "new ones are welcome");
+    let mut idle = server.connect();
+    idle.write_all(b"GET /first HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
+    read_until(&mut idle, "/first ");
+    server.exchange(b"GET /relieve HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
+    assert_eq!(idle.read(&mut [0; 100]).unwrap(), 0, "the server closes the idle connection");
+    assert!(server.answers_new_connection(), "the server still accepts new connections");
     server.stop();
 }
 
+// Two daemons are configured with the same address. Binding must fail for the second one, or it would
+// receive half of the first one's connections.
 #[test]
 fn bind_taken_address() {
     let server = serve(Limits::default());
--- a/tests/process/http_client.rs
+++ b/tests/process/http_client.rs
@@ -1,4 +1,5 @@
-//! The HTTP client over real sockets, against servers that answer short, late, crossed or not at all.
+//! The HTTP client over real sockets, with servers whose responses are truncated, late, repeated or
+//! missing.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,9 +14,9 @@
 
 use crate::support::{GENEROUS, UNUSED, run};
 
-const WHOLE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const COMPLETE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-/// Runs `script` with a listener in a thread of its own.
+/// Runs `script` with a new listener in a separate thread.
 fn serve<T: Send + 'static>(
     script: impl FnOnce(TcpListener) -> T + Send + 'static,
 ) -> (SocketAddr, JoinHandle<T>) {
@@ -30,7 +31,7 @@
     stream
 }
 
-/// Reads one request without body; `false` when the client has closed.
+/// Reads one request without a body; returns `false` if the client has closed the connection.
 fn read_request(stream: &mut TcpStream) -> bool {
     let mut request = Vec::new();
     let mut part = [0; 4096];
@@ -60,23 +61,23 @@
     client.send(addr, get("/"), GENEROUS).await.map(::http::Response::into_body)
 }
 
-/// Calls of a burst, each on a connection of its own.
-const AT_ONCE: usize = 8;
+/// Concurrent calls of a burst, each on a separate connection.
+const BURST_CALLS: usize = 8;
 
-/// Takes one request on each connection of a burst, before any is answered.
+/// Accepts the connections of a burst and reads one request from each, answering none.
 fn accept_burst(listener: &TcpListener) -> Vec<TcpStream> {
-    let mut streams: Vec<TcpStream> = (0..AT_ONCE).map(|_| accept(listener)).collect();
+    let mut streams: Vec<TcpStream> = (0..BURST_CALLS).map(|_| accept(listener)).collect();
     for stream in &mut streams {
         assert!(read_request(stream));
     }
     streams
 }
 
-/// Sends a burst with a client that lets connections rest for 0.2 s.
+/// Sends a burst with a client that reuses connections for 0.2 s.
 async fn send_burst(addr: SocketAddr) -> Client {
     let idle_timeout = Duration::from_millis(400);
     let client = Client::new(Limits { idle_timeout, ..Limits::default() });
-    let calls = (0..AT_ONCE).map(|_| send(&client, addr));
+    let calls = (0..BURST_CALLS).map(|_| send(&client, addr));
     for answer in futures_util::future::join_all(calls).await {
         assert_eq!(answer.unwrap(), "ok");
     }
@@ -89,7 +90,7 @@
         let mut stream = accept(&listener);
         for _ in 0..3 {
             assert!(read_request(&mut stream));
-            stream.write_all(WHOLE).unwrap();
+            stream.write_all(COMPLETE).unwrap();
         }
     });
     run(async {
@@ -145,8 +146,8 @@
     assert_eq!((error.phase, error.sent), (CallPhase::Connect, false));
 }
 
-// A server answers the first request only after its caller has given up, and the second caller is
-// already there. The second caller must get the answer to its own request.
+// A server answers a request after its call has timed out, while a second call is in flight. The second
+// call must get the response to its own request.
 #[test]
 fn send_late_answer() {
     let (addr, server) = serve(|listener| {
@@ -155,7 +156,7 @@
         let mut own = accept(&listener);
         let _ = late.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nlate");
         assert!(read_request(&mut own));
-        own.write_all(WHOLE).unwrap();
+        own.write_all(COMPLETE).unwrap();
     });
     run(async {
         let client = Client::new(Limits::default());
@@ -167,75 +168,75 @@
     server.join().unwrap();
 }
 
-// A server sends two answers to one request, the second at once or a moment later. The next caller
-// must not get it, so that the connection is given up.
+// A server sends two responses to one request, together or one after the other. The next call must not
+// get the second one, so that the client must not reuse the connection.
 #[test_case(false; "at once")]
 #[test_case(true; "a moment later")]
 fn send_extra_answer(later: bool) {
     let extra = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nextra";
-    let (proceed, proceeded) = mpsc::channel::<()>();
-    let (done, is_done) = mpsc::channel();
+    let (send_extra, may_send_extra) = mpsc::channel::<()>();
+    let (answered, was_answered) = mpsc::channel();
     let (addr, server) = serve(move |listener| {
         let mut first = accept(&listener);
         assert!(read_request(&mut first));
         if later {
-            first.write_all(WHOLE).unwrap();
-            proceeded.recv().unwrap();
+            first.write_all(COMPLETE).unwrap();
+            may_send_extra.recv().unwrap();
             first.write_all(extra).unwrap();
         } else {
-            first.write_all(&[WHOLE, extra].concat()).unwrap();
+            first.write_all(&[COMPLETE, extra].concat()).unwrap();
         }
-        done.send(()).unwrap();
+        answered.send(()).unwrap();
         let mut second = accept(&listener);
         assert!(read_request(&mut second));
-        second.write_all(WHOLE).unwrap();
+        second.write_all(COMPLETE).unwrap();
     });
     run(async {
         let client = Client::new(Limits::default());
         assert_eq!(send(&client, addr).await.unwrap(), "ok");
-        proceed.send(()).unwrap();
-        is_done.recv().unwrap();
-        // Lets the runtime see what the system has already received.
+        send_extra.send(()).unwrap();
+        was_answered.recv().unwrap();
+        // Lets the runtime process the data that the system has already received.
         monoio::time::sleep(Duration::from_millis(1)).await;
         assert_eq!(send(&client, addr).await.unwrap(), "ok");
     });
     server.join().unwrap();
 }
 
-// A server closes a resting connection without a word. The next request finds that out before it
-// sends anything, and goes out on a fresh connection: its caller sees no error.
+// A server closes an idle connection. The client must detect that before it sends the next request, and
+// send it on a new connection without an error.
 #[test]
-fn send_closed_while_resting() {
-    let (done, is_done) = mpsc::channel();
+fn send_closed_while_idle() {
+    let (answered, was_answered) = mpsc::channel();
     let (addr, server) = serve(move |listener| {
         for _ in 0..2 {
             let mut stream = accept(&listener);
             assert!(read_request(&mut stream));
-            stream.write_all(WHOLE).unwrap();
+            stream.write_all(COMPLETE).unwrap();
             drop(stream);
-            done.send(()).unwrap();
+            answered.send(()).unwrap();
         }
     });
     run(async {
         let client = Client::new(Limits::default());
         for _ in 0..2 {
             assert_eq!(send(&client, addr).await.unwrap(), "ok");
-            is_done.recv().unwrap();
+            was_answered.recv().unwrap();
             monoio::time::sleep(Duration::from_millis(1)).await;
         }
     });
     server.join().unwrap();
 }
 
-/// An instance owned a cell, sent many orders to one worker at once, and was replaced. It calls that
-/// worker no more, and kept its 32 connections for as long as it lived: sweeping took place beside
-/// calls alone. The worker takes 64 in all, and reset the orders of the owner after the next.
+/// When idle connections were closed only during calls, an instance that had sent many commands to a
+/// worker at once and then lost its cell kept its 32 connections to that worker open. The worker accepts
+/// 64 in total and reset the commands of the second owner after it.
 #[test]
-fn send_rested_connections_closed_without_further_calls() {
+fn send_idle_connections_closed_without_further_calls() {
     let (addr, server) = serve(|listener| {
         let mut streams = accept_burst(&listener);
         for stream in &mut streams {
-            stream.write_all(WHOLE).unwrap();
+            stream.write_all(COMPLETE).unwrap();
         }
         streams.iter_mut().all(|stream| !read_request(stream))
     });
@@ -245,37 +246,37 @@
             monoio::time::sleep(Duration::from_millis(50)).await;
         }
     });
-    assert!(server.join().unwrap(), "each connection is closed by the client");
+    assert!(server.join().unwrap(), "the client closes each connection");
 }
 
-/// An owner always has a long poll out at each worker. What a burst of orders had opened beside it was
-/// never closed, since a peer in use was left out when connections at rest were closed.
+/// An owner always has a long poll in flight at each worker. When pools in use were skipped by the sweep,
+/// the connections that a burst of commands had opened were never closed.
 #[test]
-fn send_rested_connections_closed_beside_a_long_call() {
+fn send_idle_connections_closed_during_a_long_call() {
     let (addr, server) = serve(|listener| {
         let mut streams = accept_burst(&listener);
         let (long, others) = streams.split_first_mut().unwrap();
         for stream in others.iter_mut() {
-            stream.write_all(WHOLE).unwrap();
+            stream.write_all(COMPLETE).unwrap();
         }
         let closed = others.iter_mut().all(|stream| !read_request(stream));
-        long.write_all(WHOLE).unwrap();
+        long.write_all(COMPLETE).unwrap();
         closed
     });
     run(async {
         send_burst(addr).await;
     });
-    assert!(server.join().unwrap(), "each connection at rest is closed by the client");
+    assert!(server.join().unwrap(), "the client closes each idle connection");
 }
 
-// A server takes a request on a kept connection and closes without an answer. It may have acted on
-// it: the caller is told so, and the request is not sent a second time.
+// A server reads a request on a reused connection and closes it without a response. It may have acted
+// on the request: the error must report it as sent, and the client must not send it again.
 #[test]
 fn send_closed_without_answer() {
     let (addr, server) = serve(|listener| {
         let mut stream = accept(&listener);
         assert!(read_request(&mut stream));
-        stream.write_all(WHOLE).unwrap();
+        stream.write_all(COMPLETE).unwrap();
         assert!(read_request(&mut stream));
         drop(stream);
         listener.set_nonblocking(true).unwrap();
@@ -291,14 +292,14 @@
     assert!(listener.accept().is_err(), "the request was sent again");
 }
 
-// A caller goes away while its answer is awaited. Its connection must be closed, not handed on.
+// A call is dropped while it waits for its response. Its connection must be closed, not reused.
 #[test]
 fn send_abandoned() {
-    let (taken, is_taken) = mpsc::channel();
+    let (received, was_received) = mpsc::channel();
     let (addr, server) = serve(move |listener| {
         let mut stream = accept(&listener);
         assert!(read_request(&mut stream));
-        taken.send(()).unwrap();
+        received.send(()).unwrap();
         read_request(&mut stream)
     });
     run(async {
@@ -306,9 +307,9 @@
         let call = client.send(addr, get("/"), GENEROUS);
         let abandoned = monoio::time::timeout(Duration::from_millis(250), call).await;
         assert!(abandoned.is_err());
-        is_taken.recv().unwrap();
+        was_received.recv().unwrap();
     });
-    assert!(!server.join().unwrap(), "another request came");
+    assert!(!server.join().unwrap(), "another request was sent on the connection");
 }
 
 #[test]
--- a/tests/process/peer.rs
+++ b/tests/process/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between instances over real sockets, against honest, slow, dead and hostile peers.
+//! Calls between instances over real sockets, with correct, slow, frozen and malicious peers.
 
 use std::cell::{Cell, RefCell};
 use std::io::{ErrorKind, Read, Write};
@@ -19,11 +19,12 @@
 
 use crate::support::{GENEROUS, UNUSED, run};
 
-/// `double` doubles a number, `echo` returns the body, `hold` waits for the gate.
+/// Handler whose method `double` doubles a number, `echo` returns the body, and `hold` returns it once
+/// `gate` is triggered.
 #[derive(Default)]
 struct Service {
     gate: Shutdown,
-    held: Cell<usize>,
+    waiting_calls: Cell<usize>,
     methods: RefCell<Vec<String>>,
 }
 
@@ -41,7 +42,7 @@
                 "double" => Ok(codec::encode(&(codec::decode::<u64>(&body).unwrap() * 2)).unwrap()),
                 "echo" => Ok(body),
                 "hold" => {
-                    self.held.set(self.held.get() + 1);
+                    self.waiting_calls.set(self.waiting_calls.get() + 1);
                     self.gate.wait().await;
                     Ok(body)
                 }
@@ -52,19 +53,19 @@
     }
 }
 
-struct Running {
+struct TestServer {
     addr: SocketAddr,
     service: Rc<Service>,
     stop: Shutdown,
     ended: Shutdown,
 }
 
-fn serve(limits: Limits) -> Running {
+fn serve(limits: Limits) -> TestServer {
     serve_at("127.0.0.1:0".parse().unwrap(), limits)
 }
 
-fn serve_at(addr: SocketAddr, limits: Limits) -> Running {
-    // A child process that another test is just starting may hold an earlier listener for a moment.
+fn serve_at(addr: SocketAddr, limits: Limits) -> TestServer {
+    // A child process that another test has just started may briefly keep an inherited listener open.
     let begin = Instant::now();
     let server = loop {
         match Server::bind(addr, limits) {
@@ -82,7 +83,7 @@
         serving.await;
         done.trigger();
     });
-    Running { addr, service, stop, ended }
+    TestServer { addr, service, stop, ended }
 }
 
 #[test]
@@ -158,8 +159,8 @@
     assert_eq!((error.phase, error.sent), (CallPhase::Connect, false));
 }
 
-// A caller stops waiting for a slow answer. The answer comes later, while other calls are out on
-// the same connection: it must reach none of them.
+// A call times out and its response arrives later, while other calls use the same connection. It must
+// reach none of them.
 #[test]
 fn call_late_answer() {
     run(async {
@@ -176,25 +177,25 @@
     });
 }
 
-// An instance is told to stop while a call is in its hands. The caller still gets its whole answer,
-// and a call after that surely never reached the instance.
+// The server is stopped while it handles a call. That call still gets its response; later calls fail
+// and are reported as not sent.
 #[test]
 fn serve_graceful_stop() {
     run(async {
         let server = serve(Limits::default());
         let client = Rc::new(Client::new(Limits::default()));
-        let held = monoio::spawn({
+        let waiting_calls = monoio::spawn({
             let (client, addr) = (client.clone(), server.addr);
             async move { client.call::<_, u64>(addr, "hold", &7_u64, GENEROUS).await }
         });
-        while server.service.held.get() == 0 {
+        while server.service.waiting_calls.get() == 0 {
             monoio::time::sleep(Duration::from_millis(1)).await;
         }
         server.stop.trigger();
         server.service.gate.trigger();
-        assert_eq!(held.await, Ok(7));
+        assert_eq!(waiting_calls.await, Ok(7));
         server.ended.wait().await;
-        // A child process that another test is just starting may hold the listener for a moment.
+        // A child process that another test has just started may briefly keep the listener open.
         while client.call::<_, u64>(server.addr, "double", &1_u64, GENEROUS).await.unwrap_err().sent
         {
             monoio::time::sleep(Duration::from_millis(1)).await;
@@ -203,19 +204,19 @@
     });
 }
 
-/// Probes often enough for a test.
-fn eager() -> Limits {
+/// Limits with a probe interval short enough for a test.
+fn frequent_probes() -> Limits {
     Limits { keepalive: Duration::from_millis(100), ..Limits::default() }
 }
 
-// An instance freezes: its sockets stay open and its kernel acknowledges, its process does nothing.
-// Callers with long timeouts must learn of it by the probes, and must not be told "not sent".
+// The peer's process is frozen: its sockets stay open and its kernel acknowledges data. Unanswered
+// probes must fail the calls long before their timeouts, as calls that may have been sent.
 #[test]
 fn call_frozen_peer() {
     let frozen = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = frozen.local_addr().unwrap();
     run(async {
-        let client = Client::new(eager());
+        let client = Client::new(frequent_probes());
         let calls =
             [1_u64; 3].each_ref().map(|n| client.call::<_, u64>(addr, "double", n, GENEROUS * 10));
         let begin = Instant::now();
@@ -227,15 +228,15 @@
     });
 }
 
-// An instance freezes and another takes its address. After the probes have given the frozen one up,
-// calls must reach the new one.
+// A frozen peer is replaced by another one at the same address. Once unanswered probes have closed the
+// connection, calls must reach the new peer.
 #[test]
 fn call_replaced_peer() {
-    // An address of its own, so that no other test takes the port while it is free.
+    // Uses a separate address, so that no other test takes the port while it is free.
     let frozen = std::net::TcpListener::bind("127.0.0.77:0").unwrap();
     let addr = frozen.local_addr().unwrap();
     run(async {
-        let client = Client::new(eager());
+        let client = Client::new(frequent_probes());
         client.call::<_, u64>(addr, "double", &1_u64, GENEROUS * 10).await.unwrap_err();
         drop(frozen);
         let server = serve_at(addr, Limits::default());
@@ -244,22 +245,22 @@
     });
 }
 
-// An instance is paused for a while with calls in its hands, and then goes on and answers them. Its
-// callers have long been told "unknown", and the late answers must reach no later call.
+// A peer's process is paused with calls in flight, which may fail with an unknown outcome. After it resumes,
+// its late responses must reach no later call.
 #[test]
 fn call_paused_peer() {
-    let (thaw, thawed) = mpsc::channel();
+    let (resume, resumed) = mpsc::channel();
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
         run(async move {
             let server = Server::bind("127.0.0.1:0".parse().unwrap(), Limits::default()).unwrap();
             sender.send(server.local_addr().unwrap()).unwrap();
-            server.serve(Rc::new(Paused { thawed }), Shutdown::new(), GENEROUS).await;
+            server.serve(Rc::new(Paused { resumed }), Shutdown::new(), GENEROUS).await;
         });
     });
     let addr = receiver.recv().unwrap();
     run(async {
-        let client = Client::new(eager());
+        let client = Client::new(frequent_probes());
         assert_eq!(client.call::<_, u64>(addr, "echo", &1_u64, GENEROUS).await, Ok(1));
         let calls = ["echo", "pause", "echo"].map(|method| {
             let client = &client;
@@ -268,16 +269,16 @@
         for answer in join_all(calls).await {
             assert!(answer.is_ok() || answer.is_err_and(|error| error.sent));
         }
-        thaw.send(()).unwrap();
+        resume.send(()).unwrap();
         for n in 10..20_u64 {
             assert_eq!(client.call::<_, u64>(addr, "echo", &n, GENEROUS).await, Ok(n));
         }
     });
 }
 
-/// Echoes; `pause` keeps the whole process from doing anything until it is told to go on.
+/// Echoes the body; `pause` blocks the server's thread until `resumed` receives a message.
 struct Paused {
-    thawed: mpsc::Receiver<()>,
+    resumed: mpsc::Receiver<()>,
 }
 
 impl Handler for Paused {
@@ -288,19 +289,20 @@
         body: Bytes,
     ) -> LocalBoxFuture<'_, Result<Bytes, Refusal>> {
         if method == "pause" {
-            self.thawed.recv().unwrap();
+            self.resumed.recv().unwrap();
         }
         async { Ok(body) }.boxed_local()
     }
 }
 
-// A handler takes many times longer than the rest between two probes. The peer lives, so that its
-// answer must be waited for.
+// A handler takes many times the probe interval. The peer still answers probes, so that the client must
+// wait for the response.
 #[test]
 fn call_slow_handler() {
     run(async {
         let server = serve(Limits::default());
-        let client = Client::new(Limits { keepalive: Duration::from_millis(20), ..eager() });
+        let client =
+            Client::new(Limits { keepalive: Duration::from_millis(20), ..frequent_probes() });
         let gate = server.service.gate.clone();
         monoio::spawn(async move {
             monoio::time::sleep(Duration::from_millis(400)).await;
@@ -310,8 +312,8 @@
     });
 }
 
-// Callers give up their calls at once and call again, while the handlers of the first calls still
-// run. The handlers are bounded: a call beyond the bound is turned away and surely did not run.
+// Calls time out while their handlers still run, and more calls follow. The number of running handlers
+// is limited: a call beyond the limit is rejected as busy and certainly has not run.
 #[test]
 fn call_beyond_bound() {
     run(async {
@@ -322,7 +324,7 @@
             let error = client.call::<_, u64>(server.addr, "hold", &n, short).await.unwrap_err();
             assert_eq!(error.phase, CallPhase::Timeout);
         }
-        assert_eq!(server.service.held.get(), 2);
+        assert_eq!(server.service.waiting_calls.get(), 2);
         let error = client.call::<_, u64>(server.addr, "double", &1_u64, GENEROUS).await;
         let error = error.unwrap_err();
         assert!(!error.sent);
@@ -335,8 +337,8 @@
     });
 }
 
-// Strangers connect and say nothing, or nonsense that begins like the protocol. They are let go in
-// bounded time, and calls of honest peers are answered all the while.
+// Malicious clients connect and send nothing, or random frames after a valid preface. The server must
+// close their connections in bounded time and meanwhile answer correct peers.
 #[test]
 fn serve_hostile_frames() {
     run(async {
@@ -344,17 +346,18 @@
         let limits = Limits { read_timeout: short, idle_timeout: short, ..Limits::default() };
         let server = serve(limits);
         let addr = server.addr;
-        let strangers: Vec<_> = (0..16).map(|n| thread::spawn(move || hostile(addr, n))).collect();
+        let clients: Vec<_> =
+            (0..16).map(|n| thread::spawn(move || send_hostile(addr, n))).collect();
         let client = Client::new(Limits::default());
-        while !strangers.iter().all(thread::JoinHandle::is_finished) {
+        while !clients.iter().all(thread::JoinHandle::is_finished) {
             match client.call::<_, u64>(addr, "double", &4_u64, GENEROUS).await {
                 Ok(answer) => assert_eq!(answer, 8),
-                // The server closes connections that rest, also this one when the machine is slow.
+                // On a slow machine the server may close this connection as idle.
                 Err(error) => assert!(!error.sent, "{error}"),
             }
         }
-        for stranger in strangers {
-            stranger.join().unwrap();
+        for client_thread in clients {
+            client_thread.join().unwrap();
         }
     });
 }
@@ -362,14 +365,14 @@
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 const SETTINGS: &[u8] = &[0, 0, 0, 4, 0, 0, 0, 0, 0];
 
-fn hostile(addr: SocketAddr, thread: u64) {
+fn send_hostile(addr: SocketAddr, thread: u64) {
     for n in 0..8 {
-        hostile_connection(addr, thread * 8 + n);
+        send_hostile_frames(addr, thread * 8 + n);
     }
 }
 
 /// Sends frames drawn from `seed` and waits for the server to close.
-fn hostile_connection(addr: SocketAddr, seed: u64) {
+fn send_hostile_frames(addr: SocketAddr, seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut stream = std::net::TcpStream::connect(addr).unwrap();
     stream.set_read_timeout(Some(GENEROUS)).unwrap();
@@ -384,7 +387,9 @@
     let _ = stream.write_all(&bytes);
     let mut answer = Vec::new();
     match stream.read_to_end(&mut answer) {
-        Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("seed {seed} is kept"),
+        Err(error) if error.kind() == ErrorKind::WouldBlock => {
+            panic!("the server kept the connection of seed {seed} open")
+        }
         _ => {}
     }
 }
