--- a/src/telemetry/instrumented.rs
+++ b/src/telemetry/instrumented.rs
@@ -1,6 +1,7 @@
-//! Borders to the outside with their calls counted and timed.
+//! Wrappers that count and time the calls to external services.
 //!
-//! Each type wraps the adapter of one border and is one itself, so that neither side knows.
+//! Each type wraps the implementation of a trait and implements the same trait, so that neither the
+//! caller nor the wrapped implementation changes.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,7 +17,7 @@
 use crate::store::{self, AppendOutcome, Offset, Page};
 use crate::worker::{self, Exchange, Fault, Report};
 
-/// The platform's log, measured.
+/// Records metrics of calls to the platform's log.
 pub struct Store(pub Rc<dyn store::Store>);
 
 impl store::Store for Store {
@@ -27,7 +28,7 @@
     ) -> LocalBoxFuture<'a, Result<Offset, store::Error>> {
         names::LOG_APPEND_BYTES.add(payload.len() as u64, &[]);
         let append = self.0.append(stream, payload);
-        measured(append, names::LOG_APPENDS, names::LOG_APPEND, |result| match result {
+        timed(append, names::LOG_APPENDS, names::LOG_APPEND, |result| match result {
             Ok(_) => "written",
             Err(error) if error.outcome == AppendOutcome::NotWritten => "not_written",
             Err(_) => "unknown",
@@ -48,7 +49,7 @@
     }
 }
 
-/// The workers, measured.
+/// Records metrics of exchanges with workers.
 pub struct Workers(pub Rc<dyn worker::WorkerTransport>);
 
 impl worker::WorkerTransport for Workers {
@@ -68,7 +69,7 @@
     }
 }
 
-/// The runners, measured.
+/// Records metrics of calls to runners.
 pub struct Runners(pub Rc<dyn runner::RunnerTransport>);
 
 impl runner::RunnerTransport for Runners {
@@ -79,7 +80,7 @@
         timeout: Duration,
     ) -> LocalBoxFuture<'a, Result<runner::Answer, runner::Error>> {
         let call = self.0.call(peer, call, timeout);
-        measured(call, names::RUNNER_CALLS, names::RUNNER_CALL, |result| {
+        timed(call, names::RUNNER_CALLS, names::RUNNER_CALL, |result| {
             match result.as_ref().map_err(|e| &e.fault) {
                 Ok(_) => "answered",
                 Err(runner::Fault::NotSent(_)) => "not_sent",
@@ -90,7 +91,7 @@
     }
 }
 
-/// The platform's list of instances, measured.
+/// Records metrics of fetches of the platform's instance list.
 pub struct List(pub Rc<dyn Source>);
 
 impl Source for List {
@@ -110,13 +111,13 @@
     call.inspect(move |result| counter.increment(&[("outcome", outcome(result))])).boxed_local()
 }
 
-fn measured<'a, T: 'a>(
+fn timed<'a, T: 'a>(
     call: LocalBoxFuture<'a, T>,
     counter: Counter,
-    span: Histogram,
+    histogram: Histogram,
     outcome: impl Fn(&T) -> &'static str + 'a,
 ) -> LocalBoxFuture<'a, T> {
-    let start = Instant::now();
-    let timed = call.inspect(move |_| span.record(start.elapsed(), &[])).boxed_local();
-    counted(timed, counter, outcome)
+    let started_at = Instant::now();
+    let recorded = call.inspect(move |_| histogram.record(started_at.elapsed(), &[])).boxed_local();
+    counted(recorded, counter, outcome)
 }
--- a/src/telemetry/instruments.rs
+++ b/src/telemetry/instruments.rs
@@ -1,12 +1,12 @@
-//! Metrics by what they count.
+//! Types of metrics: counters, gauges and histograms.
 
 use std::time::Duration;
 
-/// A label of one sample. Values must come from a small fixed set, never from callers: each new
-/// value is a new series that is kept for ever.
+/// Name and value of a label. Values must come from a small fixed set, never from callers: each new
+/// value creates a time series that is never removed.
 pub type Label = (&'static str, &'static str);
 
-/// A count that only rises.
+/// A count that only increases.
 #[derive(Clone, Copy, Debug)]
 pub struct Counter {
     pub(super) name: &'static str,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A value that rises and falls.
+/// A value that can increase and decrease.
 #[derive(Clone, Copy, Debug)]
 pub struct Gauge {
     pub(super) name: &'static str,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The distribution of a span, in seconds.
+/// The distribution of a duration, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Histogram {
     pub(super) name: &'static str,
@@ -55,9 +55,9 @@
 }
 
 impl Histogram {
-    /// Adds one span.
-    pub fn record(self, span: Duration, labels: &[Label]) {
-        metrics::histogram!(self.name, labels).record(span);
+    /// Records one duration.
+    pub fn record(self, duration: Duration, labels: &[Label]) {
+        metrics::histogram!(self.name, labels).record(duration);
     }
 
     pub(super) fn describe(self) {
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,7 +1,7 @@
-//! Figures of this process for the operators' metrics collector.
+//! Metrics of this process for the operators' metrics collector.
 //!
-//! [`start`] installs the recorder once a process; the daemon answers a scrape with
-//! [`Recorder::render`] over its own HTTP. [`names`] lists every metric there is.
+//! [`start`] installs the recorder once per process; the daemon's HTTP server answers a scrape with
+//! [`Recorder::render`]. [`names`] lists all metrics.
 
 pub mod instrumented;
 mod instruments;
@@ -13,17 +13,18 @@
 
 pub use instruments::{Counter, Gauge, Histogram, Label};
 
-/// Upper bounds of the buckets of histograms of spans, in seconds: from a decision to a lease.
+/// Upper bounds of the buckets of duration histograms, in seconds; they range from the time that a
+/// placement decision takes to the duration of a lease.
 const SECONDS: &[f64] = &[
     0.000_1, 0.000_3, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0, 100.0, 300.0,
     1_000.0,
 ];
 
-/// Metrics that could not be started.
+/// Error of starting the metrics recorder.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("step=telemetry.start cause={cause}")]
 pub struct Error {
-    /// Cause as text.
+    /// Human-readable cause.
     pub cause: String,
 }
 
@@ -33,11 +34,11 @@
     process: Collector,
 }
 
-/// Starts recording; once a process. Starts no thread.
+/// Installs the recorder of this process, without starting a thread.
 ///
 /// # Errors
 ///
-/// Fails when the process records already.
+/// Fails if a recorder is already installed.
 pub fn start() -> Result<Recorder, Error> {
     let buckets = Matcher::Suffix("_seconds".to_owned());
     let builder = PrometheusBuilder::new().set_buckets_for_metric(buckets, SECONDS);
@@ -50,15 +51,15 @@
 }
 
 impl Recorder {
-    /// Every metric in the Prometheus text format, with the processor time and memory of this
-    /// process as they stand.
+    /// Returns all metrics in the Prometheus text format, with the current CPU time and memory of this
+    /// process.
     pub fn render(&self) -> String {
         self.process.collect();
         self.handle.render()
     }
 
-    /// Folds the samples of histograms into their buckets, so that they stay within bounds where
-    /// nothing scrapes them. To be called every few seconds.
+    /// Aggregates the samples of histograms into their buckets, so that memory stays bounded if no
+    /// collector scrapes them. Must be called every few seconds.
     pub fn upkeep(&self) {
         self.handle.run_upkeep();
     }
--- a/src/telemetry/names.rs
+++ b/src/telemetry/names.rs
@@ -1,4 +1,4 @@
-//! Every metric of the scheduler with its meaning; the only place where a metric is named.
+//! Names and descriptions of all metrics of the scheduler, which are defined only here.
 
 use super::{Counter, Gauge, Histogram};
 
@@ -9,7 +9,7 @@
             pub const $name: $kind = $kind { name: $key, help: $help };
         )*
 
-        /// Tells the recorder what each metric means.
+        /// Registers the description of each metric with the recorder.
         pub(super) fn describe() {
             $($name.describe();)*
         }
@@ -18,29 +18,29 @@
 
 metrics! {
     OWNER: Gauge = "oriolefork_owner",
-        "One while this instance owns its failure domain, else zero.";
+        "1 while this instance owns its failure domain, otherwise 0.";
     OWNER_TERM: Gauge = "oriolefork_owner_term",
-        "Term of the failure domain's owner as this instance knows it.";
+        "Latest term of the failure domain's owner that this instance has received.";
     JOBS_WAITING: Gauge = "oriolefork_jobs_waiting",
         "Jobs of the failure domain that wait for placement.";
     OLDEST_WAIT: Gauge = "oriolefork_oldest_wait_seconds",
-        "How long the job that waits longest has waited for its first placement.";
+        "Longest time for which a job has been waiting for its first placement.";
     TASKS: Gauge = "oriolefork_tasks",
         "Tasks of the failure domain that have not ended, by state.";
     WORKERS: Gauge = "oriolefork_workers",
         "Workers by state; set by the owner.";
     PACKING: Gauge = "oriolefork_packing_ratio",
-        "Reserved share of what the workers have, by resource; set by the owner.";
+        "Reserved share of the workers' capacity, by resource; set by the owner.";
     PRESET_VERSION: Gauge = "oriolefork_preset_version",
         "Version of the configuration in force at this instance.";
     API_REQUESTS: Counter = "oriolefork_api_requests_total",
-        "Requests of callers and operators answered, by route and class of status.";
+        "Requests of callers and operators answered, by route and status class.";
     API_REQUEST: Histogram = "oriolefork_api_request_seconds",
-        "Time from a request's arrival to its answer, by route.";
+        "Time from a request's arrival to its response, by route.";
     LOG_APPENDS: Counter = "oriolefork_log_appends_total",
         "Appends to the platform's log, by outcome.";
     LOG_APPEND_BYTES: Counter = "oriolefork_log_append_bytes_total",
-        "Bytes given to the platform's log to append.";
+        "Bytes sent to the platform's log to append.";
     LOG_APPEND: Histogram = "oriolefork_log_append_seconds",
         "Time of one append to the platform's log.";
     LOG_READS: Counter = "oriolefork_log_reads_total",
@@ -52,23 +52,23 @@
     REQUESTS: Counter = "oriolefork_requests_total",
         "Quick requests answered, by outcome.";
     REQUEST: Histogram = "oriolefork_request_seconds",
-        "Time from a quick request's arrival to its answer.";
+        "Time from a quick request's arrival to its response.";
     REQUESTS_WAITING: Gauge = "oriolefork_requests_waiting",
         "Quick requests that wait for a runner's slot at this instance.";
     RUNNER_CALLS: Counter = "oriolefork_runner_calls_total",
         "Calls to runners, retries and hedges included, by outcome.";
     CELL_JOBS: Counter = "oriolefork_cell_jobs_total",
-        "Jobs of a cell, by what became of them; counted by the owner.";
+        "Jobs of a cell, by outcome; counted by the owner.";
     CELL_TRIES: Counter = "oriolefork_cell_tries_total",
-        "Tries to run tasks of a cell that are over, by how they ended; counted by the owner.";
+        "Ended attempts to run tasks of a cell, by outcome; counted by the owner.";
     CELL_CLAIMS: Counter = "oriolefork_cell_claims_total",
         "Claims of a cell by this instance, by outcome.";
     CELL_APPEND: Histogram = "oriolefork_cell_append_seconds",
-        "Time until a batch of the cell's journal was stored, repeats included.";
+        "Time until a batch of the cell's journal was stored, retries included.";
     CELL_DUTY: Counter = "oriolefork_cell_duty_microseconds_total",
-        "Time that the owner of a cell spent on each duty, as its thread was held by it.";
+        "Time for which each activity occupied the thread of a cell's owner.";
     CELL_DUTY_LONGEST: Gauge = "oriolefork_cell_duty_longest_seconds",
-        "Longest time in the last second for which a duty held the owner's thread.";
+        "Longest time in the last second for which one activity occupied the owner's thread.";
     RUNNER_CALL: Histogram = "oriolefork_runner_call_seconds",
         "Time of one call to a runner.";
 }
--- a/src/worker/http.rs
+++ b/src/worker/http.rs
@@ -1,4 +1,4 @@
-//! Exchanges with workers over HTTP/1.1 and JSON.
+//! Client that sends exchanges to workers as JSON over HTTP/1.1.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,13 +12,13 @@
 use super::{Error, Exchange, Fault, Report, WorkerTransport, wire};
 use crate::http;
 
-/// Reaches workers, each at its own address.
+/// Sends exchanges to workers, each at its own address.
 pub struct Client {
     http: Rc<http::Client>,
 }
 
 impl Client {
-    /// Reaches workers by `http`.
+    /// Creates a client that uses the connections of `http`.
     pub fn new(http: Rc<http::Client>) -> Self {
         Self { http }
     }
@@ -38,7 +38,7 @@
             .body(Bytes::from(body))
             .map_err(|error| Fault::NotSent(error.to_string()))?;
         let sent = self.http.send(peer, request, timeout + exchange.wait).await;
-        read(&sent.map_err(|error| fault(&error))?)
+        parse_response(&sent.map_err(|error| call_fault(&error))?)
     }
 }
 
@@ -54,11 +54,11 @@
     }
 }
 
-fn fault(error: &http::Error) -> Fault {
+fn call_fault(error: &http::Error) -> Fault {
     if error.sent { Fault::Unknown(error.to_string()) } else { Fault::NotSent(error.to_string()) }
 }
 
-fn read(response: &http::Response) -> Result<Report, Fault> {
+fn parse_response(response: &http::Response) -> Result<Report, Fault> {
     let unreadable = |error: serde_json::Error| Fault::Unknown(error.to_string());
     match response.status() {
         StatusCode::OK => {
--- a/src/worker/mod.rs
+++ b/src/worker/mod.rs
@@ -1,8 +1,8 @@
-//! The border to workers, the upstreams that run tasks under leases.
+//! Interface to workers, the upstreams that run tasks under leases.
 //!
-//! One exchange carries commands, renews the leases of the worker's tasks and returns what has
-//! changed there. Every command is idempotent, because an exchange whose answer was lost is sent
-//! again.
+//! One exchange sends commands, renews the leases of the worker's tasks and returns the tasks whose
+//! state has changed. All commands are idempotent, because an exchange whose response was lost is
+//! sent again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -44,105 +44,105 @@
     }
 }
 
-/// An instruction to a worker.
+/// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Run a task; a task already known by this identity stays as it is.
+    /// Run a task; has no effect if the worker already has a task with this identity.
     Start {
-        /// Identity of the try.
+        /// Identity of the attempt.
         task: task::Id,
-        /// What to reserve for it.
+        /// Resources to allocate to it.
         demand: Amount,
-        /// Opaque instruction from the job.
+        /// Opaque payload from the job.
         payload: String,
     },
-    /// Stop a task and release what it holds.
+    /// Stop a task and release its resources.
     Stop(task::Id),
-    /// Save a task's progress, then stop it.
+    /// Save a checkpoint of a task, then stop it.
     Checkpoint(task::Id),
-    /// Hold a task to the processor time it declared.
+    /// Limit a task to the CPU time it declared.
     Throttle(task::Id),
-    /// Drop the memory of an ended task; sent once its end is recorded.
+    /// Delete the state of an ended task; sent once its end is recorded in the log.
     Forget(task::Id),
 }
 
-/// One call to a worker.
+/// One exchange with a worker: the request.
 #[derive(Clone, Debug)]
 pub struct Exchange {
-    /// Fencing token of the caller; a worker refuses one smaller than it has seen.
+    /// Fencing token of the caller; a worker refuses an exchange with one smaller than the largest it
+    /// has received.
     pub epoch: Epoch,
-    /// Lease that this call renews for every task the worker runs; zero renews nothing. It counts
-    /// from the issue of the report named by `seen`.
+    /// Duration of the lease that this call grants to every task the worker runs, counted from the
+    /// time at which the worker issued the report `seen`; zero renews nothing.
     pub lease: Duration,
-    /// Instructions in order.
+    /// Commands, in the order in which they are carried out.
     pub commands: Vec<Command>,
-    /// Sequence of the last report received; zero asks for a full one.
+    /// Sequence number of the last report received; zero requests a full report.
     pub seen: u64,
-    /// How long the worker may hold the answer back while it has nothing new.
+    /// How long the worker may delay its response while no task has changed.
     pub wait: Duration,
 }
 
 /// State of one task at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// Identity of the try.
+    /// Identity of the attempt.
     pub task: task::Id,
-    /// Where it stands.
+    /// Phase of its execution.
     pub phase: task::Phase,
-    /// What is reserved for it.
+    /// Resources allocated to it.
     pub demand: Amount,
-    /// What it was last measured to use, with a lag.
+    /// Resources it used when last measured; lags behind the actual use.
     pub usage: Amount,
 }
 
-/// A worker's answer.
+/// A worker's response to an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Identity of the worker's process; a change means that its tasks are gone.
+    /// Identity of the worker's process; if it changes, the tasks of the former process are lost.
     pub run: u64,
-    /// Sequence number to name as `seen` in the next call.
+    /// Sequence number to send as [`Exchange::seen`] in the next exchange.
     pub sequence: u64,
-    /// Whether `tasks` lists every task that the worker knows, not only changes.
+    /// Whether `tasks` lists all tasks of the worker, not only the changed ones.
     pub full: bool,
-    /// Tasks that changed.
+    /// Tasks whose state has changed, or all tasks in a full report.
     pub tasks: Vec<Observation>,
-    /// What the worker has in all.
+    /// Total resources of the worker.
     pub capacity: Amount,
 }
 
 /// Why an exchange failed.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Fault {
-    /// The worker has seen a larger epoch: the caller is no longer the owner.
+    /// The worker has received a larger epoch: the caller is no longer the owner.
     #[display("fenced by epoch {_0}")]
     Fenced(Epoch),
-    /// Nothing reached the worker.
+    /// The exchange was not sent.
     #[display("nothing was sent: {_0}")]
     NotSent(String),
-    /// The worker may have applied the call.
+    /// The worker may have carried out the commands.
     #[display("no whole answer: {_0}")]
     Unknown(String),
 }
 
-/// An exchange that failed, with the worker at which it did.
+/// Error of an exchange, with the address of the worker.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("step=worker.exchange peer={peer} cause={fault}")]
 pub struct Error {
     /// Address of the worker.
     pub peer: SocketAddr,
-    /// What went wrong.
+    /// Cause of the failure.
     #[error(not(source))]
     pub fault: Fault,
 }
 
-/// Way to reach workers.
+/// Sends exchanges to workers.
 pub trait WorkerTransport {
-    /// Carries out one exchange with the worker at `peer`, within `timeout` on top of
-    /// `exchange.wait`.
+    /// Performs one exchange with the worker at `peer`, within `exchange.wait` plus `timeout`.
     ///
     /// # Errors
     ///
-    /// Returns the [`Fault`] that says whether the worker may have applied the call.
+    /// Returns a [`Fault`] that states whether the worker may have carried out the commands.
     fn exchange<'a>(
         &'a self,
         peer: SocketAddr,
--- a/src/worker/wire.rs
+++ b/src/worker/wire.rs
@@ -1,4 +1,4 @@
-//! JSON forms of exchanges with a worker.
+//! JSON format of exchanges with a worker.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 use crate::task::{self, End};
 use crate::{job, worker};
 
-/// Identity of a try, written `job-index-attempt`.
+/// Identity of an attempt of a task, written `job-index-attempt`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TaskId(String);
 
-/// A text that is no identity of a try.
+/// Error for a text that is not the identity of an attempt.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("`{text}` is no task")]
 pub struct Error {
-    /// The text.
+    /// The invalid text.
     pub text: String,
 }
 
@@ -30,20 +30,20 @@
 pub enum Command {
     /// Run a task.
     Start {
-        /// Identity of the try.
+        /// Identity of the attempt.
         task: TaskId,
-        /// What to reserve for it.
+        /// Resources to allocate to it.
         demand: Amount,
-        /// Opaque instruction from the job.
+        /// Opaque payload from the job.
         payload: String,
     },
     /// Stop a task.
     Stop(TaskId),
-    /// Save a task's progress, then stop it.
+    /// Save a checkpoint of a task, then stop it.
     Checkpoint(TaskId),
-    /// Hold a task to its declared processor time.
+    /// Limit a task to the CPU time it declared.
     Throttle(TaskId),
-    /// Drop the memory of an ended task.
+    /// Delete the state of an ended task.
     Forget(TaskId),
 }
 
@@ -52,13 +52,13 @@
 pub struct Exchange {
     /// Fencing token of the caller.
     pub epoch: Epoch,
-    /// Lease in milliseconds.
+    /// Duration of the lease, in milliseconds.
     pub lease_ms: u64,
-    /// Instructions in order.
+    /// Commands, in the order in which they are carried out.
     pub commands: Vec<Command>,
-    /// Sequence of the last report received, or zero.
+    /// Sequence number of the last report received, or zero.
     pub seen: u64,
-    /// Longest time to hold the answer back, in milliseconds.
+    /// Longest time by which the response may be delayed, in milliseconds.
     pub wait_ms: u64,
 }
 
@@ -80,13 +80,13 @@
 /// JSON form of [`worker::Observation`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Identity of the try.
+    /// Identity of the attempt.
     pub task: TaskId,
-    /// Where it stands.
+    /// Phase of its execution.
     pub phase: Phase,
-    /// What is reserved for it.
+    /// Resources allocated to it.
     pub demand: Amount,
-    /// What it was last measured to use.
+    /// Resources it used when last measured.
     pub usage: Amount,
 }
 
@@ -97,18 +97,18 @@
     pub run: u64,
     /// Sequence number of this report.
     pub sequence: u64,
-    /// Whether every known task is listed.
+    /// Whether all tasks of the worker are listed.
     pub full: bool,
-    /// Tasks that changed.
+    /// Tasks whose state has changed, or all tasks in a full report.
     pub tasks: Vec<Observation>,
-    /// What the worker has in all.
+    /// Total resources of the worker.
     pub capacity: Amount,
 }
 
-/// Body of the answer to a fenced caller.
+/// Body of the response to a fenced caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fenced {
-    /// Largest epoch that the worker has seen.
+    /// Largest epoch that the worker has received.
     pub fenced_by: Epoch,
 }
 
@@ -222,18 +222,18 @@
 }
 
 impl From<&worker::Observation> for Observation {
-    fn from(seen: &worker::Observation) -> Self {
-        let (task, phase) = (seen.task.into(), seen.phase.into());
-        Self { task, phase, demand: seen.demand, usage: seen.usage }
+    fn from(observation: &worker::Observation) -> Self {
+        let (task, phase) = (observation.task.into(), observation.phase.into());
+        Self { task, phase, demand: observation.demand, usage: observation.usage }
     }
 }
 
 impl TryFrom<Observation> for worker::Observation {
     type Error = Error;
 
-    fn try_from(seen: Observation) -> Result<Self, Error> {
-        let (task, phase) = (seen.task.try_into()?, seen.phase.into());
-        Ok(Self { task, phase, demand: seen.demand, usage: seen.usage })
+    fn try_from(observation: Observation) -> Result<Self, Error> {
+        let (task, phase) = (observation.task.try_into()?, observation.phase.into());
+        Ok(Self { task, phase, demand: observation.demand, usage: observation.usage })
     }
 }
 
--- a/tests/logic/telemetry.rs
+++ b/tests/logic/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics as a collector reads them.
+//! The metrics in the text format that a collector scrapes.
 
 use std::future::ready;
 use std::rc::Rc;
@@ -33,10 +33,10 @@
     for line in expected {
         assert!(text.contains(line), "{line} is not in\n{text}");
     }
-    assert!(telemetry::start().is_err(), "a second start");
+    assert!(telemetry::start().is_err(), "starting the recorder twice must fail");
 }
 
-/// A log that answers every append in the same way.
+/// A log that returns the same result for every append.
 struct Fixed(Result<Offset, store::Error>);
 
 impl Store for Fixed {
@@ -71,12 +71,12 @@
 #[test_case(Ok(7), "written"; "written")]
 #[test_case(failed(AppendOutcome::NotWritten), "not_written"; "not_written")]
 #[test_case(failed(AppendOutcome::Unknown), "unknown"; "unknown")]
-fn append_measured(answer: Result<Offset, store::Error>, outcome: &str) {
+fn append_instrumented(answer: Result<Offset, store::Error>, outcome: &str) {
     let recorder = PrometheusBuilder::new().build_recorder();
     let store = instrumented::Store(Rc::new(Fixed(answer.clone())));
     let append = || store.append("s", Bytes::from_static(b"four")).now_or_never();
     let result = metrics::with_local_recorder(&recorder, append);
-    assert_eq!(result, Some(answer), "the answer passes unchanged");
+    assert_eq!(result, Some(answer), "the wrapper returns the result unchanged");
     let text = recorder.handle().render();
     let count = format!("oriolefork_log_appends_total{{outcome=\"{outcome}\"}} 1");
     assert!(text.contains(&count), "{text}");
