--- a/src/api/backend.rs
+++ b/src/api/backend.rs
@@ -1,4 +1,4 @@
-//! The border between the HTTP layer and the scheduler.
+//! Interface between the HTTP layer and the scheduler.
 
 use std::time::Duration;
 
@@ -9,47 +9,47 @@
 use crate::api::view;
 use crate::{domain, job, worker};
 
-/// Outcome of a call, once it is there.
+/// Future that resolves to the result of a backend call.
 pub type BackendFuture<'a, T> = LocalBoxFuture<'a, Result<T, Refusal>>;
 
-/// Circumstances of a call.
+/// Time limit and author of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallContext {
-    /// Time left until the caller stops waiting.
+    /// Time left until the caller stops waiting for the response.
     pub within: Duration,
-    /// Person who asks, by the name they gave.
+    /// Operator who makes the call, as named in the request; `None` for calls without a name.
     pub by: Option<String>,
 }
 
-/// What the scheduler does for callers and operators.
+/// Operations that the scheduler offers to callers and operators.
 ///
-/// The HTTP layer drops a future whose caller's deadline has passed and answers `unknown` for
-/// calls that change something. An implementation keeps its promises when dropped half way.
+/// The HTTP layer drops the future when the call's time limit passes, and then responds `unknown`
+/// to calls that change state. Implementations must stay consistent when a future is dropped
+/// before it completes.
 pub trait Backend {
-    /// The instance that answers.
+    /// Identity of this instance.
     fn identity(&self) -> view::Identity;
 
-    /// Whether the instance should get traffic.
+    /// Whether this instance should receive traffic.
     fn readiness(&self) -> view::Readiness;
 
-    /// Accepts a job under its team and key; a repeated call names the same job.
+    /// Accepts a job under its team and idempotency key; a repeated call returns the same job.
     ///
-    /// A deadline that has passed when the owner takes the job up is refused, unless the key is
-    /// known: a submission delayed on its way must not be accepted after its repetition was told
-    /// that it did not run.
+    /// The owner refuses a job whose deadline has passed, unless its key is already recorded.
+    /// Otherwise a delayed submission could be accepted after a retry of it was refused as not run.
     fn submit(
         &self,
         call: CallContext,
         submission: view::job::Submission,
     ) -> BackendFuture<'_, view::job::Accepted>;
 
-    /// Stops a job; a repeated call succeeds again.
+    /// Cancels a job; a repeated call succeeds as well.
     fn cancel(&self, call: CallContext, job: job::Id) -> BackendFuture<'_, view::job::Job>;
 
-    /// The state of one job with its tasks; also of one that is still being recorded.
+    /// State of one job with its tasks, including a job whose record is not yet committed.
     fn job(&self, call: CallContext, job: job::Id) -> BackendFuture<'_, view::job::Job>;
 
-    /// Jobs that match, in order of identity, after the cursor.
+    /// One page of the jobs that match `filter`, ordered by id.
     fn jobs(
         &self,
         call: CallContext,
@@ -57,11 +57,11 @@
         page: view::PageRequest<job::Id>,
     ) -> BackendFuture<'_, view::Page<view::job::Summary, job::Id>>;
 
-    /// Why a job waits.
+    /// Explains why a job waits.
     fn explain(&self, call: CallContext, job: job::Id)
     -> BackendFuture<'_, view::job::Explanation>;
 
-    /// Alerts of the failure domain, unacknowledged ones only unless `all` is set.
+    /// One page of the failure domain's alerts; acknowledged ones only if `all` is set.
     fn alerts(
         &self,
         call: CallContext,
@@ -69,44 +69,44 @@
         page: view::PageRequest<String>,
     ) -> BackendFuture<'_, view::Page<view::alert::Alert, String>>;
 
-    /// Marks an alert as seen by `call.by`; a repeated call keeps the first person's name.
+    /// Marks an alert as acknowledged by `call.by`; a repeated call keeps the first name.
     fn acknowledge(
         &self,
         call: CallContext,
         alert: String,
     ) -> BackendFuture<'_, view::alert::Alert>;
 
-    /// The preset in force and all presets to choose from.
+    /// The active preset and all available presets.
     fn presets(&self, call: CallContext) -> BackendFuture<'_, view::preset::PresetList>;
 
-    /// Puts a preset in force; answers once the change was read back from the log.
+    /// Activates a preset; completes once the change has been read back from the log.
     fn set_preset(
         &self,
         call: CallContext,
         change: view::preset::Change,
     ) -> BackendFuture<'_, view::preset::ActivePreset>;
 
-    /// Changes of preset, newest first, older than the cursor's version.
+    /// One page of past activations of presets, newest first; the cursor is a version.
     fn preset_history(
         &self,
         call: CallContext,
         page: view::PageRequest<u64>,
     ) -> BackendFuture<'_, view::Page<view::preset::ActivePreset, u64>>;
 
-    /// Quotas of all teams that have one.
+    /// Quotas of all teams that have a quota.
     fn quotas(&self, call: CallContext) -> BackendFuture<'_, view::quota::Table>;
 
-    /// Sets or removes a team's quota; answers once the change was read back from the log.
+    /// Sets or removes a team's quota; completes once the change has been read back from the log.
     fn set_quota(
         &self,
         call: CallContext,
         change: view::quota::Change,
     ) -> BackendFuture<'_, view::quota::Table>;
 
-    /// Workers of the failure domain in order of name.
+    /// Workers of the failure domain, ordered by name.
     fn workers(&self, call: CallContext) -> BackendFuture<'_, Vec<view::worker::Worker>>;
 
-    /// Changes what a worker is used for.
+    /// Drains or undrains a worker, or declares it lost.
     fn apply_worker_action(
         &self,
         call: CallContext,
@@ -114,16 +114,16 @@
         action: view::worker::Action,
     ) -> BackendFuture<'_, view::worker::Worker>;
 
-    /// What the scheduler is doing, a line for each failure domain.
+    /// Status of the scheduler, with one entry per failure domain.
     fn status(&self, call: CallContext) -> BackendFuture<'_, view::status::Status>;
 
-    /// The whole state of the process, without secrets.
+    /// Complete state of the process for diagnosis, without secrets.
     fn dump(&self, call: CallContext) -> BackendFuture<'_, serde_json::Value>;
 
-    /// Sets the level of the process's log.
+    /// Sets the log level of the process.
     fn set_log_level(&self, call: CallContext, level: log::LevelFilter) -> BackendFuture<'_, ()>;
 
-    /// Failure domain of the instance that answers.
+    /// Failure domain of this instance.
     fn domain(&self) -> domain::Name {
         self.identity().domain
     }
--- a/src/api/configuration.rs
+++ b/src/api/configuration.rs
@@ -1,4 +1,4 @@
-//! Operators' calls that the task of the settings in force answers.
+//! Operators' calls that read or change the shared configuration.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::placement::Objective;
 use crate::{domain, worker};
 
-/// Pause that an operator is asked to make while the settings are not readable or writable.
+/// `Retry-After` while the configuration cannot be read or written.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
-/// Times that a drain is tried again after another change came first.
+/// Attempts to record a drain when concurrent changes make its version stale.
 const DRAIN_ATTEMPTS: u32 = 8;
 
-/// Presets, quotas and drained workers as operators see and change them.
+/// Lets operators read and change presets, quotas and drained workers.
 #[derive(Clone)]
 pub struct Configuration {
     handle: Handle,
@@ -26,34 +26,36 @@
 }
 
 impl Configuration {
-    /// Answers from the settings' task, in a deployment that weighs `weighs` more.
+    /// Creates the interface to the configuration task behind `handle`.
+    ///
+    /// `objective` is what placement optimizes in this deployment; presets are shown for it.
     pub fn new(handle: Handle, clock: Rc<dyn Clock>, objective: Objective) -> Self {
         Self { handle, clock, objective }
     }
 
-    /// The preset in force and all presets to choose from.
+    /// The active preset and all available presets.
     ///
     /// # Errors
     ///
-    /// Refuses until this instance knows the settings in force.
+    /// Refuses while this instance has not read the configuration.
     pub async fn presets(&self) -> Result<preset::PresetList, Refusal> {
         Ok(preset::PresetList::new(&*self.value().await?, self.objective))
     }
 
-    /// The preset in force.
+    /// The active preset.
     ///
     /// # Errors
     ///
-    /// Refuses until this instance knows the settings in force.
+    /// Refuses while this instance has not read the configuration.
     pub async fn active_preset(&self) -> Result<preset::ActivePreset, Refusal> {
         Ok((&*self.value().await?).into())
     }
 
-    /// Puts a preset in force.
+    /// Activates a preset.
     ///
     /// # Errors
     ///
-    /// Refuses a change that came too late, is invalid or could not be recorded.
+    /// Refuses a change that is based on a stale version, is invalid or could not be recorded.
     pub async fn set_preset(
         &self,
         call: &CallContext,
@@ -62,16 +64,16 @@
         let by = call.by.clone().unwrap_or_default();
         let base = Version::from_raw(change.based_on);
         let version = self.publish(Some(base), by.clone(), change.try_into()?).await?;
-        // A later change may be in force by now; the answer is about this one.
+        // Describes this change, even if a later one has already replaced it.
         let at = self.clock.unix();
         Ok(preset::ActivePreset { preset: change.preset.clone(), version: version.raw(), by, at })
     }
 
-    /// Changes of preset that this instance remembers, newest first.
+    /// One page of the past activations of presets that this instance keeps, newest first.
     ///
     /// # Errors
     ///
-    /// Refuses until this instance knows the settings in force.
+    /// Refuses while this instance has not read the configuration.
     pub async fn preset_history(
         &self,
         page: &PageRequest<u64>,
@@ -85,11 +87,11 @@
         Ok(Page { items, next })
     }
 
-    /// Quotas of all teams that have one.
+    /// Quotas of all teams that have a quota.
     ///
     /// # Errors
     ///
-    /// Refuses until this instance knows the settings in force.
+    /// Refuses while this instance has not read the configuration.
     pub async fn quotas(&self) -> Result<quota::Table, Refusal> {
         Ok((&*self.value().await?).into())
     }
@@ -98,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// Refuses a change that came too late, is invalid or could not be recorded.
+    /// Refuses a change that is based on a stale version, is invalid or could not be recorded.
     pub async fn set_quota(
         &self,
         call: &CallContext,
@@ -112,12 +114,13 @@
 
     /// Drains a worker or puts it back in use.
     ///
-    /// Drains of several workers commute, so that one that lost the race is tried on the new
-    /// version.
+    /// Drains of different workers commute, so a drain refused as stale because of a concurrent
+    /// change is tried again on the new version.
     ///
     /// # Errors
     ///
-    /// Refuses a change that is invalid or could not be recorded.
+    /// Refuses a change that is invalid or could not be recorded, and one that is still stale after
+    /// the last attempt.
     pub async fn drain(
         &self,
         call: &CallContext,
@@ -160,15 +163,15 @@
 }
 
 fn config_unavailable() -> Refusal {
-    let message = "this instance has not read the settings in force yet";
+    let message = "this instance has not read the configuration yet";
     Refusal::not_run(Reason::LogUnavailable, message).with_retry_after(RETRY_DELAY)
 }
 
-/// What an operator is told of a change.
+/// Converts the outcome of a configuration change into its version or a refusal.
 ///
 /// # Errors
 ///
-/// Refuses all but an accepted change.
+/// Returns a refusal for every outcome except an accepted change.
 pub fn publish_result(outcome: &PublishOutcome) -> Result<Version, Refusal> {
     let message = outcome.to_string();
     match outcome {
@@ -185,8 +188,8 @@
             Err(Refusal::not_run(Reason::Overloaded, message).with_retry_after(RETRY_DELAY))
         }
         PublishOutcome::Unknown(_) => {
-            let message = "the log did not answer in time; read the settings to see whether the \
-                           change is in force, or repeat it on the same version";
+            let message = "the log did not respond in time; read the configuration to see whether \
+                           the change took effect, or repeat it on the same version";
             Err(Refusal::unknown(Reason::LogUnavailable, message).with_retry_after(RETRY_DELAY))
         }
     }
--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -1,4 +1,4 @@
-//! What each route does with the backend.
+//! Maps each route to a call of the backend.
 
 use std::net::SocketAddr;
 
@@ -16,49 +16,49 @@
 use crate::job;
 use crate::logging::value;
 
-/// A request whose route is known.
+/// A request with its matched route.
 pub struct RoutedRequest {
-    /// Who sent it.
+    /// Address of the sender.
     pub peer: SocketAddr,
-    /// Its circumstances.
+    /// Time limit and author of the call.
     pub call: CallContext,
-    /// What it asks for.
+    /// The matched route.
     pub route: Route,
-    /// The request itself.
+    /// The HTTP request.
     pub request: Request,
 }
 
 impl RoutedRequest {
-    /// The parameters, of which those in `known` are allowed.
-    fn query(&self, known: &[&str]) -> Result<Query, Refusal> {
-        Query::parse(self.request.uri().query().unwrap_or_default(), known)
+    /// Parses the query parameters and refuses those that are not in `allowed`.
+    fn query(&self, allowed: &[&str]) -> Result<Query, Refusal> {
+        Query::parse(self.request.uri().query().unwrap_or_default(), allowed)
     }
 
     fn body(&self) -> &Bytes {
         self.request.body()
     }
 
-    /// The call with the operator named in the body.
+    /// Returns the call with the operator named in the body, and logs it.
     fn operator_call(&self) -> Result<CallContext, Refusal> {
         let operator: wire::alert::OperatorName = wire::parse(self.body())?;
         Ok(self.logged_call(operator.into_name()?))
     }
 
-    /// The call of a person, whose order is logged.
-    fn logged_call(&self, person: String) -> CallContext {
+    /// Returns the call with the name of the operator, and logs it.
+    fn logged_call(&self, operator: String) -> CallContext {
         let (route, path) = (self.route.name(), value(self.request.uri().path()));
-        let (by, peer) = (value(&person), self.peer);
+        let (by, peer) = (value(&operator), self.peer);
         log::info!("event=api.order route={route} path={path} by={by} peer={peer}");
-        CallContext { by: Some(person), ..self.call.clone() }
+        CallContext { by: Some(operator), ..self.call.clone() }
     }
 }
 
-/// Answers a request through the backend.
+/// Carries out a request with the backend and builds the response.
 ///
 /// # Errors
 ///
-/// Returns what the backend refuses and what is malformed in the request.
-pub async fn answer(
+/// Returns the backend's refusal, or one that names the malformed part of the request.
+pub async fn handle(
     backend: &dyn Backend,
     clock: &dyn Clock,
     routed: RoutedRequest,
@@ -100,7 +100,7 @@
         Route::Ready => Ok(ready(backend)),
         Route::Dump => Ok(ok(&backend.dump(call).await?)),
         Route::Request | Route::Metrics => {
-            Err(Refusal::not_run(Reason::Internal, "the route has a handler of its own"))
+            Err(Refusal::not_run(Reason::Internal, "this route is served by another handler"))
         }
     }
 }
@@ -131,10 +131,10 @@
     submission.spec.deadline.map_or(Ok(()), check)
 }
 
-/// The answer to a submission whose deadline has passed.
+/// Looks up the job of a submission whose deadline has passed.
 ///
-/// The caller may repeat, after the deadline, a submission whose answer was lost. Refusing that one
-/// as "not run" would be false: the first call may have been accepted, so the job is looked up.
+/// A caller that lost the response to its first submission may retry after the deadline. The first
+/// submission may have been accepted, so a refusal as "not run" is correct only if no job exists.
 async fn find_earlier(
     backend: &dyn Backend,
     call: CallContext,
--- a/src/api/header.rs
+++ b/src/api/header.rs
@@ -1,4 +1,4 @@
-//! Headers of a request that the interface reads.
+//! HTTP headers of the interface and their parsing.
 
 use std::time::Duration;
 
@@ -9,31 +9,31 @@
 use crate::api::wire::check;
 use crate::clock;
 
-/// Names a submission, so that a repeated one is recognised.
+/// Request header that identifies a submission, so that a retry is recognised.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Milliseconds that the caller waits for the answer.
+/// Request header with the milliseconds that the caller waits for the response.
 pub const TIMEOUT: &str = "request-timeout-ms";
-/// Instance that answered.
+/// Response header with the name of the responding instance.
 pub const INSTANCE: &str = "oriolefork-instance";
-/// Failure domain of the instance that answered.
+/// Response header with the failure domain of the responding instance.
 pub const DOMAIN: &str = "oriolefork-domain";
 
-/// Time a caller waits when it does not say.
+/// Time limit of a request without the [`TIMEOUT`] header.
 pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time a caller can ask to wait.
+/// Largest time limit that a request may set.
 pub const MAX_TIMEOUT: Duration = Duration::from_secs(120);
 
 const BEARER: &str = "bearer ";
 
-/// The idempotency key, which has to be there once.
+/// Returns the idempotency key, which is required.
 ///
 /// # Errors
 ///
-/// Names the header when it is missing, repeated or malformed.
+/// Refuses a missing, repeated or malformed header.
 pub fn idempotency_key(headers: &HeaderMap) -> Result<String, Refusal> {
     let missing = || {
-        let message = "the header is required: it lets a submission whose answer was lost be sent \
-                       again without running twice";
+        let message = "the header is required: it allows a retry after a lost response without \
+                       running the work twice";
         Refusal::invalid(IDEMPOTENCY_KEY, message)
     };
     let key = single(headers, IDEMPOTENCY_KEY)?.ok_or_else(missing)?;
@@ -41,29 +41,29 @@
     Ok(key.to_owned())
 }
 
-/// The time that the caller waits.
+/// Returns the request's time limit, [`DEFAULT_TIMEOUT`] if it sets none.
 ///
 /// # Errors
 ///
-/// Names the header when it is repeated or malformed.
+/// Refuses a repeated or malformed header.
 pub fn timeout(headers: &HeaderMap) -> Result<Duration, Refusal> {
     timeout_or(headers, DEFAULT_TIMEOUT)
 }
 
-/// The time that the caller waits, or `absent` when it names none.
+/// Returns the request's time limit, or `default_timeout` if it sets none.
 ///
 /// # Errors
 ///
-/// Names the header when it is repeated or malformed.
-pub fn timeout_or(headers: &HeaderMap, absent: Duration) -> Result<Duration, Refusal> {
-    let Some(text) = single(headers, TIMEOUT)? else { return Ok(absent) };
+/// Refuses a repeated or malformed header.
+pub fn timeout_or(headers: &HeaderMap, default_timeout: Duration) -> Result<Duration, Refusal> {
+    let Some(text) = single(headers, TIMEOUT)? else { return Ok(default_timeout) };
     let message = "must be a whole number of milliseconds";
     let millis = text.parse().map_err(|_| Refusal::invalid(TIMEOUT, message))?;
     check::in_range(TIMEOUT, millis, 1, clock::millis(MAX_TIMEOUT))?;
     Ok(Duration::from_millis(millis))
 }
 
-/// The token that the caller presents.
+/// Returns the bearer token of the `authorization` header.
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
     let text = headers.get(AUTHORIZATION)?.to_str().ok()?;
     let scheme = text.get(..BEARER.len())?;
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,7 +1,8 @@
-//! The interface for callers and operators: HTTP/1.1 with JSON bodies.
+//! HTTP/1.1 interface with JSON bodies for callers and operators.
 //!
-//! The HTTP layer checks what arrives and hands it, as model types, to a [`Backend`]. Everything
-//! that the backend answers is a [`view`] or a [`Refusal`] that says whether the work may have run.
+//! The HTTP layer validates requests, converts them into model types and passes them to a
+//! [`Backend`]. The backend returns a [`view`], or a [`Refusal`] that states whether the work may
+//! have run.
 
 pub mod backend;
 pub mod configuration;
--- a/src/api/query.rs
+++ b/src/api/query.rs
@@ -1,4 +1,4 @@
-//! Parameters in the query of a path.
+//! Query parameters of a request.
 
 use std::str::FromStr;
 
@@ -6,17 +6,17 @@
 use crate::api::view::{PageRequest, job};
 use crate::api::wire::check;
 
-/// Items on a page when the caller names no limit.
+/// Items per page when the request sets no `limit`.
 const DEFAULT_PAGE_SIZE: usize = 100;
 
-/// Parameters of one request, each given once at most.
+/// Query parameters of one request, each given at most once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Query {
     pairs: Vec<(String, String)>,
 }
 
 impl Query {
-    /// Reads a query and refuses parameters other than `known` ones.
+    /// Parses a query string and refuses parameters that are not in `allowed`.
     ///
     /// ```
     /// use oriolefork::api::query::Query;
@@ -29,13 +29,14 @@
     ///
     /// # Errors
     ///
-    /// Names the parameter that is unknown or repeated.
-    pub fn parse(text: &str, known: &[&str]) -> Result<Self, Refusal> {
+    /// Refuses an unknown or repeated parameter.
+    pub fn parse(text: &str, allowed: &[&str]) -> Result<Self, Refusal> {
         let mut query = Self::default();
         for (name, value) in form_urlencoded::parse(text.as_bytes()) {
-            if !known.contains(&name.as_ref()) {
-                let known = if known.is_empty() { "none".to_owned() } else { known.join(", ") };
-                let message = format!("unknown parameter; this path knows {known}");
+            if !allowed.contains(&name.as_ref()) {
+                let allowed =
+                    if allowed.is_empty() { "none".to_owned() } else { allowed.join(", ") };
+                let message = format!("unknown parameter; this path accepts {allowed}");
                 return Err(Refusal::invalid(name, message));
             }
             if query.get(&name).is_some() {
@@ -46,31 +47,35 @@
         Ok(query)
     }
 
-    /// The value of a parameter.
+    /// Returns the value of a parameter.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.pairs.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.pairs.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
     }
 
-    /// The parameters `after` and `limit`.
+    /// Parses the parameters `after` and `limit`.
     ///
     /// # Errors
     ///
-    /// Names the one that is malformed or out of its range.
+    /// Refuses a malformed cursor, or a limit that is out of range.
     pub fn page_request<C: FromStr>(&self) -> Result<PageRequest<C>, Refusal> {
         self.page_request_with(|text| text.parse().ok())
     }
 
-    /// The parameters `after`, which `read` understands, and `limit`.
+    /// Parses the parameters `after`, with `read`, and `limit`.
     ///
     /// # Errors
     ///
-    /// Names the one that is malformed or out of its range.
+    /// Refuses a malformed cursor, or a limit that is out of range.
     pub fn page_request_with<C>(
         &self,
         read: impl FnOnce(&str) -> Option<C>,
     ) -> Result<PageRequest<C>, Refusal> {
-        let malformed =
-            || Refusal::invalid("after", "after must be the `next` of the page before, unchanged");
+        let malformed = || {
+            Refusal::invalid(
+                "after",
+                "after must be the `next` value of the previous page, unchanged",
+            )
+        };
         let after = self.get("after").map(|text| read(text).ok_or_else(malformed)).transpose()?;
         Ok(PageRequest { after, limit: self.limit()? })
     }
@@ -82,11 +87,11 @@
         )
     }
 
-    /// The parameters that choose jobs.
+    /// Parses the parameters that filter jobs: `team`, `name` and `state`.
     ///
     /// # Errors
     ///
-    /// Names the one that is malformed.
+    /// Refuses a malformed parameter.
     pub fn job_filter(&self) -> Result<job::Filter, Refusal> {
         let state = self.get("state").map(job_state).transpose()?;
         for field in ["team", "name"] {
@@ -99,11 +104,11 @@
         })
     }
 
-    /// A parameter that is `true` or `false`, the latter when absent.
+    /// Parses a parameter that is `true` or `false`; `false` when absent.
     ///
     /// # Errors
     ///
-    /// Names the parameter when it is something else.
+    /// Refuses any other value.
     pub fn flag(&self, name: &str) -> Result<bool, Refusal> {
         let message = || format!("{name} must be true or false");
         self.get(name)
@@ -112,7 +117,7 @@
 }
 
 fn job_state(text: &str) -> Result<job::State, Refusal> {
-    let known = job::State::ALL.map(|state| state.to_string());
+    let names = job::State::ALL.map(|state| state.to_string());
     let found = job::State::ALL.into_iter().find(|state| state.to_string() == text);
-    found.ok_or_else(|| Refusal::invalid("state", format!("state must be {}", known.join(", "))))
+    found.ok_or_else(|| Refusal::invalid("state", format!("state must be {}", names.join(", "))))
 }
--- a/src/api/refusal.rs
+++ b/src/api/refusal.rs
@@ -1,4 +1,4 @@
-//! Typed refusals: what went wrong and whether the work may have run.
+//! Refusals: why a call failed and whether its work may have run.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 
 use crate::intent;
 
-/// Whether the work that a call asked for may have run.
+/// Whether the work that a call requested may have run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ExecutionStatus {
-    /// It did not run and never will because of this call.
+    /// The work did not run and will not run because of this call.
     #[display("not-run")]
     NotRun,
-    /// It may have run or may still run; ask again with the same key or identity.
+    /// The work may have run or may still run; retry with the same idempotency key or id.
     #[display("unknown")]
     Unknown,
 }
@@ -23,83 +23,83 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// The call is malformed or a field is out of its range.
+    /// The call is malformed, or a field is out of range.
     #[display("invalid")]
     Invalid,
-    /// The operators' token is missing or wrong.
+    /// The operator token is missing or wrong.
     #[display("unauthorized")]
     Unauthorized,
-    /// Nothing has this identity or path.
+    /// No object has this id, or no route has this path.
     #[display("not-found")]
     NotFound,
-    /// The path exists, but not with this method.
+    /// The path does not support this method.
     #[display("method-not-allowed")]
     MethodNotAllowed,
-    /// Another change came first: read the present version and decide anew.
+    /// Another change was made first; read the current version before trying again.
     #[display("stale-version")]
     StaleVersion,
     /// The idempotency key was used for different work.
     #[display("key-reused")]
     KeyReused,
-    /// The idempotency key is older than the log keeps records.
+    /// The idempotency key is older than the log's retention of records.
     #[display("key-expired")]
     KeyExpired,
-    /// The job already ended, so that the change no longer applies.
+    /// The job has already ended, so the change no longer applies.
     #[display("already-ended")]
     AlreadyEnded,
-    /// The work fits no worker of the failure domain, now or later.
+    /// The work can never fit on any worker of the failure domain.
     #[display("impossible")]
     Impossible,
-    /// The team's quota could never hold the work.
+    /// The work alone exceeds the team's quota.
     #[display("quota")]
     Quota,
     /// The request is larger than the limit.
     #[display("too-large")]
     TooLarge,
-    /// Queues are full.
+    /// A queue is full.
     #[display("overloaded")]
     Overloaded,
-    /// The call could not be answered before its deadline.
+    /// The call did not complete within its time limit.
     #[display("deadline")]
     Deadline,
-    /// The failure domain has no owner at the moment.
+    /// The failure domain currently has no owner.
     #[display("no-owner")]
     NoOwner,
-    /// The log is away and too few instances of the domain could hold the record instead.
+    /// The log is unavailable, and too few instances of the domain can store the record instead.
     #[display("log-unavailable")]
     LogUnavailable,
     /// The instance is shutting down.
     #[display("shutting-down")]
     ShuttingDown,
-    /// No runner of the service is live and in reach.
+    /// No live runner of the service can be reached.
     #[display("no-runner")]
     NoRunner,
-    /// Work was sent, and no whole answer came back.
+    /// The work was sent to a runner, and no complete response was received.
     #[display("answer-lost")]
     AnswerLost,
-    /// A fault inside the scheduler.
+    /// Internal error of the scheduler.
     #[display("internal")]
     Internal,
 }
 
-/// A call that was not carried out, or of which that is not known.
+/// Failure of a call: it was not carried out, or its outcome is unknown.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize, derive_more::Error)]
 #[display("reason={reason} ran={ran} message={message}")]
 pub struct Refusal {
     /// Whether the work may have run.
     pub ran: ExecutionStatus,
-    /// Why it was refused.
+    /// Why the call was refused.
     pub reason: Reason,
-    /// What happened, in a sentence for people.
+    /// Human-readable description of the error.
     pub message: String,
-    /// When a new try is worthwhile.
+    /// Delay after which the caller should retry.
     pub retry_after: Option<Duration>,
-    /// The field or header at fault, as a path such as `demand.cpu-millis`.
+    /// Invalid field or header, as a path such as `demand.cpu-millis`.
     pub field: Option<String>,
 }
 
 impl Refusal {
-    /// A refusal of a call that surely had no effect.
+    /// Creates a refusal of a call that had no effect.
     ///
     /// ```
     /// use oriolefork::api::{ExecutionStatus, Reason, Refusal};
@@ -116,23 +116,25 @@
         }
     }
 
-    /// A refusal of a call that may have had its effect.
+    /// Creates a refusal of a call that may have taken effect.
     pub fn unknown(reason: Reason, message: impl Into<String>) -> Self {
         Self { ran: ExecutionStatus::Unknown, ..Self::not_run(reason, message) }
     }
 
-    /// A refusal of a call whose field at `path` is out of its range.
+    /// Creates a refusal of a call whose field at `path` is invalid.
     pub fn invalid(path: impl Into<String>, message: impl Into<String>) -> Self {
         Self { field: Some(path.into()), ..Self::not_run(Reason::Invalid, message) }
     }
 
-    /// The same refusal with the time after which a new try is worthwhile.
+    /// Sets the delay after which the caller should retry.
     pub fn with_retry_after(self, retry_after: Duration) -> Self {
         Self { retry_after: Some(retry_after), ..self }
     }
 }
 
-/// Why work that runs at most once was not begun. It speaks for the request alone.
+/// Converts the reason why work that runs at most once was not started.
+///
+/// The refusal covers this request only: another request with the same key may have run the work.
 impl From<intent::Refusal> for Refusal {
     fn from(refusal: intent::Refusal) -> Self {
         let reason = match refusal {
--- a/src/api/reply.rs
+++ b/src/api/reply.rs
@@ -1,4 +1,4 @@
-//! Responses: bodies, status codes and headers.
+//! Builds HTTP responses: bodies, status codes and headers.
 
 use ::http::header::{ALLOW, CONTENT_TYPE, HeaderName, LOCATION, RETRY_AFTER, WWW_AUTHENTICATE};
 use ::http::{HeaderValue, StatusCode};
@@ -13,7 +13,7 @@
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 const TEXT: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
 
-/// A response with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json(status: StatusCode, body: &impl Serialize) -> Response {
     match serde_json::to_vec(body) {
         Ok(bytes) => build(status, JSON, bytes.into()),
@@ -21,12 +21,12 @@
     }
 }
 
-/// A response with a text body.
+/// Builds a response with a plain-text body.
 pub fn text(body: String) -> Response {
     build(StatusCode::OK, TEXT, body.into())
 }
 
-/// The response to a call that was refused.
+/// Builds the response to a refused call.
 pub fn refusal(refusal: Refusal) -> Response {
     let retry_after = refusal.retry_after;
     let reason = refusal.reason;
@@ -40,23 +40,23 @@
     response
 }
 
-/// Adds the methods that a path has.
+/// Sets the `allow` header to the methods that the path supports.
 pub fn set_allow(response: &mut Response, methods: &str) {
     set_header(response, ALLOW, methods);
 }
 
-/// Adds where the thing is that a call made.
+/// Sets the `location` header to the path of a created object.
 pub fn set_location(response: &mut Response, path: &str) {
     set_header(response, LOCATION, path);
 }
 
-/// Adds who answered.
+/// Sets the headers that identify the responding instance and its failure domain.
 pub fn set_identity(response: &mut Response, identity: &Identity) {
     set_header(response, HeaderName::from_static(header::INSTANCE), &identity.instance);
     set_header(response, HeaderName::from_static(header::DOMAIN), identity.domain.as_str());
 }
 
-/// The status code for a refusal.
+/// Returns the HTTP status code for a refusal.
 pub const fn status(reason: Reason) -> StatusCode {
     match reason {
         Reason::Invalid => StatusCode::BAD_REQUEST,
@@ -84,7 +84,7 @@
     response
 }
 
-/// Sets a header, unless the text cannot stand in one.
+/// Sets a header; omits it if `text` is not a valid header value.
 fn set_header(response: &mut Response, name: HeaderName, text: &str) {
     if let Ok(value) = HeaderValue::try_from(text) {
         response.headers_mut().insert(name, value);
--- a/src/api/route.rs
+++ b/src/api/route.rs
@@ -1,4 +1,4 @@
-//! Paths and methods of the interface.
+//! Routes of the interface: paths and methods.
 
 use ::http::Method;
 use percent_encoding::percent_decode_str;
@@ -6,7 +6,7 @@
 use crate::api::view::worker::Action;
 use crate::{job, worker};
 
-/// One thing that the interface does.
+/// A route with the parameters from its path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
     /// `POST /v1/jobs`
@@ -35,7 +35,7 @@
     SetQuota(String),
     /// `GET /v1/workers`
     Workers,
-    /// `POST /v1/workers/{name}/{order}`
+    /// `POST /v1/workers/{name}/{action}`
     WorkerAction(worker::Name, Action),
     /// `GET /v1/status`
     Status,
@@ -53,19 +53,19 @@
     Dump,
 }
 
-/// Why a path and method lead nowhere.
+/// Why no route matches a path and method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteError {
-    /// Nothing has this path.
+    /// No route has this path.
     NotFound,
-    /// The identity in the path does not have the form of a job's.
+    /// The id in the path is not a valid job id.
     InvalidJobId,
-    /// The path exists with these methods only, as for the header `allow`.
+    /// The path supports only these methods, formatted as in the `allow` header.
     MethodNotAllowed(&'static str),
 }
 
 impl Route {
-    /// Finds what a method and a path ask for.
+    /// Finds the route for a method and a path.
     ///
     /// ```
     /// use http::Method;
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// Tells a wrong path from a wrong method.
+    /// Returns why no route matches: unknown path, invalid job id or wrong method.
     pub fn find(method: &Method, path: &str) -> Result<Self, RouteError> {
         let segments = segments(path).ok_or(RouteError::NotFound)?;
         let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Short name for logs and metrics.
+    /// Returns the route's name in logs and metrics.
     pub const fn name(&self) -> &'static str {
         match self {
             Self::Submit => "submit",
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Whether it takes the operators' token when one is set.
+    /// Whether the route requires the operator token when one is configured.
     pub const fn requires_operator_token(&self) -> bool {
         matches!(
             self,
@@ -166,7 +166,7 @@
         )
     }
 
-    /// Whether it changes something, so that a lost answer leaves open what happened.
+    /// Whether the route changes state, so that the outcome is unknown when the response is lost.
     pub const fn is_change(&self) -> bool {
         matches!(
             self,
@@ -182,7 +182,7 @@
     }
 }
 
-/// The decoded segments of a path; `None` when one is not UTF-8.
+/// Splits a path and percent-decodes its segments; `None` if a segment is not UTF-8.
 fn segments(path: &str) -> Option<Vec<String>> {
     let decode = |segment| Some(percent_decode_str(segment).decode_utf8().ok()?.into_owned());
     path.strip_prefix('/')?.split('/').map(decode).collect()
--- a/src/api/service.rs
+++ b/src/api/service.rs
@@ -1,4 +1,4 @@
-//! The handler of the interface: finds the route, checks the caller, bounds the time.
+//! HTTP handler of the interface: finds the route, checks the operator token, limits the time.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,23 +15,23 @@
 use crate::http::{Handler, Request, Response};
 use crate::telemetry::names;
 
-/// Renders the metrics of the process.
+/// Renders the metrics of the process as text.
 pub type MetricsRenderer = Box<dyn Fn() -> String>;
 
-/// Tells whether a text is the operators' token, in a time that does not depend on the text.
+/// Compares a text with the operator token, in time that does not depend on the text.
 pub type TokenCheck = Box<dyn Fn(&str) -> bool>;
 
-/// What the handler needs besides the backend.
+/// Options of a [`Service`].
 pub struct Options {
-    /// Checks the token that operators have to present, when one is set.
+    /// Checks the operator token; `None` if no token is configured.
     pub operator_token: Option<TokenCheck>,
-    /// Renders what `/metrics` answers.
+    /// Renders the body of `/metrics`.
     pub metrics: MetricsRenderer,
-    /// Answers the quick requests of services, when the instance takes them.
+    /// Handles quick requests of services; `None` if this instance does not accept them.
     pub requests: Option<Rc<dyn Handler>>,
 }
 
-/// The handler of the interface.
+/// HTTP handler of the interface.
 pub struct Service {
     backend: Rc<dyn Backend>,
     clock: Rc<dyn Clock>,
@@ -39,7 +39,7 @@
 }
 
 impl Service {
-    /// Builds the handler over a backend.
+    /// Creates a handler that calls `backend`.
     pub fn new(backend: Rc<dyn Backend>, clock: Rc<dyn Clock>, options: Options) -> Self {
         Self { backend, clock, options }
     }
@@ -79,8 +79,8 @@
                 let within = call.within;
                 let on_timeout = timeout_refusal(&route, within);
                 let routed = RoutedRequest { peer, call, route, request };
-                let answer = endpoint::answer(&*self.backend, &*self.clock, routed);
-                self.with_timeout(within, on_timeout, answer.boxed_local()).await
+                let response = endpoint::handle(&*self.backend, &*self.clock, routed);
+                self.with_timeout(within, on_timeout, response.boxed_local()).await
             }
         }
     }
@@ -91,29 +91,30 @@
             return Ok(());
         }
         let message = match header::bearer(request.headers()) {
-            Some(offered) if is_token(offered) => return Ok(()),
-            Some(_) => "the operators' token is wrong",
-            None => "this call needs the operators' token as `authorization: Bearer ...`",
+            Some(token) if is_token(token) => return Ok(()),
+            Some(_) => "the operator token is wrong",
+            None => "this call requires the operator token as `authorization: Bearer ...`",
         };
         Err(Refusal::not_run(Reason::Unauthorized, message))
     }
 
     async fn forward(&self, peer: SocketAddr, request: Request) -> Result<Response, Refusal> {
-        let message = "this instance takes no requests of services";
+        let message = "this instance does not accept requests of services";
         let handler = self.options.requests.as_ref();
         let handler = handler.ok_or_else(|| Refusal::not_run(Reason::NotFound, message))?;
         Ok(handler.handle(peer, request).await)
     }
 
-    /// Drops an answer that does not come in time, so that a caller never hangs on a fault inside.
+    /// Drops the call when its time limit passes, so that a caller gets a response even if the
+    /// backend hangs.
     async fn with_timeout(
         &self,
         within: Duration,
         on_timeout: Refusal,
-        answer: LocalBoxFuture<'_, Result<Response, Refusal>>,
+        response: LocalBoxFuture<'_, Result<Response, Refusal>>,
     ) -> Result<Response, Refusal> {
-        match select(answer, self.clock.sleep(within)).await {
-            Either::Left((answer, _)) => answer,
+        match select(response, self.clock.sleep(within)).await {
+            Either::Left((response, _)) => response,
             Either::Right(_) => Err(on_timeout),
         }
     }
@@ -142,7 +143,7 @@
 fn route_error_response(error: RouteError) -> Response {
     match error {
         RouteError::NotFound => {
-            let message = "nothing has this path; docs/API.md lists all paths";
+            let message = "no route has this path; docs/API.md lists all paths";
             reply::refusal(Refusal::not_run(Reason::NotFound, message))
         }
         RouteError::InvalidJobId => {
@@ -150,7 +151,7 @@
             reply::refusal(Refusal::invalid("id", message))
         }
         RouteError::MethodNotAllowed(allowed) => {
-            let message = format!("this path takes {allowed} only");
+            let message = format!("this path supports {allowed} only");
             let refusal = Refusal::not_run(Reason::MethodNotAllowed, message);
             let mut response = reply::refusal(refusal);
             reply::set_allow(&mut response, allowed);
@@ -159,7 +160,8 @@
     }
 }
 
-/// Logs a refusal; what is the caller's own mistake is told to the caller and logged quietly.
+/// Logs a refusal: as a warning if the outcome is unknown or the error internal, else at debug
+/// level, because the caller receives the reason.
 fn log_refusal(peer: SocketAddr, route: &str, refusal: &Refusal) {
     let Refusal { ran, reason, .. } = refusal;
     if *ran == ExecutionStatus::Unknown || *reason == Reason::Internal {
@@ -169,7 +171,7 @@
     }
 }
 
-/// The class of a status, as a label of few values.
+/// Returns the class of a status code, which keeps the number of metric label values small.
 fn status_class(status: ::http::StatusCode) -> &'static str {
     match status.as_u16() / 100 {
         2 => "2xx",
--- a/src/api/view/alert.rs
+++ b/src/api/view/alert.rs
@@ -1,4 +1,4 @@
-//! Alerts, which stay until a person acknowledges them.
+//! Alerts, which stay listed until an operator acknowledges them.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -13,13 +13,13 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A deadline will probably be missed.
+    /// A job will probably miss its deadline.
     #[display("at-risk")]
     AtRisk,
-    /// A deadline was missed.
+    /// A job missed its deadline.
     #[display("late")]
     Late,
-    /// A job ended without its work done.
+    /// A job ended without completing its work.
     #[display("lost")]
     Lost,
     /// It is not known whether a task still runs.
@@ -28,19 +28,19 @@
     /// A job can never run.
     #[display("impossible")]
     Impossible,
-    /// A worker fails what it starts and gets no more work.
+    /// Tasks fail on a worker, which therefore gets no new tasks.
     #[display("quarantined")]
     Quarantined,
-    /// A worker could not be fenced and is not used.
+    /// A worker could not be fenced and is therefore not used.
     #[display("unfenced")]
     Unfenced,
-    /// The log does not answer.
+    /// The log does not respond.
     #[display("log-outage")]
     LogOutage,
-    /// The configuration in force could not be confirmed for long.
+    /// The current configuration has not been confirmed by the log for a long time.
     #[display("stale-config")]
     StaleConfig,
-    /// The list of instances lost many at once and is not believed yet.
+    /// Many instances vanished from the list at once; the new list is not applied yet.
     #[display("suspect-list")]
     SuspectList,
 }
@@ -62,40 +62,40 @@
     }
 }
 
-/// Something that a person has to see.
+/// A condition that an operator has to acknowledge.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Alert {
-    /// Its identity.
+    /// Id of the alert.
     pub id: String,
-    /// What it is about.
+    /// What the alert is about.
     pub kind: Kind,
-    /// Failure domain in which it arose.
+    /// Failure domain that raised the alert.
     pub domain: domain::Name,
-    /// Job or worker concerned.
+    /// Job, worker or other object that the alert concerns.
     pub subject: String,
-    /// What happened, in a sentence for people.
+    /// Human-readable description.
     pub message: String,
-    /// When it was raised.
+    /// When the alert was raised.
     pub raised: Unix,
-    /// How often the same was raised.
+    /// Number of times that the alert was raised.
     pub count: u64,
-    /// When its cause went away; the alert stays until it is acknowledged.
+    /// When the cause ended; the alert stays listed until it is acknowledged.
     pub ended: Option<Unix>,
-    /// Who has seen it, and when.
+    /// Who acknowledged the alert, and when.
     pub acknowledged: Option<Acknowledgement>,
 }
 
-/// A person's word that an alert was seen.
+/// Acknowledgement of an alert by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acknowledgement {
-    /// The person.
+    /// Name of the operator.
     pub by: String,
-    /// When they said so.
+    /// When the alert was acknowledged.
     pub at: Unix,
 }
 
 impl Alert {
-    /// An alert of the board of `domain`.
+    /// Creates the view of an alert on the board of `domain`.
     pub fn new(domain: &domain::Name, alert: &alert::Alert) -> Self {
         let acknowledged = alert.acknowledged.as_ref();
         Self {
@@ -115,7 +115,8 @@
     }
 }
 
-/// Place of an alert in lists: open ones first, then the gravest kind, then the oldest.
+/// Position of an alert in lists: unacknowledged alerts first, then by severity of kind, then by
+/// age, oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SortKey {
     is_acknowledged: bool,
@@ -142,35 +143,35 @@
             "seen" => true,
             _ => return None,
         };
-        let kind = alert::Kind::ALL.into_iter().find(|known| known.to_string() == kind)?;
+        let kind = alert::Kind::ALL.into_iter().find(|candidate| candidate.to_string() == kind)?;
         Some(Self { is_acknowledged, kind, id: alert::Id::parse(id)? })
     }
 }
 
-/// The part of a board that `cut` asks for, open alerts only unless `all` is set.
+/// Returns the requested page of a board's alerts; acknowledged ones only if `all` is set.
 ///
-/// The cursor names a place rather than an alert, so that a list goes on when the alert at its cut
-/// was acknowledged meanwhile.
+/// The cursor is a sort key, not an alert id. Paging therefore continues correctly if the last
+/// alert of a page is acknowledged before the next page is requested.
 ///
 /// # Errors
 ///
-/// Names the cursor when it is none.
+/// Refuses a malformed cursor.
 pub fn page(
     domain: &domain::Name,
     board: &Board,
     all: bool,
-    page: &PageRequest<String>,
+    request: &PageRequest<String>,
 ) -> Result<Page<Alert, String>, Refusal> {
-    let malformed = || Refusal::invalid("after", "must be the `next` of the page before");
-    let after = page.after.as_deref().map(|text| SortKey::parse(text).ok_or_else(malformed));
+    let malformed = || Refusal::invalid("after", "must be the `next` value of the previous page");
+    let after = request.after.as_deref().map(|text| SortKey::parse(text).ok_or_else(malformed));
     let after = after.transpose()?;
     let seen = board.acknowledged().filter(|_| all);
     let mut alerts: Vec<&alert::Alert> = board.open().into_iter().chain(seen).collect();
     alerts.retain(|alert| after.is_none_or(|after| SortKey::new(alert) > after));
     alerts.sort_by_key(|alert| SortKey::new(alert));
-    let is_last = alerts.len() <= page.limit;
-    alerts.truncate(page.limit);
+    let is_last_page = alerts.len() <= request.limit;
+    alerts.truncate(request.limit);
     let last = alerts.last().map(|alert| SortKey::new(alert).cursor());
-    let next = if is_last { None } else { last };
+    let next = if is_last_page { None } else { last };
     Ok(Page { items: alerts.into_iter().map(|alert| Alert::new(domain, alert)).collect(), next })
 }
--- a/src/api/view/job.rs
+++ b/src/api/view/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and their tasks.
+//! Views of jobs and their tasks.
 
 use std::time::Duration;
 
@@ -9,74 +9,75 @@
 use crate::resource::Amount;
 use crate::{job, task, worker};
 
-/// A job to accept.
+/// Request to accept a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
     /// The caller's idempotency key, unique within the team.
     pub key: String,
-    /// What the job asks for.
+    /// Specification of the job.
     pub spec: job::Spec,
 }
 
 impl Submission {
-    /// The identity that the job has or will have.
+    /// Returns the job's id, which is derived from its team and key.
     pub fn id(&self) -> job::Id {
         job::Id::derive(&self.spec.team, &self.key)
     }
 }
 
-/// Where an accepted job's record is kept.
+/// Where an accepted job's record is stored.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Durability {
     /// In the log.
     #[display("log")]
     Log,
-    /// In the memory of at least two instances of the failure domain, until the log is back.
+    /// In the memory of at least two instances of the failure domain, until the log is available
+    /// again.
     #[display("peers")]
     Peers,
 }
 
-/// An accepted job.
+/// Result of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Its identity.
+    /// Id of the job.
     pub job: job::Id,
-    /// Where its record is kept.
+    /// Where the job's record is stored.
     pub durability: Durability,
-    /// Whether an earlier call with the same key had been accepted already.
+    /// Whether an earlier call with the same key was already accepted.
     pub duplicate: bool,
 }
 
-/// Where a job stands as a whole.
+/// State of a job.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
     /// No task has started.
     #[display("waiting")]
     Waiting,
-    /// At least one task has started and not all have ended.
+    /// At least one task has started, and not all tasks have ended.
     #[display("running")]
     Running,
-    /// A stop was asked for and not every task has ended.
+    /// Cancellation was requested, and not all tasks have ended.
     #[display("cancelling")]
     Cancelling,
-    /// Every task finished its work.
+    /// All tasks completed their work.
     #[display("succeeded")]
     Succeeded,
-    /// At least one task failed for good.
+    /// At least one task failed and will not be retried.
     #[display("failed")]
     Failed,
-    /// It was stopped on request.
+    /// The job was cancelled on request.
     #[display("cancelled")]
     Cancelled,
-    /// Of at least one task it is not known whether it still runs; a person has to decide.
+    /// At least one task may or may not still run; an operator has to decide.
     #[display("uncertain")]
     Uncertain,
 }
 
 impl State {
-    /// Every state.
+    /// All states.
     pub const ALL: [Self; 7] = [
         Self::Waiting,
         Self::Running,
@@ -87,31 +88,31 @@
         Self::Uncertain,
     ];
 
-    /// Whether a job in this state changes no more.
+    /// Whether a job in this state can no longer change.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Succeeded | Self::Failed | Self::Cancelled)
     }
 }
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// Waits for a worker.
+    /// The task waits for a worker.
     #[display("pending")]
     Pending,
-    /// Has a worker, which has not yet confirmed the start.
+    /// The task was placed, and its worker has not confirmed the start yet.
     #[display("starting")]
     Starting,
-    /// Runs.
+    /// The task runs.
     #[display("running")]
     Running,
-    /// Was told to stop, which the worker has not yet confirmed.
+    /// The worker was instructed to stop the task and has not confirmed it yet.
     #[display("stopping")]
     Stopping,
-    /// Ended and will not run again.
+    /// The task ended and will not run again.
     #[display("{_0}")]
     Ended(task::End),
-    /// May or may not run; its worker cannot be asked.
+    /// The task may or may not run, because its worker cannot be reached.
     #[display("uncertain")]
     Uncertain,
 }
@@ -119,40 +120,40 @@
 /// A task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
-    /// Position among the job's tasks, from zero.
+    /// Index among the job's tasks, starting at zero.
     pub index: u32,
-    /// Count of earlier tries.
+    /// Number of earlier attempts.
     pub attempt: u32,
-    /// Where it stands.
+    /// Current state.
     pub state: Phase,
-    /// Worker of the present try, or of the last one.
+    /// Worker of the current or the last attempt.
     pub worker: Option<worker::Name>,
-    /// When the present try started.
+    /// When the current attempt started.
     pub started: Option<Unix>,
     /// When the task ended.
     pub ended: Option<Unix>,
-    /// Why it waits, failed or is uncertain.
+    /// Why the task waits, failed or is uncertain.
     pub reason: Option<String>,
 }
 
-/// A job in a list.
+/// Summary of a job, as shown in lists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Its identity.
+    /// Id of the job.
     pub id: job::Id,
-    /// Its name.
+    /// Name of the job.
     pub name: String,
-    /// Its team.
+    /// Team that the job belongs to.
     pub team: String,
-    /// How its tasks are placed.
+    /// How the tasks are placed.
     pub kind: job::Kind,
-    /// How soon it should start.
+    /// How soon the job should start.
     pub urgency: job::Urgency,
-    /// Where it stands.
+    /// Current state.
     pub state: State,
     /// Number of tasks.
     pub tasks: u32,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub submitted: Unix,
     /// Time by which every task must have ended.
     pub deadline: Option<Unix>,
@@ -161,21 +162,21 @@
 /// A job with its tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What lists show too.
+    /// Summary of the job.
     pub summary: Summary,
-    /// Its idempotency key.
+    /// Idempotency key of the submission.
     pub key: String,
-    /// What each task needs.
+    /// Resources that each task needs.
     pub demand: Amount,
     /// Whether a task may be started again.
     pub effect: job::Effect,
-    /// Where its record is kept.
+    /// Where the job's record is stored.
     pub durability: Durability,
-    /// Its tasks by index.
+    /// Tasks, ordered by index.
     pub tasks: Vec<Task>,
 }
 
-/// Which jobs a list shows; an absent field matches all.
+/// Filter for a list of jobs; an absent field matches all jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Filter {
     /// Team to match.
@@ -186,17 +187,17 @@
     pub state: Option<State>,
 }
 
-/// Why a job waits.
+/// Explanation of why a job waits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The job.
+    /// Id of the job.
     pub job: job::Id,
-    /// Where it stands.
+    /// Current state.
     pub state: State,
-    /// Why, in a sentence for people.
+    /// Human-readable reason.
     pub reason: String,
-    /// What an operator can do about it.
+    /// What an operator can do to let the job start.
     pub advice: Option<String>,
-    /// How long it has waited.
+    /// Time that the job has waited.
     pub waited: Duration,
 }
--- a/src/api/view/mod.rs
+++ b/src/api/view/mod.rs
@@ -1,7 +1,7 @@
-//! What callers and operators are told, and what they ask for, as model types.
+//! Model types of the interface's requests and responses.
 //!
-//! The types serialise with `bincode` too, so that an instance can pass them on to the owner of its
-//! failure domain. Their form in JSON is that of [`crate::api::wire`].
+//! Instances forward these types, encoded with `bincode`, to the owner of their failure domain.
+//! Their JSON form is defined in [`crate::api::wire`].
 
 pub mod alert;
 pub mod job;
@@ -14,40 +14,40 @@
 
 use crate::domain;
 
-/// The instance that answers.
+/// Identity of the responding instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name from the settings.
+    /// Name of the instance from its settings.
     pub instance: String,
-    /// Random number drawn at start.
+    /// Random number that the process draws when it starts.
     pub run: u64,
-    /// Failure domain it stands in.
+    /// Failure domain of the instance.
     pub domain: domain::Name,
 }
 
-/// Whether an instance should get traffic.
+/// Whether an instance should receive traffic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Readiness {
-    /// Whether it should.
+    /// Whether the instance is ready.
     pub ready: bool,
-    /// Why not, one sentence each.
+    /// Reasons why the instance is not ready, one sentence each.
     pub reasons: Vec<String>,
 }
 
-/// Which part of a list to show.
+/// Which page of a list to return.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PageRequest<C> {
-    /// Last item of the page before, absent for the first page.
+    /// Cursor of the previous page; absent for the first page.
     pub after: Option<C>,
-    /// Largest number of items; at least one.
+    /// Maximum number of items, at least one.
     pub limit: usize,
 }
 
-/// One part of a list.
+/// One page of a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page<T, C> {
-    /// Its items in order.
+    /// Items in list order.
     pub items: Vec<T>,
-    /// What to name as `after` for the next page; absent on the last one.
+    /// Cursor for the `after` of the next page; absent on the last page.
     pub next: Option<C>,
 }
--- a/src/api/view/preset.rs
+++ b/src/api/view/preset.rs
@@ -1,4 +1,4 @@
-//! Presets, of which exactly one is in force.
+//! Views of presets, exactly one of which is active.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,60 +7,60 @@
 use crate::config;
 use crate::placement::{Objective, Policy};
 
-/// The preset in force since some version.
+/// Preset that is or was active, with the change that activated it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActivePreset {
     /// Name of the preset.
     pub preset: String,
-    /// Version of the configuration that put it in force.
+    /// Version of the configuration that activated the preset.
     pub version: u64,
-    /// Who did.
+    /// Name of the operator who activated it.
     pub by: String,
-    /// When they did.
+    /// When it was activated.
     pub at: Unix,
 }
 
-/// One field of a preset.
+/// One setting of a preset.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Field {
-    /// Its name.
+    /// Name of the setting.
     pub name: String,
-    /// Its value as text, with its unit.
+    /// Value as text, with its unit.
     pub value: String,
 }
 
-/// A named policy.
+/// A named placement policy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Preset {
-    /// Its name.
+    /// Name of the preset.
     pub name: String,
-    /// What it is for, in a sentence for people.
+    /// Human-readable purpose of the preset.
     pub about: String,
-    /// What it sets.
+    /// Settings of the preset.
     pub fields: Vec<Field>,
 }
 
-/// The preset in force and all presets to choose from.
+/// The active preset and all available presets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PresetList {
-    /// The one in force.
+    /// The active preset.
     pub current: ActivePreset,
-    /// Version on which the next change has to be based.
+    /// Version of the configuration on which the next change must be based.
     pub version: u64,
-    /// All that there are.
+    /// All available presets.
     pub presets: Vec<Preset>,
 }
 
-/// A preset to put in force.
+/// Request to activate a preset.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its name.
+    /// Name of the preset.
     pub preset: String,
-    /// Version that the person saw when they decided.
+    /// Version of the configuration that the operator had read.
     pub based_on: u64,
 }
 
-/// Who has set the preset while nobody has.
+/// Author shown while no operator has changed the preset.
 const NOBODY: &str = "nobody";
 
 impl From<&config::Value> for ActivePreset {
@@ -87,7 +87,7 @@
 }
 
 impl PresetList {
-    /// The presets of a deployment that weighs `weighs` more, with `value` in force.
+    /// Lists the presets for the placement objective `objective`, with the active one from `value`.
     pub fn new(value: &config::Value, objective: Objective) -> Self {
         let presets =
             config::Preset::ALL.into_iter().map(|preset| Preset::new(preset, objective)).collect();
@@ -99,7 +99,7 @@
     fn new(preset: config::Preset, objective: Objective) -> Self {
         let about = match preset {
             config::Preset::Ordinary => "ordinary days",
-            config::Preset::Peak => "peaks: waiting time goes before packing",
+            config::Preset::Peak => "peaks: short waiting times take precedence over packing",
             config::Preset::Maintenance => "maintenance: workers are serviced rack by rack",
         };
         let fields = fields(&Policy::for_preset(preset.into(), objective));
@@ -107,7 +107,7 @@
     }
 }
 
-/// What a policy sets, for people.
+/// Formats the settings of a policy as text.
 fn fields(policy: &Policy) -> Vec<Field> {
     let span = |span| humantime::format_duration(span).to_string();
     let none = || "none".to_owned();
--- a/src/api/view/quota.rs
+++ b/src/api/view/quota.rs
@@ -1,36 +1,36 @@
-//! Quotas of teams.
+//! Views of the teams' quotas.
 
 use serde::{Deserialize, Serialize};
 
 use crate::config;
 use crate::resource::Amount;
 
-/// Table of all teams.
+/// Quotas of all teams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// Version on which the next change has to be based.
+    /// Version of the configuration on which the next change must be based.
     pub version: u64,
-    /// Teams that have a quota, by name.
+    /// Teams that have a quota, ordered by name.
     pub teams: Vec<Quota>,
 }
 
 /// The quota of one team.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// What its running tasks may hold in each failure domain.
+    /// Resources that the team's running tasks may hold in each failure domain.
     pub limit: Amount,
 }
 
-/// A change of a team's quota.
+/// Request to change a team's quota.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The team.
+    /// Name of the team.
     pub team: String,
     /// The new quota; absent to remove it.
     pub limit: Option<Amount>,
-    /// Version that the person saw when they decided.
+    /// Version of the configuration that the operator had read.
     pub based_on: u64,
 }
 
--- a/src/api/view/status.rs
+++ b/src/api/view/status.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is doing.
+//! Status of the scheduler.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::domain;
 use crate::domain::Epoch;
 
-/// How much work waits and runs.
+/// Number of waiting and running jobs and tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Jobs with at least one pending task.
@@ -18,57 +18,57 @@
     pub pending_tasks: u64,
     /// Tasks that hold resources.
     pub running_tasks: u64,
-    /// Tasks of which it is not known whether they run.
+    /// Tasks that may or may not run.
     pub uncertain_tasks: u64,
 }
 
-/// How the log answers an instance.
+/// How the log responds to an instance's appends.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogHealth {
-    /// Appends are answered in time.
+    /// Appends complete in time.
     #[display("up")]
     Up,
-    /// Appends are answered late.
+    /// Appends complete late.
     #[display("slow")]
     Slow,
-    /// Appends are not answered.
+    /// Appends get no response.
     #[display("down")]
     Down,
 }
 
-/// What one failure domain is doing.
+/// Status of one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Domain {
-    /// Its name.
+    /// Name of the failure domain.
     pub name: domain::Name,
-    /// Instance that owns it, if any is known.
+    /// Instance that owns the failure domain, if known.
     pub owner: Option<String>,
-    /// The owner's epoch.
+    /// Epoch of the owner.
     pub epoch: Epoch,
-    /// The preset in force there, as last heard.
+    /// Preset that the domain last reported as active.
     pub preset: preset::ActivePreset,
-    /// Age of what is known of the domain.
+    /// Age of the information about the domain.
     pub heard: Duration,
-    /// How long the domain's configuration has gone unconfirmed by the log.
+    /// Time since the log last confirmed the domain's configuration.
     pub staleness: Duration,
-    /// Its workers.
+    /// Workers of the domain by state.
     pub workers: worker::WorkerCounts,
-    /// Its work.
+    /// Jobs and tasks of the domain.
     pub load: Load,
-    /// How the log answers there.
+    /// How the log responds to the domain's instances.
     pub log: LogHealth,
-    /// Alerts that nobody has acknowledged.
+    /// Number of unacknowledged alerts.
     pub open_alerts: u64,
 }
 
-/// What the scheduler is doing.
+/// Status of the scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The instance that answers.
+    /// Identity of the responding instance.
     pub instance: Identity,
-    /// The preset in force, as this instance knows it.
+    /// Active preset according to this instance.
     pub preset: preset::ActivePreset,
-    /// All failure domains that this instance has heard of, its own first.
+    /// All failure domains known to this instance, its own first.
     pub domains: Vec<Domain>,
 }
--- a/src/api/view/worker.rs
+++ b/src/api/view/worker.rs
@@ -1,4 +1,4 @@
-//! Workers and the orders that operators give about them.
+//! Views of workers, and operators' actions on them.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -6,26 +6,26 @@
 use crate::resource::Amount;
 use crate::worker;
 
-/// How a worker stands with the owner of its failure domain.
+/// State of a worker as seen by the owner of its failure domain.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Takes work.
+    /// The worker accepts new tasks.
     #[display("live")]
     Live,
-    /// Finishes what it runs and takes no new work.
+    /// The worker finishes its running tasks and gets no new ones.
     #[display("draining")]
     Draining,
-    /// Fails what it starts and takes no new work.
+    /// Tasks fail on the worker, which therefore gets no new ones.
     #[display("quarantined")]
     Quarantined,
-    /// Answers, but has not yet accepted the owner's epoch and told what it runs.
+    /// The worker responds, but has not yet accepted the owner's epoch and reported its tasks.
     #[display("unfenced")]
     Unfenced,
-    /// Does not answer.
+    /// The worker does not respond.
     #[display("unreachable")]
     Unreachable,
-    /// Given up on an operator's word.
+    /// An operator declared the worker lost.
     #[display("lost")]
     Lost,
 }
@@ -33,44 +33,44 @@
 /// A worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Worker {
-    /// Its name.
+    /// Name of the worker.
     pub name: worker::Name,
-    /// Rack it stands in.
+    /// Rack of the worker.
     pub rack: String,
-    /// How it stands.
+    /// Current state.
     pub state: State,
-    /// What it has.
+    /// Total resources of the worker.
     pub capacity: Amount,
-    /// What is reserved on it.
+    /// Resources held by tasks on the worker.
     pub reserved: Amount,
-    /// Tasks that hold resources on it.
+    /// Number of tasks that hold resources on the worker.
     pub tasks: u32,
 }
 
-/// An operator's order about a worker.
+/// Action of an operator on a worker.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Give it no new work.
+    /// Stop placing new tasks on the worker.
     #[display("drain")]
     Drain,
-    /// Give it work again.
+    /// Place new tasks on the worker again.
     #[display("undrain")]
     Undrain,
-    /// It is gone for good: whatever it ran does not run any more.
+    /// Declare the worker permanently gone; none of its tasks runs any more.
     #[display("lost")]
     Lost,
 }
 
-/// How many workers stand in which way.
+/// Number of workers by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerCounts {
-    /// Take work.
+    /// Workers that accept new tasks.
     pub live: u32,
-    /// Take no new work by order or because they fail what they start.
+    /// Workers that get no new tasks because they are drained or quarantined.
     pub draining: u32,
-    /// Not yet fenced by the owner's epoch.
+    /// Workers that have not accepted the owner's epoch yet.
     pub unfenced: u32,
-    /// Do not answer.
+    /// Workers that do not respond.
     pub unreachable: u32,
 }
--- a/src/api/wire/alert.rs
+++ b/src/api/wire/alert.rs
@@ -1,4 +1,4 @@
-//! Alerts.
+//! JSON form of alerts.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,31 +8,31 @@
 use crate::api::wire::check;
 use crate::clock::Unix;
 
-/// Something that a person has to see.
+/// A condition that an operator has to acknowledge.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Alert {
-    /// Its identity.
+    /// Id of the alert.
     pub id: String,
-    /// What it is about.
+    /// What the alert is about.
     pub kind: Kind,
-    /// Failure domain in which it arose.
+    /// Failure domain that raised the alert.
     pub domain: String,
-    /// Job or worker concerned.
+    /// Job, worker or other object that the alert concerns.
     pub subject: String,
-    /// What happened, in a sentence for people.
+    /// Human-readable description.
     pub message: String,
-    /// When it was raised.
+    /// When the alert was raised, in milliseconds since the Unix epoch.
     pub raised_unix_ms: u64,
-    /// How often the same was raised.
+    /// Number of times that the alert was raised.
     pub count: u64,
-    /// When its cause went away.
+    /// When the cause ended, in milliseconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended_unix_ms: Option<u64>,
-    /// Who has seen it.
+    /// Name of the operator who acknowledged the alert.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub acknowledged_by: Option<String>,
-    /// When they said so.
+    /// When the alert was acknowledged, in milliseconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub acknowledged_unix_ms: Option<u64>,
 }
@@ -56,20 +56,20 @@
     }
 }
 
-/// A person's signature under an order.
+/// Body of a change: the name of the operator who makes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct OperatorName {
-    /// The person.
+    /// Name of the operator.
     pub by: String,
 }
 
 impl OperatorName {
-    /// The person's name, checked.
+    /// Validates the name and returns it.
     ///
     /// # Errors
     ///
-    /// Names the field when the name breaks the rules for names.
+    /// Refuses a name that [`check::name`] refuses.
     pub fn into_name(self) -> Result<String, Refusal> {
         check::name("by", &self.by)?;
         Ok(self.by)
--- a/src/api/wire/amount.rs
+++ b/src/api/wire/amount.rs
@@ -1,4 +1,4 @@
-//! Amounts of resources.
+//! JSON form of resource amounts.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,21 +10,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Amount {
-    /// Processor time in thousandths of a core.
+    /// CPU in thousandths of a core.
     pub cpu_millis: u64,
     /// Memory in MiB.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u64,
 }
 
 impl Amount {
-    /// Checks the amount as the demand of one task, found at `path`.
+    /// Validates the amount as the demand of one task; `path` is its field in the request.
     ///
     /// # Errors
     ///
-    /// Names the dimension that is out of its range.
+    /// Refuses a resource that is out of range.
     pub fn into_demand(self, path: &str) -> Result<resource::Amount, Refusal> {
         let field = |name| format!("{path}.{name}");
         check::in_range(&field("cpu-millis"), self.cpu_millis, 1, check::MAX_CPU_MILLIS)?;
@@ -33,11 +33,11 @@
         Ok(self.into())
     }
 
-    /// Checks the amount as a team's quota, found at `path`.
+    /// Validates the amount as a team's quota; `path` is its field in the request.
     ///
     /// # Errors
     ///
-    /// Names the dimension that is out of its range.
+    /// Refuses a resource that is out of range.
     pub fn into_quota(self, path: &str) -> Result<resource::Amount, Refusal> {
         let tasks = u64::from(check::MAX_TASKS);
         let field = |name| format!("{path}.{name}");
--- a/src/api/wire/check.rs
+++ b/src/api/wire/check.rs
@@ -1,35 +1,35 @@
-//! Ranges of what callers and operators may ask for.
+//! Limits on the values in requests, and checks of them.
 
 use std::time::Duration;
 
 use crate::api::refusal::Refusal;
 use crate::clock::Unix;
 
-/// Longest name of a job, team, worker or person, in characters.
+/// Maximum length of the name of a job, team, worker or operator, in characters.
 pub const MAX_NAME_LENGTH: usize = 64;
-/// Longest idempotency key, in characters.
+/// Maximum length of an idempotency key, in characters.
 pub const MAX_KEY_LENGTH: usize = 128;
-/// Most tasks of one job.
+/// Maximum number of tasks of one job.
 pub const MAX_TASKS: u32 = 10_000;
-/// Largest processor demand of a task, in thousandths of a core.
+/// Maximum CPU demand of a task, in thousandths of a core.
 pub const MAX_CPU_MILLIS: u64 = 10_000_000;
-/// Largest memory demand of a task, in MiB.
+/// Maximum memory demand of a task, in MiB.
 pub const MAX_MEMORY_MIB: u64 = 64 * 1024 * 1024;
-/// Most accelerators of a task.
+/// Maximum number of accelerators of a task.
 pub const MAX_ACCELERATORS: u64 = 1_024;
-/// Longest expected run time.
+/// Maximum expected run time of a task.
 pub const MAX_RUN_TIME: Duration = Duration::from_secs(366 * 24 * 60 * 60);
-/// Furthest deadline, counted from now.
+/// Maximum time from now to a deadline.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(366 * 24 * 60 * 60);
-/// Longest payload, in bytes.
+/// Maximum size of a payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 16 * 1024;
-/// Most items on one page of a list.
+/// Maximum number of items on one page of a list.
 pub const MAX_PAGE_SIZE: usize = 500;
 
 /// Checks a name: letters, digits, `.`, `_` and `-`, beginning with a letter or digit.
 ///
-/// Names reach logs, terminals and paths, so that they hold nothing that those would read as
-/// something else.
+/// Names appear in logs, terminals and paths, so they must not contain characters with a special
+/// meaning there.
 ///
 /// ```
 /// use oriolefork::api::wire::check;
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 ///
-/// Names `field` and the rule that `text` breaks.
+/// Returns a refusal that names `field` and the violated rule.
 pub fn name(field: &str, text: &str) -> Result<(), Refusal> {
     let length = text.chars().count();
     if length == 0 || length > MAX_NAME_LENGTH {
@@ -54,7 +54,7 @@
         return Err(Refusal::invalid(
             field,
             format!(
-                "{field} may hold letters, digits, '.', '_' and '-' of ASCII only and must begin \
+                "{field} may contain only ASCII letters, digits, '.', '_' and '-' and must begin \
                  with a letter or digit"
             ),
         ));
@@ -62,11 +62,11 @@
     Ok(())
 }
 
-/// Checks an idempotency key: visible characters of ASCII.
+/// Checks an idempotency key: visible ASCII characters, no spaces.
 ///
 /// # Errors
 ///
-/// Names `field` and the rule that `text` breaks.
+/// Returns a refusal that names `field` and the violated rule.
 pub fn key(field: &str, text: &str) -> Result<(), Refusal> {
     let visible = text.chars().all(|c| c.is_ascii_graphic());
     if text.is_empty() || text.len() > MAX_KEY_LENGTH || !visible {
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 ///
-/// Names `field`, the number and the range.
+/// Returns a refusal that names `field`, the number and the range.
 pub fn in_range(field: &str, value: u64, low: u64, high: u64) -> Result<(), Refusal> {
     if (low..=high).contains(&value) {
         return Ok(());
@@ -94,28 +94,31 @@
 ///
 /// # Errors
 ///
-/// Names `field`, the length and the limit.
+/// Returns a refusal that names `field`, the length and the limit.
 pub fn max_length(field: &str, text: &str, limit: usize) -> Result<(), Refusal> {
     if text.len() <= limit {
         return Ok(());
     }
     let length = text.len();
-    Err(Refusal::invalid(field, format!("{field} has {length} bytes; it may have {limit}")))
+    Err(Refusal::invalid(field, format!("{field} has {length} bytes; the maximum is {limit}")))
 }
 
-/// Checks that a deadline lies neither in the past nor absurdly far ahead of `now`.
+/// Checks that a deadline is after `now`, by at most [`MAX_DEADLINE`].
 ///
 /// # Errors
 ///
-/// Names `field` and by how much it is off.
+/// Returns a refusal that names `field` and the violated limit.
 pub fn deadline(field: &str, deadline: Unix, now: Unix) -> Result<(), Refusal> {
     if deadline <= now {
         let late = now.since(deadline).as_secs();
-        return Err(Refusal::invalid(field, format!("{field} lies {late} s in the past")));
+        return Err(Refusal::invalid(field, format!("{field} is {late} s in the past")));
     }
     if deadline.since(now) > MAX_DEADLINE {
         let days = MAX_DEADLINE.as_secs() / (24 * 60 * 60);
-        return Err(Refusal::invalid(field, format!("{field} lies more than {days} days ahead")));
+        return Err(Refusal::invalid(
+            field,
+            format!("{field} is more than {days} days in the future"),
+        ));
     }
     Ok(())
 }
--- a/src/api/wire/job.rs
+++ b/src/api/wire/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and their tasks.
+//! JSON form of jobs and their tasks.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::clock::{self, Unix};
 use crate::{job, task};
 
-/// What a job asks for.
+/// Specification of a job in a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Spec {
-    /// Name under which run times are learned.
+    /// Name of the job; run times are learned per name.
     pub name: String,
     /// Team whose quota the job counts against.
     pub team: String,
@@ -25,12 +25,12 @@
     /// Number of tasks.
     #[serde(default = "one")]
     pub tasks: u32,
-    /// What each task needs.
+    /// Resources that each task needs.
     pub demand: Amount,
     /// Whether a task may be started again.
     #[serde(default)]
     pub effect: job::Effect,
-    /// How soon it should start.
+    /// How soon the job should start.
     #[serde(default)]
     pub urgency: job::Urgency,
     /// Expected run time of a task in milliseconds.
@@ -39,7 +39,7 @@
     /// Milliseconds since the Unix epoch by which every task must have ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_unix_ms: Option<u64>,
-    /// Opaque instruction for the worker.
+    /// Instruction for the worker, which the scheduler does not interpret.
     #[serde(default)]
     pub payload: String,
 }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Checks what a long-running job, which has no end of its own, cannot be asked for.
+/// Refuses settings that contradict a long-running job, which runs until it is cancelled.
 fn check_kind(spec: &Spec) -> Result<(), Refusal> {
     if spec.kind != job::Kind::LongRunning {
         return Ok(());
@@ -110,15 +110,15 @@
     }
 }
 
-/// An accepted job.
+/// Response to an accepted submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Accepted {
-    /// Its identity.
+    /// Id of the job.
     pub job: String,
-    /// Where its record is kept.
+    /// Where the job's record is stored.
     pub durability: Durability,
-    /// Whether an earlier call with the same key had been accepted already.
+    /// Whether an earlier call with the same key was already accepted.
     pub duplicate: bool,
 }
 
@@ -129,32 +129,32 @@
     }
 }
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display(rename_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Waits for a worker.
+    /// The task waits for a worker.
     Pending,
-    /// Has a worker, which has not yet confirmed the start.
+    /// The task was placed, and its worker has not confirmed the start yet.
     Starting,
-    /// Runs.
+    /// The task runs.
     Running,
-    /// Was told to stop, which the worker has not yet confirmed.
+    /// The worker was instructed to stop the task and has not confirmed it yet.
     Stopping,
-    /// May or may not run.
+    /// The task may or may not run.
     Uncertain,
-    /// Finished its work.
+    /// The task completed its work.
     Succeeded,
-    /// Reported a failure.
+    /// The task reported a failure.
     Failed,
-    /// Was stopped on request.
+    /// The task was stopped on request.
     Stopped,
-    /// Was checkpointed on request.
+    /// The task was checkpointed on request.
     Checkpointed,
-    /// Was stopped by its worker because its lease lapsed.
+    /// The worker stopped the task because its lease expired.
     Lapsed,
-    /// Could not be started by its worker and never ran.
+    /// The worker could not start the task, which never ran.
     Rejected,
 }
 
@@ -189,22 +189,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Task {
-    /// Position among the job's tasks, from zero.
+    /// Index among the job's tasks, starting at zero.
     pub index: u32,
-    /// Count of earlier tries.
+    /// Number of earlier attempts.
     pub attempt: u32,
-    /// Where it stands.
+    /// Current state.
     pub state: Phase,
-    /// Worker of the present try, or of the last one.
+    /// Worker of the current or the last attempt.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub worker: Option<String>,
-    /// When the present try started.
+    /// When the current attempt started, in milliseconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_unix_ms: Option<u64>,
-    /// When the task ended.
+    /// When the task ended, in milliseconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended_unix_ms: Option<u64>,
-    /// Why it waits, failed or is uncertain.
+    /// Why the task waits, failed or is uncertain.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
@@ -223,27 +223,27 @@
     }
 }
 
-/// A job in a list.
+/// Summary of a job, as shown in lists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Summary {
-    /// Its identity.
+    /// Id of the job.
     pub id: String,
-    /// Its name.
+    /// Name of the job.
     pub name: String,
-    /// Its team.
+    /// Team that the job belongs to.
     pub team: String,
-    /// How its tasks are placed.
+    /// How the tasks are placed.
     pub kind: job::Kind,
-    /// How soon it should start.
+    /// How soon the job should start.
     pub urgency: job::Urgency,
-    /// Where it stands.
+    /// Current state.
     pub state: State,
     /// Number of tasks.
     pub tasks: u32,
-    /// When it was accepted.
+    /// When the job was accepted, in milliseconds since the Unix epoch.
     pub submitted_unix_ms: u64,
-    /// Time by which every task must have ended.
+    /// Time by which every task must have ended, in milliseconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_unix_ms: Option<u64>,
 }
@@ -268,18 +268,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Job {
-    /// What lists show too.
+    /// Summary of the job.
     #[serde(flatten)]
     pub summary: Summary,
-    /// Its idempotency key.
+    /// Idempotency key of the submission.
     pub key: String,
-    /// What each task needs.
+    /// Resources that each task needs.
     pub demand: Amount,
     /// Whether a task may be started again.
     pub effect: job::Effect,
-    /// Where its record is kept.
+    /// Where the job's record is stored.
     pub durability: Durability,
-    /// Its tasks by index.
+    /// Tasks, ordered by index.
     pub task_list: Vec<Task>,
 }
 
@@ -296,20 +296,20 @@
     }
 }
 
-/// Why a job waits.
+/// Explanation of why a job waits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Explanation {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// Where it stands.
+    /// Current state.
     pub state: State,
-    /// Why, in a sentence for people.
+    /// Human-readable reason.
     pub reason: String,
-    /// What an operator can do about it.
+    /// What an operator can do to let the job start.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advice: Option<String>,
-    /// How long it has waited.
+    /// Time that the job has waited, in milliseconds.
     pub waited_ms: u64,
 }
 
--- a/src/api/wire/mod.rs
+++ b/src/api/wire/mod.rs
@@ -1,8 +1,8 @@
-//! The JSON form of what callers and operators send and receive.
+//! JSON form of requests and responses.
 //!
-//! Requests are checked strictly: an unknown, missing or repeated field and a value out of its
-//! range is refused with the path of the field. Answers may gain fields in later versions, so that
-//! readers pass over those they do not know.
+//! Requests are validated strictly: an unknown, missing or repeated field or a value out of range
+//! is refused, and the refusal names the field. Later versions may add fields to responses, so
+//! readers ignore unknown fields.
 
 pub mod alert;
 pub mod amount;
--- a/src/api/wire/page.rs
+++ b/src/api/wire/page.rs
@@ -1,15 +1,15 @@
-//! Parts of lists.
+//! JSON form of list pages.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::view;
 
-/// One part of a list.
+/// One page of a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page<T> {
-    /// Its items in order.
+    /// Items in list order.
     pub items: Vec<T>,
-    /// What to send as `after` for the next page; absent on the last one.
+    /// Cursor for the `after` of the next page; absent on the last page.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<String>,
 }
--- a/src/api/wire/parse.rs
+++ b/src/api/wire/parse.rs
@@ -1,14 +1,14 @@
-//! Reading of JSON bodies with the path of the field at fault.
+//! Parses JSON bodies and reports the path of an invalid field.
 
 use serde::de::DeserializeOwned;
 use serde_path_to_error::Path;
 
 use crate::api::refusal::Refusal;
 
-/// Name that a fault of the body as a whole has.
+/// Field name in refusals that concern the body as a whole.
 const BODY: &str = "body";
 
-/// Reads one JSON object that fills the `body` of a request, which has no arrays.
+/// Parses a request body that consists of one JSON object without arrays.
 ///
 /// ```
 /// use oriolefork::api::wire::{self, Amount};
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 ///
-/// Names the field at fault.
+/// Returns a refusal that names the invalid field.
 pub fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refusal> {
     if has_array(body) {
         return Err(Refusal::invalid(BODY, "the body must be a JSON object without arrays"));
@@ -30,9 +30,9 @@
     Ok(value)
 }
 
-/// Whether an array begins anywhere outside of the strings.
+/// Whether the body contains an array outside of strings.
 ///
-/// No request has arrays, and the parser would read one as the fields of a struct in their order.
+/// Requests have no arrays, and `serde_json` would accept an array as a struct's fields in order.
 fn has_array(body: &[u8]) -> bool {
     let (mut in_string, mut escaped) = (false, false);
     for byte in body {
@@ -52,7 +52,10 @@
     Refusal::invalid(field(path, &message), message)
 }
 
-/// The path of the field at fault, also where the parser names only the object around it.
+/// Returns the path of the invalid field.
+///
+/// For missing, unknown and duplicate fields, `path` may be that of the enclosing object; the
+/// field's name is then taken from the error message.
 fn field(path: &Path, message: &str) -> String {
     let object = path.to_string();
     let object = if object == "." || object == "?" { "" } else { object.as_str() };
--- a/src/api/wire/preset.rs
+++ b/src/api/wire/preset.rs
@@ -1,4 +1,4 @@
-//! Presets.
+//! JSON form of presets.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,17 +6,17 @@
 use crate::api::view;
 use crate::api::wire::check;
 
-/// The preset in force since some version.
+/// Preset that is or was active, with the change that activated it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ActivePreset {
     /// Name of the preset.
     pub preset: String,
-    /// Version of the configuration that put it in force.
+    /// Version of the configuration that activated the preset.
     pub version: u64,
-    /// Who did.
+    /// Name of the operator who activated it.
     pub by: String,
-    /// When they did.
+    /// When it was activated, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
 }
 
@@ -27,23 +27,23 @@
     }
 }
 
-/// One field of a preset.
+/// One setting of a preset.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Field {
-    /// Its name.
+    /// Name of the setting.
     pub name: String,
-    /// Its value as text, with its unit.
+    /// Value as text, with its unit.
     pub value: String,
 }
 
-/// A named policy.
+/// A named placement policy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Preset {
-    /// Its name.
+    /// Name of the preset.
     pub name: String,
-    /// What it is for.
+    /// Purpose of the preset.
     pub about: String,
-    /// What it sets.
+    /// Settings of the preset.
     pub fields: Vec<Field>,
 }
 
@@ -58,36 +58,36 @@
     }
 }
 
-/// The preset in force and all presets to choose from.
+/// The active preset and all available presets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PresetList {
-    /// The one in force.
+    /// The active preset.
     pub current: ActivePreset,
-    /// Version on which the next change has to be based.
+    /// Version of the configuration on which the next change must be based.
     pub version: u64,
-    /// All that there are.
+    /// All available presets.
     pub presets: Vec<Preset>,
 }
 
 impl From<view::preset::PresetList> for PresetList {
-    fn from(choice: view::preset::PresetList) -> Self {
+    fn from(list: view::preset::PresetList) -> Self {
         Self {
-            current: choice.current.into(),
-            version: choice.version,
-            presets: choice.presets.into_iter().map(Into::into).collect(),
+            current: list.current.into(),
+            version: list.version,
+            presets: list.presets.into_iter().map(Into::into).collect(),
         }
     }
 }
 
-/// A preset to put in force.
+/// Request to activate a preset.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Change {
-    /// Its name.
+    /// Name of the preset.
     pub preset: String,
-    /// Version that the person saw when they decided.
+    /// Version of the configuration that the operator had read.
     pub based_on: u64,
-    /// The person.
+    /// Name of the operator.
     pub by: String,
 }
 
--- a/src/api/wire/quota.rs
+++ b/src/api/wire/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of teams.
+//! JSON form of the teams' quotas.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,18 +9,18 @@
 /// The quota of one team.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// What its running tasks may hold in each failure domain.
+    /// Resources that the team's running tasks may hold in each failure domain.
     pub limit: Amount,
 }
 
 /// Quotas of all teams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// Version on which the next change has to be based.
+    /// Version of the configuration on which the next change must be based.
     pub version: u64,
-    /// Teams that have a quota, by name.
+    /// Teams that have a quota, ordered by name.
     pub teams: Vec<Quota>,
 }
 
@@ -32,25 +32,25 @@
     }
 }
 
-/// A change of a team's quota.
+/// Request to change a team's quota.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Change {
     /// The new quota; `null` to remove it.
     #[serde(deserialize_with = "Option::deserialize")]
     pub limit: Option<Amount>,
-    /// Version that the person saw when they decided.
+    /// Version of the configuration that the operator had read.
     pub based_on: u64,
-    /// The person.
+    /// Name of the operator.
     pub by: String,
 }
 
 impl Change {
-    /// The change of the quota of `team`, checked.
+    /// Validates the request and converts it into a change of the quota of `team`.
     ///
     /// # Errors
     ///
-    /// Names the field that is out of its range.
+    /// Refuses an invalid name or a limit that is out of range.
     pub fn into_change(self, team: &str) -> Result<view::quota::Change, Refusal> {
         check::name("team", team)?;
         check::name("by", &self.by)?;
--- a/src/api/wire/refusal.rs
+++ b/src/api/wire/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals.
+//! JSON form of refusals.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use crate::api::refusal::{self, ExecutionStatus, Reason};
 use crate::clock;
 
-/// Body of every answer that is no success.
+/// Body of every error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Refusal {
     /// Whether the work may have run.
     pub ran: ExecutionStatus,
-    /// Why it was refused.
+    /// Why the call was refused.
     pub reason: Reason,
-    /// What happened, in a sentence for people.
+    /// Human-readable description of the error.
     pub message: String,
-    /// Milliseconds after which a new try is worthwhile.
+    /// Milliseconds after which the caller should retry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The field or header at fault.
+    /// Invalid field or header.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
 }
--- a/src/api/wire/status.rs
+++ b/src/api/wire/status.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is doing.
+//! Status of the scheduler.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,14 +9,14 @@
 use crate::api::wire::worker::WorkerCounts;
 use crate::clock;
 
-/// The instance that answers.
+/// Identity of the responding instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name from the settings.
+    /// Name of the instance from its settings.
     pub instance: String,
-    /// Random number drawn at start, in hexadecimal digits.
+    /// Random number that the process draws when it starts, in hexadecimal.
     pub run: String,
-    /// Failure domain it stands in.
+    /// Failure domain of the instance.
     pub domain: String,
 }
 
@@ -30,19 +30,19 @@
     }
 }
 
-/// Whether an instance should get traffic.
+/// Whether an instance should receive traffic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Readiness {
-    /// Whether it should.
+    /// Whether the instance is ready.
     pub ready: bool,
-    /// Why not, one sentence each.
+    /// Reasons why the instance is not ready, one sentence each.
     pub reasons: Vec<String>,
-    /// The instance.
+    /// Identity of the instance.
     #[serde(flatten)]
     pub identity: Identity,
 }
 
-/// How much work waits and runs.
+/// Number of waiting and running jobs and tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Load {
@@ -52,7 +52,7 @@
     pub pending_tasks: u64,
     /// Tasks that hold resources.
     pub running_tasks: u64,
-    /// Tasks of which it is not known whether they run.
+    /// Tasks that may or may not run.
     pub uncertain_tasks: u64,
 }
 
@@ -64,30 +64,30 @@
     }
 }
 
-/// What one failure domain is doing.
+/// Status of one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Domain {
-    /// Its name.
+    /// Name of the failure domain.
     pub name: String,
-    /// Instance that owns it, if any is known.
+    /// Instance that owns the failure domain, if known.
     #[serde(default)]
     pub owner: Option<String>,
-    /// The owner's epoch.
+    /// Epoch of the owner.
     pub epoch: String,
-    /// The preset in force there, as last heard.
+    /// Preset that the domain last reported as active.
     pub preset: ActivePreset,
-    /// Age of what is known of the domain.
+    /// Age of the information about the domain, in milliseconds.
     pub heard_ms: u64,
-    /// How long the domain's configuration has gone unconfirmed by the log.
+    /// Milliseconds since the log last confirmed the domain's configuration.
     pub staleness_ms: u64,
-    /// Its workers.
+    /// Workers of the domain by state.
     pub workers: WorkerCounts,
-    /// Its work.
+    /// Jobs and tasks of the domain.
     pub load: Load,
-    /// How the log answers there.
+    /// How the log responds to the domain's instances.
     pub log: LogHealth,
-    /// Alerts that nobody has acknowledged.
+    /// Number of unacknowledged alerts.
     pub open_alerts: u64,
 }
 
@@ -108,14 +108,14 @@
     }
 }
 
-/// What the scheduler is doing.
+/// Status of the scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The instance that answers.
+    /// Identity of the responding instance.
     pub instance: Identity,
-    /// The preset in force, as this instance knows it.
+    /// Active preset according to this instance.
     pub preset: ActivePreset,
-    /// All failure domains that this instance has heard of, its own first.
+    /// All failure domains known to this instance, its own first.
     pub domains: Vec<Domain>,
 }
 
@@ -129,7 +129,7 @@
     }
 }
 
-/// A level of the log to set.
+/// Request to set the log level.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct LogLevel {
--- a/src/api/wire/worker.rs
+++ b/src/api/wire/worker.rs
@@ -1,4 +1,4 @@
-//! Workers.
+//! JSON form of workers.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,17 +9,17 @@
 /// A worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Worker {
-    /// Its name.
+    /// Name of the worker.
     pub name: String,
-    /// Rack it stands in.
+    /// Rack of the worker.
     pub rack: String,
-    /// How it stands.
+    /// Current state.
     pub state: State,
-    /// What it has.
+    /// Total resources of the worker.
     pub capacity: Amount,
-    /// What is reserved on it.
+    /// Resources held by tasks on the worker.
     pub reserved: Amount,
-    /// Tasks that hold resources on it.
+    /// Number of tasks that hold resources on the worker.
     pub tasks: u32,
 }
 
@@ -39,7 +39,7 @@
 /// Workers of a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// The workers in order of name.
+    /// Workers, ordered by name.
     pub workers: Vec<Worker>,
 }
 
@@ -49,16 +49,16 @@
     }
 }
 
-/// How many workers stand in which way.
+/// Number of workers by state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerCounts {
-    /// Take work.
+    /// Workers that accept new tasks.
     pub live: u32,
-    /// Take no new work.
+    /// Workers that get no new tasks.
     pub draining: u32,
-    /// Not yet fenced by the owner's epoch.
+    /// Workers that have not accepted the owner's epoch yet.
     pub unfenced: u32,
-    /// Do not answer.
+    /// Workers that do not respond.
     pub unreachable: u32,
 }
 
--- a/tests/logic/api/mod.rs
+++ b/tests/logic/api/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' and operators' interface.
+//! Tests of the interface for callers and operators.
 
 #[path = "../../support/backend.rs"]
 mod backend;
--- a/tests/logic/api/service.rs
+++ b/tests/logic/api/service.rs
@@ -1,4 +1,5 @@
-//! The handler over a backend in memory: statuses, headers, pages, tokens and time limits.
+//! Tests of the HTTP handler with a backend in memory: status codes, headers, pages, tokens and
+//! time limits.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,7 +18,7 @@
 const SPEC: &str =
     r#"{"name":"n","team":"t","kind":"batch","demand":{"cpu-millis":1,"memory-mib":1}}"#;
 
-/// A clock that stands at one second; its timers never end, or at once.
+/// Clock that stays at one second; its timers elapse at once or never.
 struct StubClock {
     timers_elapse: bool,
 }
@@ -45,7 +46,7 @@
     fn new(token: Option<&str>, timers_elapse: bool) -> Self {
         let backend = Rc::new(Memory::new("kurow-hall", "kurow-1"));
         let options = Options {
-            operator_token: token.map(exactly),
+            operator_token: token.map(token_equals),
             metrics: Box::new(|| "up 1\n".to_owned()),
             requests: None,
         };
@@ -62,7 +63,7 @@
             request.headers_mut().append(name, value.parse().unwrap());
         }
         let peer = "127.0.0.1:1".parse().unwrap();
-        self.service.handle(peer, request).now_or_never().expect("an answer without waiting")
+        self.service.handle(peer, request).now_or_never().expect("a response without waiting")
     }
 
     fn submit(&self, key: &str, body: &str) -> Response {
@@ -70,7 +71,7 @@
     }
 }
 
-fn exactly(token: &str) -> TokenCheck {
+fn token_equals(token: &str) -> TokenCheck {
     let token = token.to_owned();
     Box::new(move |offered| offered == token)
 }
@@ -107,8 +108,8 @@
     assert_eq!(fixture.backend.submissions.get(), 0);
 }
 
-// A caller submits a job with a deadline; the answer is lost. It repeats the call after the
-// deadline. A refusal "not run" would be false, because the first call was accepted.
+// The response to a submission with a deadline is lost, and the caller retries after the deadline.
+// A refusal as "not run" would be wrong, because the first call was accepted.
 #[test]
 fn submit_repeated_past_deadline() {
     let fixture = Fixture::new(None, false);
@@ -122,8 +123,8 @@
     assert_eq!(refusal(&unknown).field.as_deref(), Some("deadline-unix-ms"));
 }
 
-// The owner of the failure domain hangs. The caller must get an answer within the time it named,
-// and that answer must not claim that the job did not run.
+// The backend never responds. The caller must get a response within its time limit, and for a
+// change that response must not claim that the work did not run.
 #[test_case(&Method::POST, "/v1/jobs", "unknown" ; "change")]
 #[test_case(&Method::GET, "/v1/jobs", "not-run" ; "read")]
 fn hanging_backend(method: &Method, path: &str, ran: &str) {
@@ -199,8 +200,8 @@
     assert_eq!(fixture.send(&Method::GET, "/v1/status", &[], "").status(), StatusCode::OK);
 }
 
-// Two operators read version 7 and both change the preset. One wins, the other is told that the
-// version has moved on and that nothing changed.
+// Two operators change the preset based on the same version. The second change must be refused as a
+// conflict that had no effect.
 #[test]
 fn set_preset_race() {
     let fixture = Fixture::new(None, false);
--- a/tests/logic/api/view.rs
+++ b/tests/logic/api/view.rs
@@ -1,4 +1,4 @@
-//! Views of the settings in force and of the board of alerts.
+//! Tests of the views of the configuration and of alerts.
 
 use oriolefork::alert::{Board, Key, Kind, Subject};
 use oriolefork::api::configuration::publish_result;
@@ -24,11 +24,11 @@
 
 #[test]
 fn presets_differ() {
-    let choice = preset::PresetList::new(&Value::default(), Objective::Packing);
-    assert_eq!(choice.presets.len(), Preset::ALL.len());
-    assert_eq!(choice.current.preset, "ordinary");
-    for (index, one) in choice.presets.iter().enumerate() {
-        let mut others = choice.presets.iter().skip(index + 1);
+    let list = preset::PresetList::new(&Value::default(), Objective::Packing);
+    assert_eq!(list.presets.len(), Preset::ALL.len());
+    assert_eq!(list.current.preset, "ordinary");
+    for (index, one) in list.presets.iter().enumerate() {
+        let mut others = list.presets.iter().skip(index + 1);
         assert!(others.all(|other| other.fields != one.fields), "{one:?}");
     }
 }
@@ -57,8 +57,8 @@
     PageRequest { after, limit: 2 }
 }
 
-// A person pages through alerts while a colleague acknowledges the one at the cut. No alert may
-// be skipped or shown twice because of that.
+// The last alert of a page is acknowledged before the next page is requested. No alert may be
+// skipped or returned twice.
 #[test]
 fn alerts_page_acknowledged_between() {
     let mut board = Board::new();
--- a/tests/logic/api/wire.rs
+++ b/tests/logic/api/wire.rs
@@ -1,4 +1,4 @@
-//! Wire forms: what is refused, with which field, and what survives a round trip.
+//! Tests of the JSON form: refused values with the reported field, and round trips.
 
 use oriolefork::api::wire::{self, check};
 use oriolefork::api::{ExecutionStatus, Reason, Refusal};
