--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -12,7 +12,7 @@
 
 use super::message::MessageError;
 use super::pool::{Connection, Pool, ReceivedResponse};
-use super::pools::PoolMap;
+use super::pool_map::PoolMap;
 use super::{CallPhase, Error, Limits, Request, Response};
 
 /// Sends requests to peers named by address.
--- a/src/http/error.rs
+++ b/src/http/error.rs
@@ -30,7 +30,7 @@
 /// Error of a call that got no complete response.
 ///
 /// ```
-/// use oriolefork::http::{Error, CallPhase};
+/// use oriolefork::http::{CallPhase, Error};
 /// let peer = "127.0.0.1:9".parse().unwrap();
 /// let error = Error { phase: CallPhase::Connect, peer, sent: false, cause: "refused".into() };
 /// assert_eq!(error.to_string(), "connect 127.0.0.1:9: refused (surely not sent)");
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -18,7 +18,7 @@
 mod limited;
 mod message;
 mod pool;
-mod pools;
+mod pool_map;
 mod server;
 
 pub use client::{Client, IdentityCheck};
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -109,10 +109,10 @@
 }
 
 impl Error {
-    /// Whether the peer rejected the call without acting on it because it accepts no calls at present.
+    /// Whether the peer rejected the call, without acting on it, because it is overloaded or stopping.
     ///
     /// ```
-    /// use oriolefork::peer::{Error, CallPhase};
+    /// use oriolefork::peer::{CallPhase, Error};
     /// let peer = ([127, 0, 0, 1], 7_540).into();
     /// let cause = "refused stream".to_owned();
     /// assert!(Error { phase: CallPhase::Receive, peer, sent: false, cause }.is_busy());
