--- a/src/entry/parts.rs
+++ b/src/entry/assembly.rs
@@ -5,9 +5,9 @@
 
 use crate::clock::Clock;
 use crate::domain::{self, Instance};
-use crate::entry::controller::{Borders, Controller};
+use crate::entry::controller::{Controller, Dependencies};
+use crate::entry::reachability::ReachabilityReporter;
 use crate::entry::readiness::Readiness;
-use crate::entry::witness::Witness;
 use crate::membership::probe::TcpProbe;
 use crate::membership::seed::SeededSource;
 use crate::membership::view::ViewPolicy;
@@ -28,7 +28,7 @@
 
 /// What the tasks of one process share.
 #[derive(Clone)]
-pub struct Shared {
+pub struct SharedResources {
     /// This process.
     pub me: Instance,
     /// Time.
@@ -43,7 +43,7 @@
     pub stop: Shutdown,
 }
 
-impl Shared {
+impl SharedResources {
     /// The shared parts of the process `me`, whose tasks end with `stop`.
     pub fn new(settings: &Settings, me: Instance, clock: Rc<dyn Clock>, stop: Shutdown) -> Self {
         let client = Rc::new(http::Client::new(http::Limits::default()));
@@ -56,18 +56,18 @@
     pub fn controller(
         &self,
         settings: &Settings,
-        witness: Rc<Witness>,
+        reachability: Rc<ReachabilityReporter>,
         readiness: Rc<Readiness>,
     ) -> Controller {
         let machine = Machine::new(
             self.me.clone(),
             settings.domain.clone(),
             timings(settings),
-            Policy::for_preset(Preset::Ordinary, weighs(settings)),
+            Policy::for_preset(Preset::Ordinary, objective(settings)),
             self.clock.now(),
         );
         let workers = worker::http::Client::new(self.client.clone());
-        let borders = Borders {
+        let deps = Dependencies {
             store: self.store.clone(),
             workers: Rc::new(measured::Workers(Rc::new(workers))),
             peers: self.peers.clone(),
@@ -75,10 +75,10 @@
             stream: stream(&settings.domain),
             worker_timeout: settings.owner.exchange_timeout,
             peer_timeout: settings.peer_calls.timeout,
-            witness,
+            reachability,
             readiness,
         };
-        Controller::new(machine, borders)
+        Controller::new(machine, deps)
     }
 
     /// Starts the tasks of the settings in force.
@@ -112,7 +112,7 @@
 }
 
 /// What the deployment weighs more.
-pub fn weighs(settings: &Settings) -> Objective {
+pub fn objective(settings: &Settings) -> Objective {
     match settings.weighs {
         Weighs::Packing => Objective::Packing,
         Weighs::Waiting => Objective::Waiting,
--- a/src/entry/backend/alerts.rs
+++ b/src/entry/backend/alerts.rs
@@ -4,7 +4,7 @@
 use super::jobs::refusal;
 use crate::alert;
 use crate::api::{Call, Reason, Refusal, view};
-use crate::entry::forward::{Reply, Tell};
+use crate::entry::forward::{OwnerResponse, Reply};
 use crate::owner::machine::{self, Answer};
 
 impl Entry {
@@ -19,12 +19,12 @@
             Answer::NotFound => return Err(unknown()),
             other => return Err(refusal("alert", text, other)),
         }
-        self.look(move |machine, _, _| {
+        self.read_state(move |machine, _, _| {
             let alert = machine.board().get(id);
             Ok(alert.map(|alert| view::alert::Alert::of(&machine.domain, alert)))
         })
         .await?
-        .map(Tell::Alert)
+        .map(OwnerResponse::Alert)
         .ok_or_else(unknown)
     }
 }
--- a/src/entry/backend/dump.rs
+++ b/src/entry/backend/dump.rs
@@ -93,7 +93,7 @@
 impl Entry {
     /// The whole state of the process.
     pub(super) async fn dump_all(&self) -> Result<serde_json::Value, Refusal> {
-        let owner = self.look(|machine, _, _| Ok(Owner::from(machine))).await?;
+        let owner = self.read_state(|machine, _, _| Ok(Owner::from(machine))).await?;
         let standings = self.config.standings().await;
         let dump = Dump {
             instance: self.identity_view().into(),
@@ -103,7 +103,7 @@
             standings: standings.iter().map(Standing::from).collect(),
             instances: Instances::from(&*self.directory.roster()),
             requests: self.requests.dump().await,
-            intents: self.binding.guard.stats().await.map(Intents::from),
+            intents: self.binder.guard.stats().await.map(Intents::from),
         };
         let failed = |error| Refusal::not_run(Reason::Internal, format!("no dump: {error}"));
         serde_json::to_value(dump).map_err(failed)
--- a/src/entry/backend/jobs.rs
+++ b/src/entry/backend/jobs.rs
@@ -4,7 +4,7 @@
 
 use super::{Entry, OWNER_PAUSE};
 use crate::api::{Call, Reason, Refusal, view};
-use crate::entry::forward::{Reply, Tell};
+use crate::entry::forward::{OwnerResponse, Reply};
 use crate::entry::views;
 use crate::job;
 use crate::owner::machine::{self, Answer};
@@ -19,7 +19,7 @@
         let view::job::Submission { key, spec } = submission;
         let change = machine::Call::Submit { job: id, key, spec };
         match self.handle.call(&*self.clock, change, call.within).await {
-            Answer::Accepted { duplicate } => Ok(Tell::Accepted(view::job::Accepted {
+            Answer::Accepted { duplicate } => Ok(OwnerResponse::Accepted(view::job::Accepted {
                 job: id,
                 durability: view::job::Durability::Log,
                 duplicate,
@@ -33,9 +33,9 @@
         let change = machine::Call::Cancel(id);
         match self.handle.call(&*self.clock, change, call.within).await {
             Answer::Cancelled => self
-                .look(move |machine, _, _| views::job(machine, id))
+                .read_state(move |machine, _, _| views::job(machine, id))
                 .await
-                .map(|job| Tell::Job(Box::new(job))),
+                .map(|job| OwnerResponse::Job(Box::new(job))),
             other => Err(refusal("job", &id.to_string(), other)),
         }
     }
--- a/src/entry/backend/mod.rs
+++ b/src/entry/backend/mod.rs
@@ -2,8 +2,8 @@
 
 mod alerts;
 mod dump;
-mod elsewhere;
 mod jobs;
+mod other_domains;
 mod settings;
 pub mod status;
 
@@ -15,13 +15,13 @@
 use crate::api::{self, Backend, Call, Configuration, Reason, Refusal, view};
 use crate::clock::{Clock, Instant, Unix};
 use crate::domain::Instance;
-use crate::entry::binding::Binding;
+use crate::entry::binding::DomainBinder;
 use crate::entry::controller::Handle;
 use crate::entry::directory::Directory;
-use crate::entry::forward::{self, Ask, Envelope, Reply, Tell};
+use crate::entry::forward::{self, ForwardedCall, OwnerRequest, OwnerResponse, Reply};
+use crate::entry::reachability::ReachabilityReporter;
 use crate::entry::readiness::Readiness;
 use crate::entry::views;
-use crate::entry::witness::Witness;
 use crate::owner::machine::Machine;
 use crate::runner::Proxy;
 use crate::{config, domain, job, peer, worker};
@@ -46,7 +46,7 @@
     /// Which instances there are.
     pub directory: Rc<Directory>,
     /// Who hears whether other instances answer.
-    pub witness: Rc<Witness>,
+    pub reachability: Rc<ReachabilityReporter>,
     /// The task of the settings in force.
     pub config: config::Handle,
     /// Operators' way to the settings in force.
@@ -54,9 +54,9 @@
     /// Whether this instance should get traffic.
     pub readiness: Rc<Readiness>,
     /// What was last heard of other failure domains.
-    pub memory: status::Memory,
+    pub last_statuses: status::LastStatuses,
     /// What binds submissions to failure domains.
-    pub binding: Binding,
+    pub binder: DomainBinder,
 }
 
 impl Entry {
@@ -65,18 +65,18 @@
     /// # Errors
     ///
     /// Returns the owner's refusal, or one that says that the owner cannot be reached.
-    pub async fn ask(&self, call: Call, ask: Ask) -> Reply {
+    pub async fn call_owner(&self, call: Call, request: OwnerRequest) -> Reply {
         let domain = self.domain.clone();
-        self.route(Envelope { domain, hops: forward::MAX_HOPS, call, ask }).await
+        self.route(ForwardedCall { domain, hops: forward::MAX_HOPS, call, request }).await
     }
 
     /// Answers a call that another instance has passed on.
     ///
     /// # Errors
     ///
-    /// As for [`Self::ask`].
-    pub async fn route(&self, envelope: Envelope) -> Reply {
-        if envelope.domain != self.domain {
+    /// As for [`Self::call_owner`].
+    pub async fn route(&self, forwarded: ForwardedCall) -> Reply {
+        if forwarded.domain != self.domain {
             return Err(views::no_owner());
         }
         let place = self
@@ -84,9 +84,9 @@
             .inspect(|machine, _, _| (machine.is_owner(), machine.owner().cloned()))
             .await;
         match place {
-            Some((true, _)) => self.answer(envelope.call, envelope.ask).await,
-            Some((false, Some(owner))) if owner != self.me && envelope.hops > 0 => {
-                self.pass_on(&owner, envelope).await
+            Some((true, _)) => self.answer(forwarded.call, forwarded.request).await,
+            Some((false, Some(owner))) if owner != self.me && forwarded.hops > 0 => {
+                self.forward_to_owner(&owner, forwarded).await
             }
             Some(_) => Err(views::no_owner()),
             None => Err(Refusal::not_run(Reason::ShuttingDown, "the instance is stopping")),
@@ -101,36 +101,36 @@
     ) -> Result<view::job::Accepted, Refusal> {
         let started = self.clock.now();
         let job = submission.id();
-        let bound = self.binding.fix(&call, &submission).await?;
+        let bound = self.binder.bind(&call, &submission).await?;
         if bound.accepted {
             let durability = view::job::Durability::Log;
             return Ok(view::job::Accepted { job, durability, duplicate: true });
         }
         let spent = self.clock.now().since(started);
         let call = Call { within: call.within.saturating_sub(spent), ..call };
-        let ask = Ask::Submit(submission);
+        let request = OwnerRequest::Submit(submission);
         let reply = match bound.domain == self.domain {
-            true => self.ask(call, ask).await,
-            false => self.ask_domain_owner(&bound.domain, call, ask).await,
+            true => self.call_owner(call, request).await,
+            false => self.call_domain_owner(&bound.domain, call, request).await,
         };
         match reply? {
-            Tell::Accepted(accepted) => {
-                self.binding.accept(&bound);
+            OwnerResponse::Accepted(accepted) => {
+                self.binder.record_acceptance(&bound);
                 Ok(accepted)
             }
-            _ => Err(mismatch()),
+            _ => Err(unexpected_response()),
         }
     }
 
-    async fn pass_on(&self, owner: &Instance, mut envelope: Envelope) -> Reply {
-        envelope.hops -= 1;
-        envelope.call.within = forward::within(envelope.call.within);
-        let within = envelope.call.within;
-        let change = envelope.ask.is_change();
+    async fn forward_to_owner(&self, owner: &Instance, mut forwarded: ForwardedCall) -> Reply {
+        forwarded.hops -= 1;
+        forwarded.call.within = forward::owner_timeout(forwarded.call.within);
+        let within = forwarded.call.within;
+        let change = forwarded.request.is_change();
         let result: Result<Reply, _> =
-            self.peers.call(owner.peer, forward::CALL, &envelope, within).await;
-        self.witness.called(owner.peer, &result);
-        result.unwrap_or_else(|error| Err(lost_call(owner, change, &error)))
+            self.peers.call(owner.peer, forward::CALL, &forwarded, within).await;
+        self.reachability.record_call(owner.peer, &result);
+        result.unwrap_or_else(|error| Err(forward_error(owner, change, &error)))
     }
 
     fn identity_view(&self) -> view::Identity {
@@ -141,41 +141,43 @@
         }
     }
 
-    async fn answer(&self, call: Call, ask: Ask) -> Reply {
-        match ask {
-            Ask::Submit(submission) => self.submit_here(call, submission).await,
-            Ask::Cancel(job) => self.cancel_here(call, job).await,
-            Ask::Job(id) => self
-                .look(move |machine, _, _| views::job(machine, id))
+    async fn answer(&self, call: Call, request: OwnerRequest) -> Reply {
+        match request {
+            OwnerRequest::Submit(submission) => self.submit_here(call, submission).await,
+            OwnerRequest::Cancel(job) => self.cancel_here(call, job).await,
+            OwnerRequest::Job(id) => self
+                .read_state(move |machine, _, _| views::job(machine, id))
                 .await
-                .map(|job| Tell::Job(Box::new(job))),
-            Ask::Jobs(filter, cut) => self
-                .look(move |machine, _, _| Ok(views::jobs(machine, &filter, &cut)))
+                .map(|job| OwnerResponse::Job(Box::new(job))),
+            OwnerRequest::Jobs(filter, cut) => self
+                .read_state(move |machine, _, _| Ok(views::jobs(machine, &filter, &cut)))
                 .await
-                .map(Tell::Jobs),
-            Ask::Explain(id) => self
-                .look(move |machine, _, unix| views::explain(machine, id, unix))
+                .map(OwnerResponse::Jobs),
+            OwnerRequest::Explain(id) => self
+                .read_state(move |machine, _, unix| views::explain(machine, id, unix))
                 .await
-                .map(Tell::Explanation),
-            Ask::Workers => self
-                .look(|machine, _, _| views::active(machine).map(views::workers))
+                .map(OwnerResponse::Explanation),
+            OwnerRequest::Workers => self
+                .read_state(|machine, _, _| views::active(machine).map(views::workers))
                 .await
-                .map(Tell::Workers),
-            Ask::Worker(name) => self.show_worker(name).await.map(Tell::Worker),
-            Ask::GiveUp(name) => self.give_up_here(call, name).await,
-            Ask::Alerts(all, cut) => self
-                .look(move |machine, _, _| {
+                .map(OwnerResponse::Workers),
+            OwnerRequest::Worker(name) => self.show_worker(name).await.map(OwnerResponse::Worker),
+            OwnerRequest::GiveUp(name) => self.give_up_here(call, name).await,
+            OwnerRequest::Alerts(all, cut) => self
+                .read_state(move |machine, _, _| {
                     view::alert::page(&machine.domain, machine.board(), all, &cut)
                 })
                 .await
-                .map(Tell::Alerts),
-            Ask::Acknowledge(id) => self.acknowledge_here(call, &id).await,
-            Ask::Status => self.status_here().await.map(|status| Tell::Status(Box::new(status))),
+                .map(OwnerResponse::Alerts),
+            OwnerRequest::Acknowledge(id) => self.acknowledge_here(call, &id).await,
+            OwnerRequest::Status => {
+                self.status_here().await.map(|status| OwnerResponse::Status(Box::new(status)))
+            }
         }
     }
 
     /// Reads from the state machine.
-    async fn look<T: 'static>(
+    async fn read_state<T: 'static>(
         &self,
         look: impl FnOnce(&Machine, Instant, Unix) -> Result<T, Refusal> + 'static,
     ) -> Result<T, Refusal> {
@@ -185,7 +187,7 @@
 }
 
 /// Refusal for a call whose way to the owner broke.
-fn lost_call(owner: &Instance, change: bool, error: &peer::Error) -> Refusal {
+fn forward_error(owner: &Instance, change: bool, error: &peer::Error) -> Refusal {
     log::warn!("event=entry.forward_failed owner={} {error}", owner.name);
     if change && error.sent {
         let message = "the owner did not answer; ask again with the same key to learn the outcome";
@@ -196,17 +198,17 @@
 }
 
 /// Answer of another kind than the question, which only a fault in the owner can bring about.
-fn mismatch() -> Refusal {
+fn unexpected_response() -> Refusal {
     Refusal::unknown(Reason::Internal, "the owner answered another question")
 }
 
 /// Asks the owner and picks the expected kind of answer.
-macro_rules! ask {
-    ($self:ident, $call:ident, $ask:expr, $kind:path) => {
+macro_rules! call_owner {
+    ($self:ident, $call:ident, $request:expr, $kind:path) => {
         async move {
-            match $self.ask($call, $ask).await? {
+            match $self.call_owner($call, $request).await? {
                 $kind(answer) => Ok(answer),
-                _ => Err(mismatch()),
+                _ => Err(unexpected_response()),
             }
         }
         .boxed_local()
@@ -232,9 +234,9 @@
 
     fn cancel(&self, call: Call, job: job::Id) -> api::Answer<'_, view::job::Job> {
         async move {
-            match self.ask_anywhere(call, job, Ask::Cancel(job)).await? {
-                Tell::Job(job) => Ok(*job),
-                _ => Err(mismatch()),
+            match self.call_any_domain(call, job, OwnerRequest::Cancel(job)).await? {
+                OwnerResponse::Job(job) => Ok(*job),
+                _ => Err(unexpected_response()),
             }
         }
         .boxed_local()
@@ -242,9 +244,9 @@
 
     fn job(&self, call: Call, job: job::Id) -> api::Answer<'_, view::job::Job> {
         async move {
-            match self.ask_anywhere(call, job, Ask::Job(job)).await? {
-                Tell::Job(job) => Ok(*job),
-                _ => Err(mismatch()),
+            match self.call_any_domain(call, job, OwnerRequest::Job(job)).await? {
+                OwnerResponse::Job(job) => Ok(*job),
+                _ => Err(unexpected_response()),
             }
         }
         .boxed_local()
@@ -256,14 +258,14 @@
         filter: view::job::Filter,
         cut: view::Cut<job::Id>,
     ) -> api::Answer<'_, view::Page<view::job::Summary, job::Id>> {
-        ask!(self, call, Ask::Jobs(filter, cut), Tell::Jobs)
+        call_owner!(self, call, OwnerRequest::Jobs(filter, cut), OwnerResponse::Jobs)
     }
 
     fn explain(&self, call: Call, job: job::Id) -> api::Answer<'_, view::job::Explanation> {
         async move {
-            match self.ask_anywhere(call, job, Ask::Explain(job)).await? {
-                Tell::Explanation(explanation) => Ok(explanation),
-                _ => Err(mismatch()),
+            match self.call_any_domain(call, job, OwnerRequest::Explain(job)).await? {
+                OwnerResponse::Explanation(explanation) => Ok(explanation),
+                _ => Err(unexpected_response()),
             }
         }
         .boxed_local()
@@ -275,11 +277,11 @@
         all: bool,
         cut: view::Cut<String>,
     ) -> api::Answer<'_, view::Page<view::alert::Alert, String>> {
-        ask!(self, call, Ask::Alerts(all, cut), Tell::Alerts)
+        call_owner!(self, call, OwnerRequest::Alerts(all, cut), OwnerResponse::Alerts)
     }
 
     fn acknowledge(&self, call: Call, alert: String) -> api::Answer<'_, view::alert::Alert> {
-        ask!(self, call, Ask::Acknowledge(alert), Tell::Alert)
+        call_owner!(self, call, OwnerRequest::Acknowledge(alert), OwnerResponse::Alert)
     }
 
     fn presets(&self, _call: Call) -> api::Answer<'_, view::preset::Choice> {
@@ -315,7 +317,7 @@
     }
 
     fn workers(&self, call: Call) -> api::Answer<'_, Vec<view::worker::Worker>> {
-        ask!(self, call, Ask::Workers, Tell::Workers)
+        call_owner!(self, call, OwnerRequest::Workers, OwnerResponse::Workers)
     }
 
     fn order_worker(
@@ -324,7 +326,7 @@
         worker: worker::Name,
         order: view::worker::Order,
     ) -> api::Answer<'_, view::worker::Worker> {
-        self.order(call, worker, order).boxed_local()
+        self.execute_order(call, worker, order).boxed_local()
     }
 
     fn status(&self, call: Call) -> api::Answer<'_, view::status::Status> {
--- a/src/entry/backend/settings.rs
+++ b/src/entry/backend/settings.rs
@@ -3,22 +3,22 @@
 use std::time::Duration;
 
 use super::jobs::refusal;
-use super::{Entry, mismatch};
+use super::{Entry, unexpected_response};
 use crate::api::view::worker::{Order, State, Worker};
 use crate::api::{Call, Reason, Refusal};
-use crate::entry::forward::{Ask, Reply, Tell};
+use crate::entry::forward::{OwnerRequest, OwnerResponse, Reply};
 use crate::entry::views;
 use crate::owner::machine::{self, Answer};
 use crate::worker;
 
-/// Rest between two looks at whether the owner acts by a drain.
-const LOOK: Duration = Duration::from_millis(50);
+/// Pause between two polls of whether the owner applies a drain.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait for that.
-const LOOKS: u32 = 40;
+const MAX_POLLS: u32 = 40;
 
 impl Entry {
     /// Carries out an operator's order about a worker of this failure domain.
-    pub(super) async fn order(
+    pub(super) async fn execute_order(
         &self,
         call: Call,
         name: worker::Name,
@@ -27,42 +27,43 @@
         let is_drained = match order {
             Order::Drain => true,
             Order::Undrain => false,
-            Order::Lost => return self.ask_worker(call, Ask::GiveUp(name)).await,
+            Order::Lost => return self.request_worker(call, OwnerRequest::GiveUp(name)).await,
         };
         // Asked first, so that a mistyped name is refused and drains nothing.
-        self.ask_worker(call.clone(), Ask::Worker(name.clone())).await?;
+        self.request_worker(call.clone(), OwnerRequest::Worker(name.clone())).await?;
         self.configuration.drain(&call, &self.domain, &name, is_drained).await?;
-        self.settle(call, name, is_drained).await
+        self.await_drain_state(call, name, is_drained).await
     }
 
     /// Waits until the owner acts by a drain, so that the operator sees it done.
-    async fn settle(
+    async fn await_drain_state(
         &self,
         call: Call,
         name: worker::Name,
         is_drained: bool,
     ) -> Result<Worker, Refusal> {
-        let mut looks = 0;
+        let mut polls = 0;
         loop {
-            let worker = self.ask_worker(call.clone(), Ask::Worker(name.clone())).await?;
-            looks += 1;
-            if (worker.state == State::Draining) == is_drained || looks == LOOKS {
+            let worker =
+                self.request_worker(call.clone(), OwnerRequest::Worker(name.clone())).await?;
+            polls += 1;
+            if (worker.state == State::Draining) == is_drained || polls == MAX_POLLS {
                 return Ok(worker);
             }
-            self.clock.sleep(LOOK).await;
+            self.clock.sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn ask_worker(&self, call: Call, ask: Ask) -> Result<Worker, Refusal> {
-        match self.ask(call, ask).await? {
-            Tell::Worker(worker) => Ok(worker),
-            _ => Err(mismatch()),
+    async fn request_worker(&self, call: Call, request: OwnerRequest) -> Result<Worker, Refusal> {
+        match self.call_owner(call, request).await? {
+            OwnerResponse::Worker(worker) => Ok(worker),
+            _ => Err(unexpected_response()),
         }
     }
 
     /// Shows a worker as the owner.
     pub(super) async fn show_worker(&self, name: worker::Name) -> Result<Worker, Refusal> {
-        self.look(move |machine, _, _| {
+        self.read_state(move |machine, _, _| {
             let worker = views::worker(views::active(machine)?, &name);
             worker.ok_or_else(|| unknown_worker(&name))
         })
@@ -73,7 +74,7 @@
     pub(super) async fn give_up_here(&self, call: Call, name: worker::Name) -> Reply {
         let change = machine::Call::GiveUp(name.clone());
         match self.handle.call(&*self.clock, change, call.within).await {
-            Answer::GivenUp => self.show_worker(name).await.map(Tell::Worker),
+            Answer::GivenUp => self.show_worker(name).await.map(OwnerResponse::Worker),
             Answer::NotFound => Err(unknown_worker(&name)),
             other => Err(refusal("worker", name.as_str(), other)),
         }
--- a/src/entry/backend/status.rs
+++ b/src/entry/backend/status.rs
@@ -15,28 +15,28 @@
 use crate::config::Value;
 use crate::config::gossip::{Standing, worst_by_domain};
 use crate::domain::{self, Epoch};
-use crate::entry::forward::{Ask, Tell};
+use crate::entry::forward::{OwnerRequest, OwnerResponse};
 use crate::entry::views;
 
 /// Peer method by which an instance asks what another failure domain is doing.
 pub const STATUS: &str = "entry/status";
 
 /// Longest that one instance of another failure domain is waited for.
-const PATIENCE: Duration = Duration::from_millis(400);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 /// Instances of another failure domain that are asked before it counts as cut off.
-const TRIES: usize = 2;
+const MAX_ATTEMPTS: usize = 2;
 /// Age up to which what was heard of an instance goes before what is older.
-const RECENT: Duration = Duration::from_secs(5);
+const RECENT_AGE: Duration = Duration::from_secs(5);
 
 /// What was last heard of other failure domains.
 #[derive(Debug, Default)]
-pub struct Memory {
-    domains: RefCell<BTreeMap<domain::Name, Heard>>,
+pub struct LastStatuses {
+    domains: RefCell<BTreeMap<domain::Name, RecordedStatus>>,
 }
 
 /// What was last heard of a failure domain.
 #[derive(Clone, Debug)]
-struct Heard {
+struct RecordedStatus {
     at: Instant,
     domain: Domain,
 }
@@ -46,13 +46,13 @@
     pub(super) async fn status_of_all(&self, call: Call) -> Result<Status, Refusal> {
         let own = self.domain_status(call.clone()).await?;
         let others = self.directory.other_domains();
-        let asked = join_all(others.iter().map(|domain| self.ask_domain(&call, domain))).await;
-        let known = self.known().await;
+        let asked = join_all(others.iter().map(|domain| self.request_status(&call, domain))).await;
+        let known = self.settings_overview().await;
         let mut domains = vec![own];
         for (name, answer) in others.into_iter().zip(asked) {
             domains.push(match answer {
-                Some(domain) => self.hear(domain),
-                None => self.recall(&name, &known),
+                Some(domain) => self.record_status(domain),
+                None => self.last_status(&name, &known),
             });
         }
         let preset = in_force(known.value.as_deref());
@@ -66,19 +66,19 @@
     ///
     /// Refuses while the instance stops.
     pub async fn domain_status(&self, call: Call) -> Result<Domain, Refusal> {
-        match self.ask(call, Ask::Status).await {
-            Ok(Tell::Status(status)) => Ok(*status),
+        match self.call_owner(call, OwnerRequest::Status).await {
+            Ok(OwnerResponse::Status(status)) => Ok(*status),
             _ => self.status_here().await,
         }
     }
 
     /// What this failure domain is doing as far as this instance knows.
     pub(super) async fn status_here(&self) -> Result<Domain, Refusal> {
-        let known = self.known().await;
+        let known = self.settings_overview().await;
         let name = self.domain.clone();
         let preset = in_force(known.value.as_deref());
         let staleness = known.staleness(&name);
-        self.look(move |machine, now, _| {
+        self.read_state(move |machine, now, _| {
             let state = views::status(machine, now);
             Ok(Domain {
                 name,
@@ -96,13 +96,13 @@
         .await
     }
 
-    async fn ask_domain(&self, call: &Call, domain: &domain::Name) -> Option<Domain> {
-        let within = PATIENCE.min(call.within / 4);
+    async fn request_status(&self, call: &Call, domain: &domain::Name) -> Option<Domain> {
+        let within = REQUEST_TIMEOUT.min(call.within / 4);
         let call = Call { within, ..call.clone() };
-        for address in self.directory.entries_of(domain).into_iter().take(TRIES) {
+        for address in self.directory.entries_of(domain).into_iter().take(MAX_ATTEMPTS) {
             let answer: Result<Result<Domain, Refusal>, _> =
                 self.peers.call(address, STATUS, &call, within).await;
-            self.witness.called(address, &answer);
+            self.reachability.record_call(address, &answer);
             match answer {
                 Ok(Ok(answer)) if answer.name == *domain => return Some(answer),
                 Ok(Ok(answer)) => {
@@ -115,17 +115,17 @@
         None
     }
 
-    fn hear(&self, domain: Domain) -> Domain {
-        let heard = Heard { at: self.clock.now(), domain: domain.clone() };
-        self.memory.domains.borrow_mut().insert(domain.name.clone(), heard);
+    fn record_status(&self, domain: Domain) -> Domain {
+        let heard = RecordedStatus { at: self.clock.now(), domain: domain.clone() };
+        self.last_statuses.domains.borrow_mut().insert(domain.name.clone(), heard);
         domain
     }
 
     /// What was last heard of a failure domain that does not answer.
-    fn recall(&self, name: &domain::Name, known: &Known) -> Domain {
-        let heard = self.memory.domains.borrow().get(name).cloned();
+    fn last_status(&self, name: &domain::Name, known: &SettingsOverview) -> Domain {
+        let heard = self.last_statuses.domains.borrow().get(name).cloned();
         let age = heard.as_ref().map_or(known.uptime, |heard| known.now.since(heard.at));
-        let mut domain = heard.map_or_else(|| unheard(name.clone()), |heard| heard.domain);
+        let mut domain = heard.map_or_else(|| empty_status(name.clone()), |heard| heard.domain);
         let standing = known.worst.get(name);
         let standing_age = standing.map_or(known.uptime, |standing| standing.heard);
         if let Some(preset) = standing.and_then(|standing| known.preset_of(standing)) {
@@ -136,26 +136,26 @@
         domain
     }
 
-    async fn known(&self) -> Known {
+    async fn settings_overview(&self) -> SettingsOverview {
         let now = self.clock.now();
-        Known {
+        SettingsOverview {
             now,
             uptime: now.since(Instant::default()),
             value: self.config.value().await,
-            worst: worst_by_domain(&self.config.standings().await, RECENT),
+            worst: worst_by_domain(&self.config.standings().await, RECENT_AGE),
         }
     }
 }
 
 /// What this instance knows of the settings everywhere.
-struct Known {
+struct SettingsOverview {
     now: Instant,
     uptime: Duration,
     value: Option<Rc<Value>>,
     worst: BTreeMap<domain::Name, Standing>,
 }
 
-impl Known {
+impl SettingsOverview {
     /// How long a domain's settings have gone unconfirmed by the log: as long as this process has
     /// run, where nothing was heard.
     fn staleness(&self, domain: &domain::Name) -> Duration {
@@ -187,7 +187,7 @@
     }
 }
 
-fn unheard(name: domain::Name) -> Domain {
+fn empty_status(name: domain::Name) -> Domain {
     Domain {
         name,
         owner: None,
--- a/src/entry/binding.rs
+++ b/src/entry/binding.rs
@@ -9,12 +9,12 @@
 use crate::{codec, domain};
 
 /// Part of the caller's time that fixing the failure domain may take.
-const FIX_PART: u32 = 2;
+const BIND_TIMEOUT_DIVISOR: u32 = 2;
 /// Pause that a caller is asked to make when the failure domain could not be fixed.
-const FIX_PAUSE: Duration = Duration::from_secs(1);
+const BIND_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What binds submissions to failure domains.
-pub struct Binding {
+pub struct DomainBinder {
     /// Intents in the log.
     pub guard: Guard,
     /// Time.
@@ -24,7 +24,7 @@
 }
 
 /// A submission whose failure domain is fixed.
-pub struct Bound {
+pub struct BoundSubmission {
     /// The failure domain.
     pub domain: domain::Name,
     /// Whether its owner is recorded to have accepted the job.
@@ -33,7 +33,7 @@
     attempt: Attempt,
 }
 
-impl Binding {
+impl DomainBinder {
     /// Fixes the failure domain of a submission: this one's, or that of an earlier submission with
     /// the same key through any instance.
     ///
@@ -41,24 +41,25 @@
     ///
     /// Refuses when the log cannot tell whether there was an earlier one, or when the key stands for
     /// another job. Nothing was handed over then.
-    pub async fn fix(
+    pub async fn bind(
         &self,
         call: &Call,
         submission: &view::job::Submission,
-    ) -> Result<Bound, Refusal> {
+    ) -> Result<BoundSubmission, Refusal> {
         let request = self.request(submission)?;
-        let placement = self.guard.place_job(request.clone(), call.within / FIX_PART).await;
+        let placement =
+            self.guard.place_job(request.clone(), call.within / BIND_TIMEOUT_DIVISOR).await;
         match placement {
             Placement::Placed { attempt, domain, accepted, .. } => {
-                Ok(Bound { domain, accepted, request, attempt })
+                Ok(BoundSubmission { domain, accepted, request, attempt })
             }
-            Placement::NotRun(refusal) => Err(Refusal::from(refusal).after(FIX_PAUSE)),
+            Placement::NotRun(refusal) => Err(Refusal::from(refusal).after(BIND_RETRY_AFTER)),
         }
     }
 
     /// Records that the owner has accepted the job, so that a late retry finds it accepted even
     /// when the owner has forgotten the ended job.
-    pub fn accept(&self, bound: &Bound) {
+    pub fn record_acceptance(&self, bound: &BoundSubmission) {
         self.guard.accept_job(&bound.request, bound.attempt, bound.domain.clone());
     }
 
--- a/src/entry/controller.rs
+++ b/src/entry/controller.rs
@@ -10,9 +10,9 @@
 
 use crate::clock::{Clock, Instant, Unix};
 use crate::domain::Epoch;
-use crate::entry::peers::{Heard, Kept};
+use crate::entry::peers::{HeartbeatResponse, StoreBatchResponse};
+use crate::entry::reachability::ReachabilityReporter;
 use crate::entry::readiness::Readiness;
-use crate::entry::witness::Witness;
 use crate::owner::journal::AppendRequest;
 use crate::owner::machine::{Answer, Call, Effect, Heartbeat, Machine, Message};
 use crate::owner::session::ExchangeRequest;
@@ -22,9 +22,9 @@
 use crate::worker::{self, Link};
 
 /// Peer method that carries an owner's heartbeat.
-pub const BEAT: &str = "owner/beat";
+pub const HEARTBEAT: &str = "owner/beat";
 /// Peer method by which an owner without the log asks an instance to keep a batch.
-pub const HOLD: &str = "owner/hold";
+pub const STORE_BATCH: &str = "owner/hold";
 /// Peer method by which an owner asks an instance to take over.
 pub const HANDOVER: &str = "owner/handover";
 
@@ -49,8 +49,8 @@
     tickets: Rc<std::cell::Cell<Ticket>>,
 }
 
-/// Borders through which effects reach the outside.
-pub struct Borders {
+/// Dependencies through which effects reach the outside.
+pub struct Dependencies {
     /// The platform's log.
     pub store: Rc<dyn Store>,
     /// The workers.
@@ -66,7 +66,7 @@
     /// Time a heartbeat may take.
     pub peer_timeout: Duration,
     /// Who hears whether other instances answer.
-    pub witness: Rc<Witness>,
+    pub reachability: Rc<ReachabilityReporter>,
     /// Whether this instance should get traffic.
     pub readiness: Rc<Readiness>,
 }
@@ -74,7 +74,7 @@
 /// The task's state.
 pub struct Controller {
     machine: Machine,
-    borders: Rc<Borders>,
+    deps: Rc<Dependencies>,
     inputs: Rx<Input>,
     handle: Handle,
     waiting: BTreeMap<Ticket, oneshot::Sender<Answer>>,
@@ -110,11 +110,11 @@
     /// Runs `look` on the machine and returns what it found; `None` while the process ends.
     pub async fn inspect<T: 'static>(
         &self,
-        look: impl FnOnce(&Machine, Instant, Unix) -> T + 'static,
+        read: impl FnOnce(&Machine, Instant, Unix) -> T + 'static,
     ) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         let inspection: Inspection = Box::new(move |machine, now, unix| {
-            let _ = reply.send(look(machine, now, unix));
+            let _ = reply.send(read(machine, now, unix));
         });
         self.inputs.send(Input::Inspect(inspection)).ok()?;
         answer.await.ok()
@@ -123,10 +123,10 @@
 
 impl Controller {
     /// A controller of `machine`.
-    pub fn new(machine: Machine, borders: Borders) -> Self {
+    pub fn new(machine: Machine, deps: Dependencies) -> Self {
         let (sender, inputs) = channel();
         let handle = Handle { inputs: sender, tickets: Rc::default() };
-        Self { machine, borders: Rc::new(borders), inputs, handle, waiting: BTreeMap::new() }
+        Self { machine, deps: Rc::new(deps), inputs, handle, waiting: BTreeMap::new() }
     }
 
     /// Way to talk to this controller.
@@ -140,9 +140,9 @@
     /// input instead, an owner that is asked for its state more often than once a tick would send
     /// no heartbeat and commit nothing until some other message came.
     pub async fn run(mut self) {
-        let mut due = self.borders.clock.now().after(TICK);
+        let mut due = self.deps.clock.now().after(TICK);
         loop {
-            let left = due.since(self.borders.clock.now());
+            let left = due.since(self.deps.clock.now());
             let message = match monoio::time::timeout(left, self.inputs.recv()).await {
                 Err(_) => Message::Tick,
                 Ok(None) => return,
@@ -152,9 +152,9 @@
                     Message::Call { ticket, call }
                 }
                 Ok(Some(Input::Expire(ticket))) => Message::Expired(ticket),
-                Ok(Some(Input::Inspect(look))) => {
-                    let now = self.borders.clock.now();
-                    look(&self.machine, now, self.borders.clock.unix());
+                Ok(Some(Input::Inspect(inspection))) => {
+                    let now = self.deps.clock.now();
+                    inspection(&self.machine, now, self.deps.clock.unix());
                     if now < due {
                         continue;
                     }
@@ -164,14 +164,14 @@
             if self.step(message) {
                 return;
             }
-            due = self.borders.clock.now().after(TICK);
+            due = self.deps.clock.now().after(TICK);
         }
     }
 
     /// Whether the machine has stopped.
     fn step(&mut self, message: Message) -> bool {
-        let now = self.borders.clock.now();
-        let unix = self.borders.clock.unix();
+        let now = self.deps.clock.now();
+        let unix = self.deps.clock.unix();
         let mut stopped = false;
         for effect in self.machine.handle(message, now, unix) {
             match effect {
@@ -191,45 +191,44 @@
                 Effect::Stopped => stopped = true,
             }
         }
-        self.borders.readiness.set_caught_up(self.machine.is_ready());
+        self.deps.readiness.set_caught_up(self.machine.is_ready());
         stopped
     }
 
     fn read(&self, from: Offset, wait: Duration) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
-            let result = borders.store.read(&borders.stream, from, wait).await;
+            let result = deps.store.read(&deps.stream, from, wait).await;
             handle.send(Message::Read(result));
         });
     }
 
     fn append(&self, AppendRequest { tag, payload }: AppendRequest) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
-            let result = borders.store.append(&borders.stream, payload).await;
+            let result = deps.store.append(&deps.stream, payload).await;
             handle.send(Message::Appended { tag, result });
         });
     }
 
     fn exchange(&self, epoch: Epoch, worker: worker::Name, request: ExchangeRequest) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
-            let timeout = borders.worker_timeout;
-            let result =
-                borders.workers.exchange(request.address, &request.exchange, timeout).await;
-            borders.witness.exchanged(&worker, &result);
+            let timeout = deps.worker_timeout;
+            let result = deps.workers.exchange(request.address, &request.exchange, timeout).await;
+            deps.reachability.record_exchange(&worker, &result);
             handle.send(Message::Exchanged { epoch, worker, channel: request.channel, result });
         });
     }
 
     fn send_heartbeat(&self, to: &[SocketAddr], heartbeat: &Heartbeat) {
         for peer in to.iter().copied() {
-            let (borders, handle) = (self.borders.clone(), self.handle.clone());
+            let (deps, handle) = (self.deps.clone(), self.handle.clone());
             let heartbeat = heartbeat.clone();
             monoio::spawn(async move {
-                let answer = borders.peers.call(peer, BEAT, &heartbeat, borders.peer_timeout).await;
-                borders.witness.called(peer, &answer);
-                if let Ok(Heard { from, epoch }) = answer {
+                let answer = deps.peers.call(peer, HEARTBEAT, &heartbeat, deps.peer_timeout).await;
+                deps.reachability.record_call(peer, &answer);
+                if let Ok(HeartbeatResponse { from, epoch }) = answer {
                     handle.send(Message::HeartbeatAnswered { from, epoch });
                 }
             });
@@ -238,11 +237,11 @@
 
     fn store_batch(&self, to: &[SocketAddr], copy: &BatchCopy) {
         for peer in to.iter().copied() {
-            let (borders, handle) = (self.borders.clone(), self.handle.clone());
+            let (deps, handle) = (self.deps.clone(), self.handle.clone());
             let copy = copy.clone();
             monoio::spawn(async move {
-                let answer = borders.peers.call(peer, HOLD, &copy, borders.peer_timeout).await;
-                if let Ok(Kept { from, kept: true }) = answer {
+                let answer = deps.peers.call(peer, STORE_BATCH, &copy, deps.peer_timeout).await;
+                if let Ok(StoreBatchResponse { from, kept: true }) = answer {
                     let (epoch, sequence) = (copy.epoch, copy.sequence);
                     handle.send(Message::BatchStored { from, epoch, sequence });
                 }
@@ -251,10 +250,10 @@
     }
 
     fn hand_over(&self, to: SocketAddr, epoch: Epoch) {
-        let borders = self.borders.clone();
+        let deps = self.deps.clone();
         monoio::spawn(async move {
             let answer: Result<(), _> =
-                borders.peers.call(to, HANDOVER, &epoch, borders.peer_timeout).await;
+                deps.peers.call(to, HANDOVER, &epoch, deps.peer_timeout).await;
             if let Err(error) = answer {
                 log::warn!("event=owner.handover_failed {error}");
             }
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -11,13 +11,13 @@
 
 use crate::clock::{Clock, System};
 use crate::domain::Instance;
+use crate::entry::assembly::{self, SharedResources};
 use crate::entry::backend::Entry;
-use crate::entry::backend::status::Memory;
-use crate::entry::binding::Binding;
+use crate::entry::backend::status::LastStatuses;
+use crate::entry::binding::DomainBinder;
 use crate::entry::directory::Directory;
-use crate::entry::parts::{self, Shared};
+use crate::entry::reachability::ReachabilityReporter;
 use crate::entry::readiness::Readiness;
-use crate::entry::witness::Witness;
 use crate::entry::{gauges, members, peers, policy, requests};
 use crate::owner::machine::Message;
 use crate::runner::Proxy;
@@ -100,17 +100,21 @@
         );
         // Tasks in the background go on until requests in flight have ended.
         let end = Shutdown::new();
-        let shared = Shared::new(&settings, me, clock.clone(), end.clone());
+        let shared = SharedResources::new(&settings, me, clock.clone(), end.clone());
         let readiness = Rc::new(Readiness::new(stop.clone()));
         let (entry, requests, running) = start(&settings, &shared, readiness, stop.clone());
         let handle = entry.handle.clone();
         // Peers are served to the very end: those whose requests this instance still has in flight
         // reach the owner through it, and the new owner asks whether this one has stepped down.
         let peer_stop = Shutdown::new();
-        let peer_handler = Rc::new(peers::Peers::new(entry.clone(), requests.clone()));
+        let peer_handler = Rc::new(peers::PeerHandler::new(entry.clone(), requests.clone()));
         let grace = settings.http.shutdown_grace;
         let peer_server = monoio::spawn(peer.serve(peer_handler, peer_stop.clone(), grace));
-        monoio::spawn(gauges::follow(recorder.clone(), entry.handle.clone(), clock.clone()));
+        monoio::spawn(gauges::update_periodically(
+            recorder.clone(),
+            entry.handle.clone(),
+            clock.clone(),
+        ));
         let options = api::Options {
             operator_token: settings.operator_token.map(check),
             metrics: Box::new(move || recorder.render()),
@@ -134,51 +138,51 @@
 /// task. No quick request is taken any more once `stop` is triggered.
 fn start(
     settings: &Settings,
-    shared: &Shared,
+    shared: &SharedResources,
     readiness: Rc<Readiness>,
     stop: Shutdown,
 ) -> (Rc<Entry>, Proxy, JoinHandle<()>) {
-    let Shared { me, clock, .. } = shared.clone();
+    let SharedResources { me, clock, .. } = shared.clone();
     let domains = settings.domains.iter().map(|domain| domain.name.clone()).collect();
     let directory = Rc::new(Directory::new(me.clone(), settings.domain.clone(), domains));
     let members = shared.start_membership(settings);
-    let witness = Rc::new(Witness::new(
+    let reachability = Rc::new(ReachabilityReporter::new(
         settings.domain.clone(),
         members.clone(),
         directory.clone(),
         clock.clone(),
     ));
-    let controller = shared.controller(settings, witness.clone(), readiness.clone());
+    let controller = shared.controller(settings, reachability.clone(), readiness.clone());
     let handle = controller.handle();
     let config = shared.start_config(settings);
-    let weighs = parts::weighs(settings);
-    let follower = policy::Follower {
+    let objective = assembly::objective(settings);
+    let subscriber = policy::ConfigSubscriber {
         owner: handle.clone(),
-        weighs,
+        objective,
         log_level: LevelFilter::from(settings.log_level),
         readiness: readiness.clone(),
     };
-    monoio::spawn(follower.run(config.subscribe()));
+    monoio::spawn(subscriber.run(config.subscribe()));
     let guard = requests::start_records(&me, shared.store.clone(), clock.clone());
-    let ways = requests::Ways {
+    let deps = requests::Dependencies {
         runners: Rc::new(http::Client::new(http::Limits::default())),
         peers: shared.peers.clone(),
         guard: guard.clone(),
         handle: handle.clone(),
         clock: clock.clone(),
     };
-    let requests = requests::start(settings, &me, ways, stop);
-    let followers = members::Followers {
+    let requests = requests::start(settings, &me, deps, stop);
+    let subscriber = members::MembershipSubscriber {
         directory: directory.clone(),
         owner: handle.clone(),
         config: config.clone(),
         requests: requests.clone(),
     };
-    monoio::spawn(followers.run(members.subscribe()));
+    monoio::spawn(subscriber.run(members.subscribe()));
     let running = monoio::spawn(controller.run());
-    let binding = Binding { guard, clock: clock.clone(), domain: settings.domain.clone() };
+    let binder = DomainBinder { guard, clock: clock.clone(), domain: settings.domain.clone() };
     let entry = Entry {
-        binding,
+        binder,
         me,
         domain: settings.domain.clone(),
         handle,
@@ -186,11 +190,11 @@
         requests: requests.clone(),
         clock: clock.clone(),
         directory,
-        witness,
-        configuration: api::Configuration::new(config.clone(), clock, weighs),
+        reachability,
+        configuration: api::Configuration::new(config.clone(), clock, objective),
         config,
         readiness,
-        memory: Memory::default(),
+        last_statuses: LastStatuses::default(),
     };
     (Rc::new(entry), requests, running)
 }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -16,7 +16,7 @@
 
 /// A call on its way to the owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Envelope {
+pub struct ForwardedCall {
     /// Failure domain whose owner is asked. An address may have gone to an instance of another
     /// domain, which must not accept the job a second time.
     pub domain: domain::Name,
@@ -25,12 +25,13 @@
     /// The caller's circumstances.
     pub call: Call,
     /// What is asked.
-    pub ask: Ask,
+    #[serde(rename = "ask")]
+    pub request: OwnerRequest,
 }
 
 /// What is asked of the owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Ask {
+pub enum OwnerRequest {
     /// Accept a job.
     Submit(view::job::Submission),
     /// Stop a job.
@@ -55,7 +56,7 @@
     Status,
 }
 
-impl Ask {
+impl OwnerRequest {
     /// Whether the call changes anything.
     pub fn is_change(&self) -> bool {
         matches!(self, Self::Submit(_) | Self::Cancel(_) | Self::GiveUp(_) | Self::Acknowledge(_))
@@ -64,31 +65,31 @@
 
 /// What the owner answers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Tell {
-    /// To [`Ask::Submit`].
+pub enum OwnerResponse {
+    /// To [`OwnerRequest::Submit`].
     Accepted(view::job::Accepted),
-    /// To [`Ask::Cancel`] and [`Ask::Job`].
+    /// To [`OwnerRequest::Cancel`] and [`OwnerRequest::Job`].
     Job(Box<view::job::Job>),
-    /// To [`Ask::Jobs`].
+    /// To [`OwnerRequest::Jobs`].
     Jobs(view::Page<view::job::Summary, job::Id>),
-    /// To [`Ask::Explain`].
+    /// To [`OwnerRequest::Explain`].
     Explanation(view::job::Explanation),
-    /// To [`Ask::Workers`].
+    /// To [`OwnerRequest::Workers`].
     Workers(Vec<view::worker::Worker>),
-    /// To [`Ask::Worker`] and [`Ask::GiveUp`].
+    /// To [`OwnerRequest::Worker`] and [`OwnerRequest::GiveUp`].
     Worker(view::worker::Worker),
-    /// To [`Ask::Alerts`].
+    /// To [`OwnerRequest::Alerts`].
     Alerts(view::Page<view::alert::Alert, String>),
-    /// To [`Ask::Acknowledge`].
+    /// To [`OwnerRequest::Acknowledge`].
     Alert(view::alert::Alert),
-    /// To [`Ask::Status`].
+    /// To [`OwnerRequest::Status`].
     Status(Box<view::status::Domain>),
 }
 
 /// Result of a call to the owner.
-pub type Reply = Result<Tell, Refusal>;
+pub type Reply = Result<OwnerResponse, Refusal>;
 
 /// Time kept back for the way home, so that the caller hears the owner's answer in time.
-pub fn within(left: Duration) -> Duration {
+pub fn owner_timeout(left: Duration) -> Duration {
     left.saturating_sub(left / 10)
 }
--- a/src/entry/gauges.rs
+++ b/src/entry/gauges.rs
@@ -18,7 +18,7 @@
 
 /// Sets the gauges at intervals until the process ends, and keeps the recorder's memory within
 /// bounds where nothing scrapes it.
-pub async fn follow(recorder: Rc<Recorder>, handle: Handle, clock: Rc<dyn Clock>) {
+pub async fn update_periodically(recorder: Rc<Recorder>, handle: Handle, clock: Rc<dyn Clock>) {
     while handle.inspect(set).await.is_some() {
         recorder.upkeep();
         clock.sleep(PAUSE).await;
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -10,7 +10,7 @@
 use crate::runner::Proxy;
 
 /// Who uses the view.
-pub struct Followers {
+pub struct MembershipSubscriber {
     /// Those who look instances up.
     pub directory: Rc<Directory>,
     /// The state machine of the failure domain.
@@ -21,7 +21,7 @@
     pub requests: Proxy,
 }
 
-impl Followers {
+impl MembershipSubscriber {
     /// Passes on every change.
     pub async fn run(self, mut changes: Changes) {
         while let Some(roster) = changes.recv().await {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,5 +1,6 @@
 //! Assembly of the daemon of an entry instance: which tasks run, and how they reach each other.
 
+mod assembly;
 pub mod backend;
 pub mod binding;
 pub mod controller;
@@ -8,13 +9,12 @@
 pub mod forward;
 pub mod gauges;
 pub mod members;
-mod parts;
 pub mod peers;
 mod policy;
+pub mod reachability;
 pub mod readiness;
 pub mod requests;
 pub mod views;
-pub mod witness;
 
+pub use assembly::stream;
 pub use daemon::{Daemon, Error, Listening};
-pub use parts::stream;
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -12,8 +12,8 @@
 use crate::domain::{Epoch, Instance};
 use crate::entry::backend::Entry;
 use crate::entry::backend::status::STATUS;
-use crate::entry::controller::{BEAT, HANDOVER, HOLD};
-use crate::entry::forward::{self, Envelope};
+use crate::entry::controller::{HANDOVER, HEARTBEAT, STORE_BATCH};
+use crate::entry::forward::{self, ForwardedCall};
 use crate::owner::machine::{Machine, Message};
 use crate::owner::{BatchCopy, Heartbeat};
 use crate::peer::{Code, Handler, Refusal, decode};
@@ -21,7 +21,7 @@
 
 /// Answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
-pub struct Heard {
+pub struct HeartbeatResponse {
     /// The instance that answers.
     pub from: Instance,
     /// Latest epoch it knows, the heartbeat's included.
@@ -30,7 +30,7 @@
 
 /// Answer to a batch that was to be kept.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
-pub struct Kept {
+pub struct StoreBatchResponse {
     /// The instance that answers.
     pub from: Instance,
     /// Whether it keeps the batch.
@@ -38,12 +38,12 @@
 }
 
 /// Answers to calls from other instances.
-pub struct Peers {
+pub struct PeerHandler {
     entry: Rc<Entry>,
     requests: runner::peer::Handler,
 }
 
-impl Peers {
+impl PeerHandler {
     /// Answers in the name of `entry`, and of `requests` where runners are concerned.
     pub fn new(entry: Rc<Entry>, requests: Proxy) -> Self {
         Self { entry, requests: runner::peer::Handler::new(requests) }
@@ -51,14 +51,14 @@
 
     async fn answer(&self, method: &str, body: &[u8]) -> Result<Bytes, Refusal> {
         match method {
-            BEAT => encode(&self.hear(decode(body)?).await?),
-            HOLD => encode(&self.keep(decode(body)?).await?),
+            HEARTBEAT => encode(&self.receive_heartbeat(decode(body)?).await?),
+            STORE_BATCH => encode(&self.store_batch(decode(body)?).await?),
             HANDOVER => {
                 self.entry.handle.send(Message::Handover(decode(body)?));
                 encode(&())
             }
             STATUS => encode(&self.entry.domain_status(decode(body)?).await),
-            forward::CALL => encode(&self.entry.route(decode::<Envelope>(body)?).await),
+            forward::CALL => encode(&self.entry.route(decode::<ForwardedCall>(body)?).await),
             runner::peer::REQUEST_SHARES | runner::peer::RUN_FORWARDED => {
                 self.requests.answer(method, body).await
             }
@@ -67,13 +67,13 @@
     }
 
     /// The answer goes out only after the machine keeps the batch: its sender lets it take effect.
-    async fn keep(&self, copy: BatchCopy) -> Result<Kept, Refusal> {
+    async fn store_batch(&self, copy: BatchCopy) -> Result<StoreBatchResponse, Refusal> {
         let (epoch, sequence) = (copy.epoch, copy.sequence);
         self.entry.handle.send(Message::StoreBatch(copy));
         let look = move |machine: &Machine, _, _| machine.copies.contains(epoch, sequence);
         let kept = self.entry.handle.inspect(look).await;
         let kept = kept.ok_or_else(|| Refusal::new(Code::Busy, "stopping"))?;
-        Ok(Kept { from: self.entry.me.clone(), kept })
+        Ok(StoreBatchResponse { from: self.entry.me.clone(), kept })
     }
 
     async fn answer_settings(&self, method: &str, body: &[u8]) -> Result<Bytes, Refusal> {
@@ -83,18 +83,18 @@
 
     /// The answer goes out only after the machine has taken the heartbeat in: its sender concludes
     /// from it that this instance does not act as an owner of an earlier epoch any more.
-    async fn hear(&self, heartbeat: Heartbeat) -> Result<Heard, Refusal> {
+    async fn receive_heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatResponse, Refusal> {
         if heartbeat.domain != self.entry.domain {
             return Err(Refusal::new(Code::Conflict, "another failure domain"));
         }
         self.entry.handle.send(Message::Heartbeat(heartbeat));
         let epoch = self.entry.handle.inspect(|machine, _, _| machine.known_epoch()).await;
         let epoch = epoch.ok_or_else(|| Refusal::new(Code::Busy, "stopping"))?;
-        Ok(Heard { from: self.entry.me.clone(), epoch })
+        Ok(HeartbeatResponse { from: self.entry.me.clone(), epoch })
     }
 }
 
-impl Handler for Peers {
+impl Handler for PeerHandler {
     fn handle(
         &self,
         _peer: SocketAddr,
--- a/src/entry/policy.rs
+++ b/src/entry/policy.rs
@@ -12,18 +12,18 @@
 use crate::telemetry::names;
 
 /// Who acts by the settings in force.
-pub struct Follower {
+pub struct ConfigSubscriber {
     /// The state machine of the failure domain.
     pub owner: Handle,
     /// What the deployment weighs more.
-    pub weighs: Objective,
+    pub objective: Objective,
     /// Level of the log while the settings in force name none.
     pub log_level: LevelFilter,
     /// Whether this instance should get traffic.
     pub readiness: Rc<Readiness>,
 }
 
-impl Follower {
+impl ConfigSubscriber {
     /// Passes on every value as it comes into force.
     pub async fn run(self, mut values: Values) {
         let mut level = None;
@@ -39,7 +39,7 @@
     }
 
     fn pass_on(&self, value: &Rc<Value>) {
-        let policy = Policy::for_preset(value.preset.into(), self.weighs);
+        let policy = Policy::for_preset(value.preset.into(), self.objective);
         self.owner.send(Message::Policy(policy));
         self.owner.send(Message::Settings(value.clone()));
         self.readiness.set_settings_known();
--- a/src/entry/witness.rs
+++ b/src/entry/reachability.rs
@@ -14,19 +14,19 @@
 use crate::worker::{self, Fault};
 
 /// Rest between two reports that an instance answers. Each report costs a look at the whole view.
-const REST: Duration = Duration::from_secs(5);
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Passes on to the view of the instances whether they answer.
-pub struct Witness {
+pub struct ReachabilityReporter {
     domain: domain::Name,
     members: Handle,
     directory: Rc<Directory>,
     clock: Rc<dyn Clock>,
     /// When an instance was last reported to answer; none after a failure.
-    answered: RefCell<BTreeMap<Key, Instant>>,
+    last_reported: RefCell<BTreeMap<Key, Instant>>,
 }
 
-impl Witness {
+impl ReachabilityReporter {
     /// Reports to `members` on workers of `domain` and on the entry instances in `directory`.
     pub fn new(
         domain: domain::Name,
@@ -34,11 +34,15 @@
         directory: Rc<Directory>,
         clock: Rc<dyn Clock>,
     ) -> Self {
-        Self { domain, members, directory, clock, answered: RefCell::default() }
+        Self { domain, members, directory, clock, last_reported: RefCell::default() }
     }
 
     /// Reports how an exchange with a worker ended.
-    pub fn exchanged(&self, name: &worker::Name, result: &Result<worker::Report, worker::Error>) {
+    pub fn record_exchange(
+        &self,
+        name: &worker::Name,
+        result: &Result<worker::Report, worker::Error>,
+    ) {
         let answered = match result {
             Ok(_) => true,
             Err(error) => matches!(error.fault, Fault::Fenced(_)),
@@ -50,7 +54,7 @@
     /// Reports how a call to an entry instance ended.
     ///
     /// A timeout says nothing: the call may have waited for something beyond that instance.
-    pub fn called<T>(&self, address: std::net::SocketAddr, result: &Result<T, peer::Error>) {
+    pub fn record_call<T>(&self, address: std::net::SocketAddr, result: &Result<T, peer::Error>) {
         let answered = match result {
             Ok(_) => true,
             Err(error) => match error.step {
@@ -66,13 +70,13 @@
 
     fn report(&self, key: Key, answered: bool) {
         let now = self.clock.now();
-        let mut reported = self.answered.borrow_mut();
+        let mut reported = self.last_reported.borrow_mut();
         if !answered {
             reported.remove(&key);
             self.members.report_call(key, false);
             return;
         }
-        let is_recent = reported.get(&key).is_some_and(|at| now.since(*at) < REST);
+        let is_recent = reported.get(&key).is_some_and(|at| now.since(*at) < REPORT_INTERVAL);
         if !is_recent {
             reported.insert(key.clone(), now);
             self.members.report_call(key, true);
--- a/src/entry/requests.rs
+++ b/src/entry/requests.rs
@@ -24,7 +24,7 @@
 const RECORD_GRACE: Duration = Duration::from_secs(3);
 
 /// What the tasks reach.
-pub struct Ways {
+pub struct Dependencies {
     /// Runners, and nothing else.
     pub runners: Rc<http::Client>,
     /// Other instances.
@@ -46,8 +46,8 @@
 }
 
 /// Starts the tasks that answer quick requests until `stop` is triggered and all are answered.
-pub fn start(settings: &Settings, me: &Instance, ways: Ways, stop: Shutdown) -> Proxy {
-    let Ways { runners, peers, guard, handle, clock } = ways;
+pub fn start(settings: &Settings, me: &Instance, deps: Dependencies, stop: Shutdown) -> Proxy {
+    let Dependencies { runners, peers, guard, handle, clock } = deps;
     let transport: Rc<dyn RunnerTransport> = Rc::new(runner::http::Client::new(runners));
     let (proxy, driver) = Proxy::new(Options {
         policy: settings.queues.routing(),
--- a/src/entry/views.rs
+++ b/src/entry/views.rs
@@ -167,12 +167,12 @@
     let job = machine.replica.table.get(id).ok_or_else(|| not_found(id))?;
     let state = state(job, Some(active));
     let waits = active.engine.explain(id).map(|reason| reason.to_string());
-    let reason = waits.unwrap_or_else(|| unwaiting(state).to_owned());
+    let reason = waits.unwrap_or_else(|| describe_state(state).to_owned());
     let waited = unix.since(job.accepted);
     Ok(view::job::Explanation { job: id, state, reason, advice: None, waited })
 }
 
-fn unwaiting(state: view::job::State) -> &'static str {
+fn describe_state(state: view::job::State) -> &'static str {
     use view::job::State;
     match state {
         State::Waiting => "its tasks are on their way to workers, or pause before another try",
@@ -229,7 +229,7 @@
     let failing = failing.or(machine.election.read_failing_since());
     let log = match failing.map(|since| now.since(since)) {
         None => view::status::Health::Up,
-        Some(span) if span < SLOW => view::status::Health::Slow,
+        Some(span) if span < SLOW_LOG_LIMIT => view::status::Health::Slow,
         Some(_) => view::status::Health::Down,
     };
     let workers = active.map(count_workers).unwrap_or_default();
@@ -243,7 +243,7 @@
 }
 
 /// Failure of the log up to which it counts as slow rather than down.
-const SLOW: std::time::Duration = std::time::Duration::from_secs(2);
+const SLOW_LOG_LIMIT: std::time::Duration = std::time::Duration::from_secs(2);
 
 /// State of a failure domain, as its owner sees it.
 #[derive(Clone, Debug)]
--- a/tests/process/controller.rs
+++ b/tests/process/controller.rs
@@ -12,10 +12,10 @@
 use monoio::{LegacyDriver, RuntimeBuilder};
 use oriolefork::clock::{Clock, System};
 use oriolefork::domain::Instance;
-use oriolefork::entry::controller::{Borders, Controller};
+use oriolefork::entry::controller::{Controller, Dependencies};
 use oriolefork::entry::directory::Directory;
+use oriolefork::entry::reachability::ReachabilityReporter;
 use oriolefork::entry::readiness::Readiness;
-use oriolefork::entry::witness::Witness;
 use oriolefork::membership::follow::{Setup, start};
 use oriolefork::membership::probe::TcpProbe;
 use oriolefork::membership::view::ViewPolicy;
@@ -81,8 +81,8 @@
     }
 }
 
-/// A witness that nobody listens to.
-fn witness(me: &Instance, clock: &Rc<dyn Clock>) -> Rc<Witness> {
+/// A reporter whose reports nobody uses.
+fn reachability(me: &Instance, clock: &Rc<dyn Clock>) -> Rc<ReachabilityReporter> {
     let members = start(Setup {
         source: Rc::new(Nobody),
         probe: Rc::new(TcpProbe { timeout: LIMIT }),
@@ -92,7 +92,7 @@
         stop: Shutdown::new(),
     });
     let directory = Rc::new(Directory::new(me.clone(), DOMAIN.into(), Vec::new()));
-    Rc::new(Witness::new(DOMAIN.into(), members, directory, clock.clone()))
+    Rc::new(ReachabilityReporter::new(DOMAIN.into(), members, directory, clock.clone()))
 }
 
 #[test]
@@ -108,9 +108,9 @@
         let store = Rc::new(Silent::default());
         let me = Instance { name: "kurow-1".into(), run: 1, peer: ([127, 0, 0, 1], 9).into() };
         let policy = Policy::for_preset(Preset::Ordinary, Objective::Waiting);
-        let witness = witness(&me, &clock);
+        let reachability = reachability(&me, &clock);
         let machine = Machine::new(me, DOMAIN.into(), Timings::default(), policy, clock.now());
-        let borders = Borders {
+        let deps = Dependencies {
             store: store.clone(),
             workers: Rc::new(Nobody),
             peers: Rc::new(peer::Client::new(peer::Limits::default())),
@@ -118,10 +118,10 @@
             stream: "domain-kurow-hall".to_owned(),
             worker_timeout: LIMIT,
             peer_timeout: LIMIT,
-            witness,
+            reachability,
             readiness: Rc::new(Readiness::new(Shutdown::new())),
         };
-        let controller = Controller::new(machine, borders);
+        let controller = Controller::new(machine, deps);
         let handle = controller.handle();
         monoio::spawn(controller.run());
         let start = Instant::now();
