--- a/tests/logic/owner.rs
+++ b/tests/logic/owner.rs
@@ -1,4 +1,4 @@
-//! Ownership of a failure domain under failures.
+//! Tests of the owner of a failure domain under crashes, pauses, partitions and log outages.
 
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
     job.is_some_and(|job| job.is_over())
 }
 
-fn started(seed: u64) -> World {
+fn world_with_owner(seed: u64) -> World {
     let mut world = World::new(seed, 3, 4, CAPACITY);
     world.run_until(20_000, |world| world.owner().is_some()).expect("an owner");
     world.run(200);
@@ -59,7 +59,7 @@
 
 #[test]
 fn submit_runs_once() {
-    let mut world = started(1);
+    let mut world = world_with_owner(1);
     let owner = world.owner().unwrap();
     let ticket = world.call(owner, submit("k", spec(Kind::Batch, 3, Effect::Idempotent, 500)));
     world.run_until(5_000, |world| is_over(world, "k")).expect("the job ends");
@@ -68,11 +68,11 @@
     world.check_end();
 }
 
-// A user's job is accepted, then the owner dies before its tasks have ended. Another instance
-// claims the domain and takes the tasks over where they run; placement goes on within 3 s.
+// The owner crashes while the tasks of an accepted job run. Another instance claims the domain
+// within 3 s, keeps the tasks where they run and places new ones.
 #[test]
 fn claim_owner_killed() {
-    let mut world = started(2);
+    let mut world = world_with_owner(2);
     let first = world.owner().unwrap();
     world.call(first, submit("k", spec(Kind::Batch, 3, Effect::AtMostOnce, 6_000)));
     world.run(1_000);
@@ -91,32 +91,33 @@
     world.check_end();
 }
 
-// The owner's process is paused past its lease, another instance takes over, and the first wakes
-// with placements in hand. Its appends come after the rival's claim and its commands are refused.
+// The owner's process is paused for longer than its lease and another instance takes over. When the
+// old owner resumes with unsent placements, its appends come after the other's claim and its
+// commands are refused.
 #[test]
 fn claim_owner_paused() {
-    let mut world = started(3);
+    let mut world = world_with_owner(3);
     let first = world.owner().unwrap();
     for index in 0..8 {
         let key = format!("k{index}");
         world.call(first, submit(&key, spec(Kind::Batch, 2, Effect::Idempotent, 3_000)));
     }
     world.run(10);
-    world.freeze(first, 15_000);
+    world.pause(first, 15_000);
     world.run(40_000);
     assert!(world.owner().is_some());
     world.check_end();
 }
 
-// The network between the instances breaks, and each still reaches the log and the workers. A user
-// with a quiet domain sees no change: the owner stays, because the others read that it lives.
-// Without that, each takes the other for dead and claims the domain, for as long as it lasts.
+// The instances are partitioned from each other, but each reaches the log and the workers. The
+// owner of an idle domain stays, because the others read its records in the log. Otherwise each
+// instance would consider the others dead and the domain would be claimed again and again.
 #[test]
 fn claim_instances_deaf() {
-    let mut world = started(6);
+    let mut world = world_with_owner(6);
     let first = world.owner().unwrap();
     let epoch = world.machine(first).known_epoch();
-    world.faults = Faults { deaf: true, ..Faults::NONE };
+    world.faults = Faults { partitioned: true, ..Faults::NONE };
     world.run(60_000);
     assert_eq!(world.owner(), Some(first));
     assert_eq!(world.machine(first).known_epoch(), epoch);
@@ -124,24 +125,24 @@
     world.run_until(10_000, |world| world.owner().is_some()).expect("another owner");
 }
 
-// Workers cut off from everybody: their tasks lapse and run again elsewhere, but a task that may
-// run only once is shown as unresolved instead.
+// Two workers are unreachable from every instance. Once their leases have lapsed, idempotent tasks
+// run again elsewhere; a task that may run only once becomes unresolved instead.
 #[test]
 fn expire_worker_cut() {
-    let mut world = started(4);
+    let mut world = world_with_owner(4);
     let owner = world.owner().unwrap();
     world.call(owner, submit("again", spec(Kind::Batch, 4, Effect::Idempotent, 20_000)));
     world.call(owner, submit("once", spec(Kind::Batch, 4, Effect::AtMostOnce, 20_000)));
     world.run(1_000);
-    world.cut_worker("w0", true);
-    world.cut_worker("w1", true);
+    world.set_worker_disconnected("w0", true);
+    world.set_worker_disconnected("w1", true);
     world.run_until(80_000, |world| is_over(world, "again")).expect("runs again elsewhere");
     world.check_end();
 }
 
-// A job is accepted and then unknown to everybody. The answer to a batch was late, so the batch was
-// appended twice; the second answer came when the next batch was under way and was taken for that
-// one's, which was never written.
+// The response to an append is late, so the batch is appended twice. The second response arrives
+// while the next batch is in flight. If it were attributed to that batch, which was never written,
+// an accepted job would be lost.
 #[test]
 fn payload_answer_of_earlier_batch() {
     let epoch = Epoch::FIRST;
@@ -158,13 +159,14 @@
     assert!(journal.payload(second).is_some());
 }
 
-// A worker's process ends and starts anew at any moment of a start: while the placement is on its
-// way to the log, while the start is on its way, or while its answer is. The new process must not
-// be given what the old one may have run, and what it says it never ran the old one may have.
+// A worker process restarts at any point of a task's start: while the placement is being written to
+// the log, while the start command is in flight, or while its response is. A task that the old
+// process may have run must not be sent to the new one, and a report of the new process that a task
+// never ran is no evidence about the old one.
 #[test]
 fn start_worker_restarted() {
     for moment in (0..600).step_by(12) {
-        let mut world = started(moment);
+        let mut world = world_with_owner(moment);
         world.faults = Faults { loss: 0.3, delay: 120, ..Faults::NONE };
         let owner = world.owner().unwrap();
         world.call(owner, submit("once", spec(Kind::Batch, 3, Effect::AtMostOnce, 900)));
@@ -181,39 +183,40 @@
     }
 }
 
-// The owner dies while the log is away. Services must not stop with their leases: an instance takes
-// over at the workers, renews, places nothing, and writes its claim when the log is back.
+// The owner crashes while the log is unreachable. Running tasks must not stop when their leases
+// lapse: another instance takes over at the workers, renews the leases, places nothing, and writes
+// its claim once the log is back.
 #[test]
 fn take_over_log_away() {
-    let mut world = started(8);
+    let mut world = world_with_owner(8);
     let first = world.owner().unwrap();
     world.call(first, submit("service", spec(Kind::Batch, 4, Effect::Idempotent, 90_000)));
     world.run(1_000);
     world.faults.log_down = true;
     world.run(3_000);
     world.kill(first);
-    world.run_until(8_000, |world| world.owner().is_some()).expect("somebody takes over");
+    world.run_until(8_000, |world| world.owner().is_some()).expect("another instance takes over");
     let second = world.owner().unwrap();
     let refused = world.call(second, submit("new", spec(Kind::Batch, 1, Effect::Idempotent, 100)));
     world.run(60_000);
-    assert_eq!(world.runs_of(job::Id::derive("shop", "service")), 4, "nothing stopped");
+    assert_eq!(world.runs_of(job::Id::derive("shop", "service")), 4, "no task was restarted");
     assert_eq!(world.answers.get(&refused), Some(&Answer::Refused(Refusal::LogUnavailable)));
     world.faults.log_down = false;
     world.run(5_000);
     let owner = world.owner().expect("an owner once the log is back");
     let later = world.call(owner, submit("new", spec(Kind::Batch, 1, Effect::Idempotent, 100)));
-    world.run_until(60_000, |world| is_over(world, "service")).expect("the services end");
+    world.run_until(60_000, |world| is_over(world, "service")).expect("the tasks end");
     assert!(accepted(&world, later));
     assert_eq!(world.runs_of(job::Id::derive("shop", "service")), 4);
     world.check_end();
 }
 
-// The log is away for a long time, with work accepted before. Tasks that do no harm twice go on
-// being placed on the word of the other instances, which keep the records; a task that may run only
-// once waits for the log. All is in the log once it is back.
+// The log is unreachable for a minute after jobs were accepted. Idempotent tasks are still placed,
+// because the other instances store the owner's batches; a task that may run only once waits for
+// the log. Once the log is back it contains all records.
 #[test]
 fn commit_by_peers_log_away() {
-    let mut world = started(9);
+    let mut world = world_with_owner(9);
     let owner = world.owner().unwrap();
     world.run(2_000);
     world.call(owner, submit("first", spec(Kind::Batch, 16, Effect::Idempotent, 5_000)));
@@ -234,13 +237,14 @@
     world.check_end();
 }
 
-// As before, and the owner dies in the outage. What it started is known to whoever claims the
-// domain when the log is back, so that nothing of it starts a second time beside the first.
+// As above, but the owner crashes during the outage. The instance that claims the domain once the
+// log is back must learn which tasks the old owner started, so that none runs twice at the same
+// time.
 #[test_case(Effect::Idempotent ; "idempotent")]
 #[test_case(Effect::AtMostOnce ; "at_most_once")]
 fn commit_by_peers_owner_killed(effect: Effect) {
     for moment in (0..4_000).step_by(250) {
-        let mut world = started(10 + moment);
+        let mut world = world_with_owner(10 + moment);
         let owner = world.owner().unwrap();
         world.run(2_000);
         world.call(owner, submit("fill", spec(Kind::Batch, 16, Effect::Idempotent, 4_000)));
@@ -251,16 +255,16 @@
         world.kill(owner);
         world.run(2_000);
         world.faults.log_down = false;
-        world.run_until(60_000, |world| is_over(world, "k")).expect("it comes to its end");
+        world.run_until(60_000, |world| is_over(world, "k")).expect("the job ends");
         world.check_end();
     }
 }
 
-// A task that may run only once ends during the outage, and the owner dies. The instance that claims
-// the domain was not enrolled and has no record of the end: the worker must still know it.
+// A task that may run only once ends during a log outage, and all instances crash, so that no
+// stored batch with its end is left. The worker must report the end until the log contains it.
 #[test]
 fn forget_waits_for_log() {
-    let mut world = started(11);
+    let mut world = world_with_owner(11);
     let owner = world.owner().unwrap();
     world.run(2_000);
     world.call(owner, submit("once", spec(Kind::Batch, 3, Effect::AtMostOnce, 4_000)));
@@ -274,16 +278,17 @@
     for node in 0..3 {
         world.start(node);
     }
-    world.run_until(60_000, |world| is_over(world, "once")).expect("its end is told");
+    world.run_until(60_000, |world| is_over(world, "once")).expect("its end is recorded");
     assert_eq!(world.runs_of(job::Id::derive("shop", "once")), 3);
     world.check_end();
 }
 
-// A task that may run only once has its record with peers alone, and its worker is out of reach for
-// a moment. Back again, the worker names no such task, which must not count as a reason to start it.
+// The placement of a task that may run only once is stored by peers but not yet in the log, and its
+// worker is unreachable for a while. When the worker is back and does not report the task, the
+// owner must not start it before the log is back.
 #[test]
 fn start_deferred_worker_back() {
-    let mut world = started(13);
+    let mut world = world_with_owner(13);
     let owner = world.owner().unwrap();
     world.run(2_000);
     world.call(owner, submit("fill", spec(Kind::Batch, 16, Effect::Idempotent, 6_000)));
@@ -292,11 +297,11 @@
     world.faults.log_down = true;
     world.run(12_000);
     for index in 0..4 {
-        world.cut_worker(&format!("w{index}"), true);
+        world.set_worker_disconnected(&format!("w{index}"), true);
     }
     world.run(11_000);
     for index in 0..4 {
-        world.cut_worker(&format!("w{index}"), false);
+        world.set_worker_disconnected(&format!("w{index}"), false);
     }
     world.run(10_000);
     assert_eq!(world.runs_of(job::Id::derive("shop", "once")), 0, "it waits for the log");
@@ -305,28 +310,29 @@
     world.check_end();
 }
 
-// A job is cancelled, and its owner dies before the order to stop has reached the worker. The next
-// owner finds the task running where the log has it, and has to stop it all the same.
+// A job is cancelled, and the owner crashes before the stop command has reached the worker. The
+// next owner finds the task still running there and must stop it.
 #[test]
 fn cancel_owner_killed() {
-    let mut world = started(14);
+    let mut world = world_with_owner(14);
     let owner = world.owner().unwrap();
     world.call(owner, submit("k", spec(Kind::Batch, 2, Effect::Idempotent, 90_000)));
     world.run(1_000);
     for index in 0..4 {
-        world.cut_worker(&format!("w{index}"), true);
+        world.set_worker_disconnected(&format!("w{index}"), true);
     }
     world.call(owner, Call::Cancel(job::Id::derive("shop", "k")));
     world.run(300);
     world.kill(owner);
     for index in 0..4 {
-        world.cut_worker(&format!("w{index}"), false);
+        world.set_worker_disconnected(&format!("w{index}"), false);
     }
     world.run_until(20_000, |world| is_over(world, "k")).expect("it is stopped");
 }
 
-// A task that may run only once became uncertain when its worker's process ended. A start that was
-// on its way reaches the new process, which rejects it. The task may have run all the same.
+// A task that may run only once became unresolved when its worker process ended. A delayed start
+// command then reaches the new process, which rejects it. The old process may have run the task, so
+// the rejection must not make it pending again.
 #[test]
 fn apply_rejected_after_unresolved() {
     let id = job::Id::derive("shop", "once");
@@ -342,15 +348,18 @@
     table.apply(&ended(End::Lapsed), 2, at);
     table.apply(&ended(End::Rejected), 3, at);
     let job = table.get(id).expect("the job");
-    assert!(job.is_over() && job.ended_without_success(), "it is not to be placed again: {job:?}");
+    assert!(
+        job.is_over() && job.ended_without_success(),
+        "the task must not be placed again: {job:?}"
+    );
 }
 
-// An instance is replaced after an outage in which batches took effect before they were in the log.
-// It has to end in the same state as those that were there; starting with a sequence that the log
-// reached only later, it would pass over those batches and lose the jobs in them.
+// An instance restarts after an outage during which batches took effect before they were in the
+// log. It must replay to the same state as the others. If it started with a sequence number that
+// the log reached only later, it would skip those batches and lose the jobs in them.
 #[test]
 fn replay_point_after_outage() {
-    let mut world = started(12);
+    let mut world = world_with_owner(12);
     world.timings.snapshot_records = 2;
     for node in 0..3 {
         world.kill(node);
@@ -367,18 +376,18 @@
         world.run(8_000);
         world.faults.log_down = false;
         world.run(4_000);
-        let fresh = (owner + 1) % 3;
-        world.kill(fresh);
-        world.start(fresh);
+        let restarted = (owner + 1) % 3;
+        world.kill(restarted);
+        world.start(restarted);
         world.run(2_000);
         assert_eq!(world.owner(), Some(owner), "round {round}");
         let jobs = |node| world.machine(node).replica.table.len();
-        assert_eq!(jobs(fresh), jobs(owner), "round {round}");
+        assert_eq!(jobs(restarted), jobs(owner), "round {round}");
     }
 }
 
-// The log is away, both remaining instances cannot hear each other, and each takes over. Their
-// epochs differ, so a worker obeys one of them only.
+// The log is unreachable, the two remaining instances cannot reach each other, and each takes over.
+// Their epochs must differ, so that a worker accepts commands from one of them only.
 #[test_case(0, 1 ; "first_rank")]
 #[test_case(1, 2 ; "second_rank")]
 fn next_sub_ranks_differ(one: u8, other: u8) {
@@ -395,16 +404,16 @@
     board.open().iter().filter(|alert| alert.key.kind == kind).count()
 }
 
-// A renewal that may run only once is on a worker that vanishes. It is not run again; a person is
-// told, also when the owner that told them dies, and until somebody acknowledges.
+// A task that may run only once is on a worker that becomes unreachable. It does not run again but
+// raises an alert, which survives a crash of the owner and stays open until it is acknowledged.
 #[test]
 fn alerts_survive_owner() {
-    let mut world = started(5);
+    let mut world = world_with_owner(5);
     let first = world.owner().unwrap();
     world.call(first, submit("once", spec(Kind::Batch, 1, Effect::AtMostOnce, 60_000)));
     world.run(1_000);
     for index in 0..4 {
-        world.cut_worker(&format!("w{index}"), true);
+        world.set_worker_disconnected(&format!("w{index}"), true);
     }
     world.run(40_000);
     assert_eq!(open_alerts(&world, alert::Kind::Uncertain), 1);
@@ -421,10 +430,10 @@
     assert_eq!(world.runs_of(job::Id::derive("shop", "once")), 1);
 }
 
-// A deadline passes while the job waits behind a full cluster: the office hears of it.
+// A deadline passes while the job waits because all workers are full: an alert is raised.
 #[test]
 fn alerts_late_job() {
-    let mut world = started(6);
+    let mut world = world_with_owner(6);
     let owner = world.owner().unwrap();
     world.call(owner, submit("fill", spec(Kind::Batch, 16, Effect::Idempotent, 30_000)));
     world.run(1_000);
@@ -433,26 +442,26 @@
     world.call(owner, submit("late", late));
     world.run(12_000);
     assert_eq!(open_alerts(&world, alert::Kind::Late), 1);
-    world.run_until(60_000, |world| is_over(world, "late")).expect("it runs all the same");
+    world.run_until(60_000, |world| is_over(world, "late")).expect("it still runs");
     assert_eq!(open_alerts(&world, alert::Kind::Late), 1, "it stays until acknowledged");
 }
 
-// A worker is gone for good and an operator says so: what it ran comes to an end at once.
+// An operator declares an unreachable worker lost: the tasks that it ran end at once.
 #[test]
 fn give_up_worker() {
-    let mut world = started(7);
+    let mut world = world_with_owner(7);
     let owner = world.owner().unwrap();
     world.call(owner, submit("k", spec(Kind::Batch, 16, Effect::Idempotent, 4_000)));
     world.run(1_000);
     let refused = world.call(owner, Call::GiveUp("w0".into()));
-    world.cut_worker("w0", true);
+    world.set_worker_disconnected("w0", true);
     world.run(5_000);
     let taken = world.call(owner, Call::GiveUp("w0".into()));
     world.run(500);
     assert_eq!(
         world.answers.get(&refused),
         Some(&Answer::Refused(Refusal::WorkerReachable)),
-        "what an answering worker runs is known"
+        "a reachable worker cannot be declared lost"
     );
     assert_eq!(world.answers.get(&taken), Some(&Answer::GivenUp));
     world.run_until(10_000, |world| is_over(world, "k")).expect("it runs elsewhere");
@@ -473,7 +482,7 @@
     }
 }
 
-/// One random history: work arrives while processes die, freeze and are cut off.
+/// Runs one random history: jobs arrive while processes crash, pause and lose their connections.
 fn history(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(seed, 3, 4, CAPACITY);
@@ -484,17 +493,17 @@
             delay: if rng.random_bool(0.2) { 300 } else { 5 },
             late: if rng.random_bool(0.3) { 0.1 } else { 0.0 },
             log_down: rng.random_bool(0.1),
-            deaf: rng.random_bool(0.1),
+            partitioned: rng.random_bool(0.1),
         };
         let node = rng.random_range(0..3);
         let worker = format!("w{}", rng.random_range(0..4));
         match rng.random_range(0..10) {
             0 => world.kill(node),
-            1 => world.freeze(node, rng.random_range(100..20_000)),
-            2 => world.cut(node, true),
+            1 => world.pause(node, rng.random_range(100..20_000)),
+            2 => world.set_disconnected(node, true),
             3 => world.restart_worker(&worker),
-            4 => world.cut_worker(&worker, true),
-            5 => world.freeze_worker(&worker, rng.random_range(100..20_000)),
+            4 => world.set_worker_disconnected(&worker, true),
+            5 => world.pause_worker(&worker, rng.random_range(100..20_000)),
             6 if world.is_up(node) => world.shutdown(node),
             _ => {}
         }
@@ -520,33 +529,33 @@
                 world.start(node);
             }
             if rng.random_bool(0.3) {
-                world.cut(node, false);
+                world.set_disconnected(node, false);
             }
         }
         for index in 0..4 {
             if rng.random_bool(0.3) {
-                world.cut_worker(&format!("w{index}"), false);
+                world.set_worker_disconnected(&format!("w{index}"), false);
             }
         }
     }
     settle(&mut world, &keys);
 }
 
-/// With every fault gone, each accepted job comes to an end or is shown as unresolved.
+/// Checks that each accepted job ends or is unresolved once there are no more faults.
 fn settle(world: &mut World, keys: &[(String, u64)]) {
     world.faults = Faults::NONE;
     for node in 0..3 {
-        world.cut(node, false);
+        world.set_disconnected(node, false);
         if !world.is_up(node) {
             world.start(node);
         }
     }
     for index in 0..4 {
-        world.cut_worker(&format!("w{index}"), false);
+        world.set_worker_disconnected(&format!("w{index}"), false);
     }
     world.run(60_000);
-    let owner = world.owner().expect("one owner once all faults are gone");
-    // Services never end by themselves and would keep the workers full.
+    let owner = world.owner().expect("one owner once there are no more faults");
+    // Long-running jobs never end by themselves and would keep the workers full.
     for (key, _) in keys {
         let id = job::Id::derive("shop", key);
         let table = &world.machine(owner).replica.table;
@@ -563,22 +572,22 @@
             continue;
         }
         let job = table.get(job::Id::derive("shop", key)).unwrap_or_else(|| {
-            panic!("accepted job {key} ({ticket}) {} is not known", job::Id::derive("shop", key))
+            panic!("accepted job {key} ({ticket}) {} is unknown", job::Id::derive("shop", key))
         });
         let stuck = !job.is_over();
         let unresolved = job.tasks.iter().any(|task| {
             matches!(task.state, oriolefork::owner::record::AttemptState::Unresolved { .. })
         });
-        let waits = match &world.machine(owner).role {
+        let reason = match &world.machine(owner).role {
             oriolefork::owner::Role::Owner(active) => active.engine.explain(job.id),
             oriolefork::owner::Role::Follower => None,
         };
-        assert!(!stuck || unresolved, "job {key} is stuck: {job:?} because {waits:?}");
+        assert!(!stuck || unresolved, "job {key} does not end: {job:?} because {reason:?}");
     }
 }
 
 #[test]
-fn promises_random_histories() {
+fn invariants_random_histories() {
     let first: u64 =
         std::env::var("ORIOLEFORK_SEED").ok().and_then(|s| s.parse().ok()).unwrap_or(0);
     let count: u64 =
--- a/tests/logic/owner_session.rs
+++ b/tests/logic/owner_session.rs
@@ -1,4 +1,4 @@
-//! What the owner holds of one worker.
+//! Tests of the owner's session with one worker.
 
 use std::net::SocketAddr;
 
@@ -37,10 +37,9 @@
     starts.collect()
 }
 
-// A renewal runs twice. The owner's call with a first start hangs before it reaches the worker; the
-// worker restarts, and a second start goes out beside the hanging call. Then the first call fails
-// with "nothing was sent". If that is taken for the second start, its task counts as never sent and
-// is placed elsewhere while it runs.
+// A call with a first start command hangs before it reaches the worker, and the worker restarts. If
+// a second start were sent beside the hanging call, the failure of the first call as "not sent"
+// could be attributed to the second start. Its task would then be placed elsewhere while it runs.
 #[test]
 fn failed_earlier_command() {
     let (now, timings) = (Instant::from_millis(1), Timings::default());
--- a/tests/logic/world.rs
+++ b/tests/logic/world.rs
@@ -1,5 +1,7 @@
-//! State machines of one failure domain, joined by messages that a seeded generator delays and
-//! loses, with the promises checked after every step.
+//! Deterministic simulation of the state machines of one failure domain.
+//!
+//! A seeded random generator delays and loses the messages between them. The invariants are checked
+//! after every exchange with a worker.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -27,23 +29,24 @@
 const POLL: u64 = 20;
 const BOUNDS: fake_log::Bounds = fake_log::Bounds { records: 200, bytes: 1 << 20 };
 
-/// Faults in force.
+/// Faults that the simulation injects.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Share of messages lost, of requests and answers alike.
+    /// Fraction of messages lost, requests and responses alike.
     pub loss: f64,
     /// Longest delay of a message in milliseconds.
     pub delay: u64,
-    /// Share of appends that take effect only long after their caller gave up.
+    /// Fraction of appends that take effect only after their caller has timed out.
     pub late: f64,
     /// Whether the log refuses every call.
     pub log_down: bool,
-    /// Whether instances do not hear each other, though they reach the log and the workers.
-    pub deaf: bool,
+    /// Whether heartbeats between instances are lost, while the log and the workers are reachable.
+    pub partitioned: bool,
 }
 
 impl Faults {
-    pub const NONE: Self = Self { loss: 0.0, delay: 3, late: 0.0, log_down: false, deaf: false };
+    pub const NONE: Self =
+        Self { loss: 0.0, delay: 3, late: 0.0, log_down: false, partitioned: false };
 }
 
 /// One entry instance.
@@ -51,21 +54,21 @@
     name: String,
     run: u64,
     machine: Option<Machine>,
-    frozen_until: u64,
-    cut: bool,
+    paused_until: u64,
+    is_disconnected: bool,
 }
 
 /// One worker.
 struct Worker {
     state: fake::State,
-    frozen_until: u64,
-    cut: bool,
+    paused_until: u64,
+    is_disconnected: bool,
     halted: bool,
-    /// Starts of its process that were counted.
+    /// Number of task starts of the current process that are already counted.
     counted: usize,
 }
 
-/// Something on its way.
+/// Event at a later time.
 enum Event {
     Tick(usize),
     ToNode {
@@ -83,7 +86,7 @@
         node: usize,
         run: u64,
         request: AppendRequest,
-        answer: bool,
+        respond: bool,
     },
     Exchange {
         node: usize,
@@ -112,47 +115,47 @@
     },
 }
 
-struct Queued {
+struct ScheduledEvent {
     at: u64,
     order: u64,
     event: Event,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
-impl Eq for Queued {}
-impl PartialOrd for Queued {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Queued {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
 
-/// One failure domain.
+/// Simulated failure domain.
 pub struct World {
     pub now: u64,
     pub faults: Faults,
     pub timings: Timings,
     pub answers: BTreeMap<Ticket, Answer>,
-    /// Jobs that may run any number of times one after another.
+    /// Jobs by the ticket of their submission.
     pub submitted: BTreeMap<Ticket, job::Id>,
     pub log: fake_log::State,
-    once: BTreeSet<job::Id>,
+    at_most_once: BTreeSet<job::Id>,
     rng: SmallRng,
     nodes: Vec<Node>,
     workers: BTreeMap<String, Worker>,
-    queue: BinaryHeap<Reverse<Queued>>,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
     order: u64,
     runs: u64,
     tickets: Ticket,
-    /// Starts of each task, by job and index.
+    /// Number of starts of each task, by job and index.
     starts: BTreeMap<(job::Id, u32), usize>,
 }
 
@@ -162,7 +165,7 @@
 
 impl World {
     pub fn new(seed: u64, nodes: usize, workers: usize, capacity: Amount) -> Self {
-        trace();
+        enable_trace();
         let mut world = Self {
             now: 0,
             faults: Faults::NONE,
@@ -170,7 +173,7 @@
             answers: BTreeMap::new(),
             submitted: BTreeMap::new(),
             log: fake_log::State::new(100_000),
-            once: BTreeSet::new(),
+            at_most_once: BTreeSet::new(),
             rng: SmallRng::seed_from_u64(seed),
             nodes: Vec::new(),
             workers: BTreeMap::new(),
@@ -183,12 +186,19 @@
         for index in 0..workers {
             let name = format!("w{index}");
             let state = fake::State::new(fake::Options::new(capacity), world.next_run());
-            let worker = Worker { state, frozen_until: 0, cut: false, halted: false, counted: 0 };
+            let worker = Worker {
+                state,
+                paused_until: 0,
+                is_disconnected: false,
+                halted: false,
+                counted: 0,
+            };
             world.workers.insert(name, worker);
         }
         for index in 0..nodes {
             let name = format!("e{index}");
-            let node = Node { name, run: 0, machine: None, frozen_until: 0, cut: false };
+            let node =
+                Node { name, run: 0, machine: None, paused_until: 0, is_disconnected: false };
             world.nodes.push(node);
             world.push(0, Event::Tick(index));
         }
@@ -221,7 +231,7 @@
         entries.chain(workers).collect()
     }
 
-    /// Starts the process of an entry instance, anew if it ran before.
+    /// Starts or restarts the process of an entry instance.
     pub fn start(&mut self, node: usize) {
         let run = self.next_run();
         let me = Instance { name: self.nodes[node].name.clone(), run, peer: address(1, node) };
@@ -230,27 +240,27 @@
         let machine = Machine::new(me, DOMAIN.into(), self.timings.clone(), policy, now);
         self.nodes[node].run = run;
         self.nodes[node].machine = Some(machine);
-        self.nodes[node].frozen_until = 0;
+        self.nodes[node].paused_until = 0;
         let members = self.members();
         self.deliver(node, Message::Members(members));
     }
 
-    /// Ends the process of an entry instance without warning.
+    /// Crashes the process of an entry instance.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].machine = None;
     }
 
-    /// Stops the process of an entry instance from running for a while.
-    pub fn freeze(&mut self, node: usize, millis: u64) {
-        self.nodes[node].frozen_until = self.now + millis;
+    /// Pauses the process of an entry instance for `millis` milliseconds.
+    pub fn pause(&mut self, node: usize, millis: u64) {
+        self.nodes[node].paused_until = self.now + millis;
     }
 
-    /// Cuts an entry instance off from the other instances and from the log.
-    pub fn cut(&mut self, node: usize, cut: bool) {
-        self.nodes[node].cut = cut;
+    /// Disconnects an entry instance from the other instances and the log, or reconnects it.
+    pub fn set_disconnected(&mut self, node: usize, is_disconnected: bool) {
+        self.nodes[node].is_disconnected = is_disconnected;
     }
 
-    /// Ends a worker's process, with all it ran, and starts it anew.
+    /// Restarts a worker process; its tasks end.
     pub fn restart_worker(&mut self, worker: &str) {
         let run = self.next_run();
         let worker = self.workers.get_mut(worker).unwrap();
@@ -261,18 +271,18 @@
         worker.counted = 0;
     }
 
-    /// Cuts a worker off from every instance.
-    pub fn cut_worker(&mut self, worker: &str, cut: bool) {
-        self.workers.get_mut(worker).unwrap().cut = cut;
+    /// Disconnects a worker from every instance, or reconnects it.
+    pub fn set_worker_disconnected(&mut self, worker: &str, is_disconnected: bool) {
+        self.workers.get_mut(worker).unwrap().is_disconnected = is_disconnected;
     }
 
-    /// Stops a worker's process for a while; its tasks go on.
-    pub fn freeze_worker(&mut self, worker: &str, millis: u64) {
+    /// Pauses a worker process for `millis` milliseconds; its tasks continue.
+    pub fn pause_worker(&mut self, worker: &str, millis: u64) {
         let until = self.now + millis;
-        self.workers.get_mut(worker).unwrap().frozen_until = until;
+        self.workers.get_mut(worker).unwrap().paused_until = until;
     }
 
-    /// The instance that owns the domain, if exactly one thinks so.
+    /// The instance that acts as the owner, if there is exactly one.
     pub fn owner(&self) -> Option<usize> {
         let owns = |node: &Node| node.machine.as_ref().is_some_and(Machine::is_owner);
         let mut owners = (0..self.nodes.len()).filter(|index| owns(&self.nodes[*index]));
@@ -288,14 +298,14 @@
         self.nodes[node].machine.is_some()
     }
 
-    /// Asks an instance for something.
+    /// Sends a call to an instance; the answer appears in `answers` under the returned ticket.
     pub fn call(&mut self, node: usize, call: Call) -> Ticket {
         self.tickets += 1;
         let ticket = self.tickets;
         if let Call::Submit { job, spec, .. } = &call {
             self.submitted.insert(ticket, *job);
             if spec.effect == job::Effect::AtMostOnce {
-                self.once.insert(*job);
+                self.at_most_once.insert(*job);
             }
         }
         if self.is_up(node) {
@@ -304,19 +314,19 @@
         ticket
     }
 
-    /// Gives up waiting for an answer.
+    /// Signals that the deadline of a call has passed.
     pub fn expire(&mut self, node: usize, ticket: Ticket) {
         if self.is_up(node) {
             self.deliver(node, Message::Expired(ticket));
         }
     }
 
-    /// Tells an instance to stop in good order.
+    /// Shuts an instance down gracefully.
     pub fn shutdown(&mut self, node: usize) {
         self.deliver(node, Message::Shutdown);
     }
 
-    /// Starts of the tasks of a job.
+    /// Number of starts of the tasks of a job.
     pub fn runs_of(&self, job: job::Id) -> usize {
         self.starts.iter().filter(|((of, _), _)| *of == job).map(|(_, starts)| starts).sum()
     }
@@ -325,7 +335,7 @@
         self.runs_of(job) > 0
     }
 
-    /// Lets `millis` pass.
+    /// Advances the time by `millis` milliseconds.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.queue.peek().is_some_and(|Reverse(next)| next.at <= end) {
@@ -340,7 +350,8 @@
         self.now = end;
     }
 
-    /// Lets time pass until `done` holds, at most `millis`; returns the time it took.
+    /// Advances the time until `done` holds and returns how long that took, or `None` if it took
+    /// more than `millis` milliseconds.
     pub fn run_until(&mut self, millis: u64, done: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
         while !done(self) {
@@ -354,7 +365,7 @@
 
     fn push(&mut self, delay: u64, event: Event) {
         self.order += 1;
-        self.queue.push(Reverse(Queued { at: self.now + delay, order: self.order, event }));
+        self.queue.push(Reverse(ScheduledEvent { at: self.now + delay, order: self.order, event }));
     }
 
     fn latency(&mut self) -> u64 {
@@ -362,12 +373,12 @@
         self.rng.random_range(1..=longest)
     }
 
-    fn lost(&mut self) -> bool {
+    fn draw_loss(&mut self) -> bool {
         let loss = self.faults.loss;
         loss > 0.0 && self.rng.random_bool(loss)
     }
 
-    fn is_current(&self, node: usize, run: u64) -> bool {
+    fn is_running_process(&self, node: usize, run: u64) -> bool {
         self.nodes[node].run == run && self.nodes[node].machine.is_some()
     }
 
@@ -383,19 +394,21 @@
                 self.push(TICK, Event::Tick(node));
             }
             Event::ToNode { node, run, message } => {
-                if self.is_current(node, run) {
+                if self.is_running_process(node, run) {
                     self.deliver(node, message);
                 }
             }
             Event::Read { node, run, from, until } => self.read(node, run, from, until),
-            Event::Append { node, run, request, answer } => {
-                self.append(node, run, &request, answer)
+            Event::Append { node, run, request, respond } => {
+                self.append(node, run, &request, respond)
             }
             Event::Exchange { node, run, epoch, worker, request, until, first } => {
                 self.exchange(node, run, epoch, worker, request, until, first);
             }
-            Event::Heartbeat { from, run, to, heartbeat } => self.beat(from, run, to, heartbeat),
-            Event::StoreBatch { from, run, to, copy } => self.hold(from, run, to, copy),
+            Event::Heartbeat { from, run, to, heartbeat } => {
+                self.receive_heartbeat(from, run, to, heartbeat)
+            }
+            Event::StoreBatch { from, run, to, copy } => self.store_batch(from, run, to, copy),
             Event::Handover { to, epoch } => {
                 if self.is_up(to) {
                     self.deliver(to, Message::Handover(epoch));
@@ -404,14 +417,14 @@
         }
     }
 
-    /// How long an event waits because the process that has to handle it is frozen.
+    /// How long an event is postponed because the process that handles it is paused.
     fn blocked(&self, event: &Event) -> Option<u64> {
         let until = match event {
-            Event::Tick(node) | Event::ToNode { node, .. } => self.nodes[*node].frozen_until,
+            Event::Tick(node) | Event::ToNode { node, .. } => self.nodes[*node].paused_until,
             Event::Heartbeat { to, .. }
             | Event::StoreBatch { to, .. }
-            | Event::Handover { to, .. } => self.nodes[*to].frozen_until,
-            Event::Exchange { worker, .. } => self.workers[worker].frozen_until,
+            | Event::Handover { to, .. } => self.nodes[*to].paused_until,
+            Event::Exchange { worker, .. } => self.workers[worker].paused_until,
             Event::Read { .. } | Event::Append { .. } => 0,
         };
         (until > self.now).then(|| until - self.now)
@@ -448,7 +461,7 @@
                     let to = (0..self.nodes.len()).find(|index| address(1, *index) == peer);
                     let heartbeat = heartbeat.clone();
                     if let Some(to) = to
-                        && !self.lost()
+                        && !self.draw_loss()
                     {
                         self.push(delay, Event::Heartbeat { from: node, run, to, heartbeat });
                     }
@@ -458,7 +471,7 @@
                 for peer in to {
                     let to = (0..self.nodes.len()).find(|index| address(1, *index) == peer);
                     if let Some(to) = to
-                        && !self.lost()
+                        && !self.draw_loss()
                     {
                         let copy = copy.clone();
                         self.push(delay, Event::StoreBatch { from: node, run, to, copy });
@@ -475,7 +488,7 @@
                     self.now
                 );
                 let before = self.answers.insert(ticket, answer);
-                assert_eq!(before, None, "a caller is answered once");
+                assert_eq!(before, None, "a call is answered once");
             }
             Effect::Stopped => self.kill(node),
         }
@@ -484,15 +497,15 @@
     fn send_append(&mut self, node: usize, run: u64, request: AppendRequest, delay: u64) {
         let (loss, late) = (self.faults.loss, self.faults.late);
         if late > 0.0 && self.rng.random_bool(late) {
-            let hold = self.rng.random_range(500..6_000);
+            let late_by = self.rng.random_range(500..6_000);
             let tag = request.tag;
-            self.push(hold, Event::Append { node, run, request, answer: false });
+            self.push(late_by, Event::Append { node, run, request, respond: false });
             return self.fail_append(node, run, tag, Outcome::Unknown, 400);
         }
         if loss > 0.0 && self.rng.random_bool(loss) {
             return self.fail_append(node, run, request.tag, Outcome::Unknown, 400);
         }
-        self.push(delay, Event::Append { node, run, request, answer: true });
+        self.push(delay, Event::Append { node, run, request, respond: true });
     }
 
     fn fail_append(&mut self, node: usize, run: u64, tag: Tag, outcome: Outcome, delay: u64) {
@@ -503,18 +516,18 @@
         );
     }
 
-    fn append(&mut self, node: usize, run: u64, request: &AppendRequest, answer: bool) {
-        if self.faults.log_down || self.nodes[node].cut {
-            if answer {
+    fn append(&mut self, node: usize, run: u64, request: &AppendRequest, respond: bool) {
+        if self.faults.log_down || self.nodes[node].is_disconnected {
+            if respond {
                 self.fail_append(node, run, request.tag, Outcome::NotWritten, 2);
             }
             return;
         }
         let offset = self.log.append(STREAM, request.payload.clone());
-        if !answer {
+        if !respond {
             return;
         }
-        if self.lost() {
+        if self.draw_loss() {
             return self.fail_append(node, run, request.tag, Outcome::Unknown, 400);
         }
         let delay = self.latency();
@@ -529,10 +542,10 @@
     }
 
     fn read(&mut self, node: usize, run: u64, from: Offset, until: u64) {
-        if !self.is_current(node, run) {
+        if !self.is_running_process(node, run) {
             return;
         }
-        if self.faults.log_down || self.nodes[node].cut || self.lost() {
+        if self.faults.log_down || self.nodes[node].is_disconnected || self.draw_loss() {
             let error = log_error(Step::Read, Outcome::NotWritten);
             let message = Message::Read(Err(error));
             return self.push(2, Event::ToNode { node, run, message });
@@ -556,7 +569,7 @@
         until: u64,
         first: bool,
     ) {
-        let lost = first && (self.lost() || self.workers[&name].cut);
+        let lost = first && (self.draw_loss() || self.workers[&name].is_disconnected);
         let halted = self.workers[&name].halted;
         let peer = request.address;
         let answer = |fault| Err(worker::Error { peer, fault });
@@ -582,7 +595,7 @@
             );
         }
         let report = state.report(now, request.exchange.seen);
-        if self.lost() || self.workers[&name].cut {
+        if self.draw_loss() || self.workers[&name].is_disconnected {
             let fault = Fault::Unknown("answer lost".to_owned());
             return self.exchanged(node, run, epoch, &name, request.channel, answer(fault), 500);
         }
@@ -605,8 +618,12 @@
         self.push(delay, Event::ToNode { node, run, message });
     }
 
-    fn beat(&mut self, from: usize, run: u64, to: usize, heartbeat: Heartbeat) {
-        if self.faults.deaf || self.nodes[from].cut || self.nodes[to].cut || !self.is_up(to) {
+    fn receive_heartbeat(&mut self, from: usize, run: u64, to: usize, heartbeat: Heartbeat) {
+        if self.faults.partitioned
+            || self.nodes[from].is_disconnected
+            || self.nodes[to].is_disconnected
+            || !self.is_up(to)
+        {
             return;
         }
         self.deliver(to, Message::Heartbeat(heartbeat));
@@ -620,14 +637,14 @@
         self.push(delay, Event::ToNode { node: from, run, message });
     }
 
-    fn hold(&mut self, from: usize, run: u64, to: usize, copy: BatchCopy) {
-        if self.nodes[from].cut || self.nodes[to].cut || !self.is_up(to) {
+    fn store_batch(&mut self, from: usize, run: u64, to: usize, copy: BatchCopy) {
+        if self.nodes[from].is_disconnected || self.nodes[to].is_disconnected || !self.is_up(to) {
             return;
         }
         let (epoch, sequence) = (copy.epoch, copy.sequence);
         self.deliver(to, Message::StoreBatch(copy));
-        let kept = self.is_up(to) && self.machine(to).copies.contains(epoch, sequence);
-        if kept && !self.lost() {
+        let is_stored = self.is_up(to) && self.machine(to).copies.contains(epoch, sequence);
+        if is_stored && !self.draw_loss() {
             let from_instance = self.machine(to).me.clone();
             let message = Message::BatchStored { from: from_instance, epoch, sequence };
             let delay = self.latency();
@@ -635,16 +652,16 @@
         }
     }
 
-    /// The promises that hold at every moment; only an exchange can break them.
+    /// Checks the invariants that hold at any time. Only an exchange with a worker can break them.
     fn check(&mut self) {
         let now = Instant::from_millis(self.now);
         let mut live = BTreeSet::new();
         for (name, worker) in &mut self.workers {
             worker.state.advance(now);
             let journal = worker.state.journal();
-            assert_eq!(journal.overcommitted, 0, "{name} was given more than it has");
+            assert_eq!(journal.overcommitted, 0, "{name} runs more than its capacity");
             let running: Vec<_> = journal.runs().filter(|run| run.ended.is_none()).collect();
-            assert_eq!(journal.doubles, 0, "{name} ran a task twice at once: {running:?}");
+            assert_eq!(journal.doubles, 0, "{name} ran a task twice at the same time: {running:?}");
             for run in journal.runs().skip(worker.counted) {
                 worker.counted += 1;
                 ::log::info!(
@@ -655,14 +672,14 @@
                 *self.starts.entry((run.task.job, run.task.index)).or_default() += 1;
             }
             for task in worker.state.known() {
-                let holds = !matches!(task.phase, oriolefork::task::Phase::Ended(_));
-                let fresh = !holds || live.insert((task.task.job, task.task.index));
-                assert!(fresh, "{} runs on two workers at {}", task.task, self.now);
+                let is_running = !matches!(task.phase, oriolefork::task::Phase::Ended(_));
+                let is_first = !is_running || live.insert((task.task.job, task.task.index));
+                assert!(is_first, "{} runs on two workers at {}", task.task, self.now);
             }
         }
     }
 
-    /// The promises that can be told at the end of a history.
+    /// Checks the invariants that can be decided only at the end of a history.
     pub fn check_end(&self) {
         for (ticket, answer) in &self.answers {
             let Some(job) = self.submitted.get(ticket) else { continue };
@@ -670,12 +687,15 @@
             if let Answer::Refused(refusal) = answer
                 && alone
             {
-                assert!(!self.has_started(*job), "job {job} ran though refused: {refusal:?}");
+                assert!(
+                    !self.has_started(*job),
+                    "job {job} ran although it was refused: {refusal:?}"
+                );
             }
         }
         for (task, starts) in &self.starts {
-            let once = self.once.contains(&task.0);
-            assert!(!once || *starts <= 1, "task {task:?} was started {starts} times");
+            let at_most_once = self.at_most_once.contains(&task.0);
+            assert!(!at_most_once || *starts <= 1, "task {task:?} was started {starts} times");
         }
     }
 }
@@ -696,8 +716,8 @@
     fn flush(&self) {}
 }
 
-/// Prints the machines' log lines when a history is looked into.
-pub fn trace() {
+/// Prints the machines' log lines if the variable `ORIOLEFORK_TRACE` is set.
+pub fn enable_trace() {
     if std::env::var_os("ORIOLEFORK_TRACE").is_some() && ::log::set_logger(&Trace).is_ok() {
         ::log::set_max_level(::log::LevelFilter::Debug);
     }
--- a/tests/process/controller.rs
+++ b/tests/process/controller.rs
@@ -1,4 +1,4 @@
-//! The task that owns the state machine, over borders that only count.
+//! The controller task, with dependencies that never respond.
 
 use std::cell::Cell;
 use std::mem::ManuallyDrop;
@@ -32,16 +32,16 @@
 
 const DOMAIN: &str = "kurow-hall";
 
-/// Shorter than any tick of the controller.
-const BETWEEN_LOOKS: Duration = Duration::from_millis(1);
+/// Shorter than a tick of the controller.
+const INSPECTION_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A log that counts its reads and answers none.
+/// Log that counts its reads and never responds.
 #[derive(Default)]
-struct Silent {
+struct CountingStore {
     reads: Cell<u32>,
 }
 
-impl Store for Silent {
+impl Store for CountingStore {
     fn append<'a>(
         &'a self,
         _stream: &'a str,
@@ -61,16 +61,16 @@
     }
 }
 
-/// Workers and a list that never answer.
-struct Nobody;
+/// Workers and an instance list that never respond.
+struct Unresponsive;
 
-impl Source for Nobody {
+impl Source for Unresponsive {
     fn list(&self) -> LocalBoxFuture<'_, Result<Vec<Member>, membership::Error>> {
         std::future::pending().boxed_local()
     }
 }
 
-impl Link for Nobody {
+impl Link for Unresponsive {
     fn exchange<'a>(
         &'a self,
         _peer: SocketAddr,
@@ -82,9 +82,9 @@
 }
 
 /// A reporter whose reports nobody uses.
-fn reachability(me: &Instance, clock: &Rc<dyn Clock>) -> Rc<ReachabilityReporter> {
+fn reachability_reporter(me: &Instance, clock: &Rc<dyn Clock>) -> Rc<ReachabilityReporter> {
     let members = start(Setup {
-        source: Rc::new(Nobody),
+        source: Rc::new(Unresponsive),
         probe: Rc::new(TcpProbe { timeout: LIMIT }),
         policy: ViewPolicy::default(),
         interval: LIMIT,
@@ -96,23 +96,23 @@
 }
 
 #[test]
-fn run_while_looked_at() {
-    // An operator's dashboard asks an owner for its state every few milliseconds. Nothing else
-    // happens for a while, and the owner sends no heartbeat: each look put the next step off, so
-    // that another instance takes the domain from an owner that runs well.
+fn run_while_inspected() {
+    // A dashboard reads the state of an otherwise idle owner every few milliseconds. If each
+    // inspection postponed the next step, the owner would send no heartbeat and another instance
+    // would take the domain from a healthy owner.
     let builder = RuntimeBuilder::<LegacyDriver>::new();
-    // The controller outlives the story; the runtime must not be dropped under it.
+    // The controller outlives the test, so its runtime must not be dropped.
     let mut runtime = ManuallyDrop::new(builder.enable_timer().build().unwrap());
     runtime.block_on(async {
         let clock: Rc<dyn Clock> = Rc::new(System::start());
-        let store = Rc::new(Silent::default());
+        let store = Rc::new(CountingStore::default());
         let me = Instance { name: "kurow-1".into(), run: 1, peer: ([127, 0, 0, 1], 9).into() };
         let policy = Policy::for_preset(Preset::Ordinary, Objective::Waiting);
-        let reachability = reachability(&me, &clock);
+        let reachability = reachability_reporter(&me, &clock);
         let machine = Machine::new(me, DOMAIN.into(), Timings::default(), policy, clock.now());
         let deps = Dependencies {
             store: store.clone(),
-            workers: Rc::new(Nobody),
+            workers: Rc::new(Unresponsive),
             peers: Rc::new(peer::Client::new(peer::Limits::default())),
             clock,
             stream: "domain-kurow-hall".to_owned(),
@@ -128,7 +128,7 @@
         while store.reads.get() == 0 {
             assert!(start.elapsed() < LIMIT, "no step within {LIMIT:?}");
             handle.inspect(|_, _, _| ()).await;
-            monoio::time::sleep(BETWEEN_LOOKS).await;
+            monoio::time::sleep(INSPECTION_INTERVAL).await;
         }
     });
 }
--- a/tests/process/election.rs
+++ b/tests/process/election.rs
@@ -1,4 +1,4 @@
-//! When an instance takes a cell over from an owner that does not answer.
+//! Takeover of a cell from an owner that does not answer its peers.
 
 use std::cell::Cell;
 use std::mem::ManuallyDrop;
@@ -29,21 +29,22 @@
 
 use crate::harness::LIMIT;
 
-/// Reads of the journal after which an instance has thought about a claim several times.
+/// Number of journal reads after which an instance has decided several times whether to claim.
 const MANY_READS: u32 = 10;
 
-const POLL_PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A journal whose owner of epoch 1 writes at each read, or has stopped.
-struct Watched {
+/// Journal that counts calls, with an owner of epoch 1 that appends before each read if `appends` is
+/// set.
+struct CountingJournal {
     owner: SocketAddr,
-    writes: bool,
+    appends: bool,
     end: Cell<u64>,
     reads: Cell<u32>,
     claims: Cell<u32>,
 }
 
-impl Journal for Watched {
+impl Journal for CountingJournal {
     fn append<'a>(
         &'a self,
         _cell: Id,
@@ -58,7 +59,7 @@
 
     fn read(&self, _cell: Id, _from: u64) -> LocalBoxFuture<'_, Result<Page, ReadError>> {
         self.reads.set(self.reads.get() + 1);
-        self.end.set(self.end.get() + u64::from(self.writes));
+        self.end.set(self.end.get() + u64::from(self.appends));
         let end = self.end.get();
         async move { Ok(Page { records: Vec::new(), next_offset: end, end_offset: end }) }
             .boxed_local()
@@ -73,7 +74,7 @@
         _cell: Id,
         _epoch: Epoch,
         _sequence: u64,
-        _base: &'a JournalSnapshot,
+        _snapshot: &'a JournalSnapshot,
     ) -> LocalBoxFuture<'a, Result<(), String>> {
         std::future::pending().boxed_local()
     }
@@ -82,26 +83,26 @@
         &self,
         _cell: Id,
         _sequence: u64,
-        _sign: OwnerRecord,
+        _record: OwnerRecord,
     ) -> LocalBoxFuture<'_, Result<(), AppendError>> {
         std::future::pending().boxed_local()
     }
 
     fn owner_record(&self, _cell: Id) -> LocalBoxFuture<'_, Result<Option<OwnerRecord>, String>> {
-        let sign = OwnerRecord { epoch: Epoch(1), peer: self.owner, cpu_millis: 250 };
-        async move { Ok(Some(sign)) }.boxed_local()
+        let record = OwnerRecord { epoch: Epoch(1), peer: self.owner, cpu_millis: 250 };
+        async move { Ok(Some(record)) }.boxed_local()
     }
 }
 
-/// Workers, a policy service and lists that nobody reaches.
-struct Nobody;
+/// Workers, a policy service and a discovery service that never respond.
+struct Unresponsive;
 
-impl WorkerClient for Nobody {
+impl WorkerClient for Unresponsive {
     fn poll<'a>(
         &'a self,
         _peer: SocketAddr,
         _worker: &'a str,
-        _look: &'a PollRequest,
+        _request: &'a PollRequest,
         _timeout: Duration,
     ) -> LocalBoxFuture<'a, Result<PollReport, WorkerError>> {
         std::future::pending().boxed_local()
@@ -111,7 +112,7 @@
         &'a self,
         _peer: SocketAddr,
         _worker: &'a str,
-        _start: &'a StartCommand,
+        _command: &'a StartCommand,
         _timeout: Duration,
     ) -> LocalBoxFuture<'a, Result<u64, WorkerError>> {
         std::future::pending().boxed_local()
@@ -129,7 +130,7 @@
     }
 }
 
-impl PolicyService for Nobody {
+impl PolicyService for Unresponsive {
     fn eligible_workers<'a>(
         &'a self,
         _step: &'a StepKey,
@@ -140,7 +141,7 @@
     }
 }
 
-impl Discovery for Nobody {
+impl Discovery for Unresponsive {
     fn reset(&self) {}
 
     fn roster_update(&self) -> LocalBoxFuture<'_, Result<RosterUpdate, String>> {
@@ -156,18 +157,18 @@
     }
 }
 
-/// Follows an owner whose machine takes connections and answers nothing, until `enough`; returns how
-/// often its cell was claimed.
-fn follow_silent_owner(writes: bool, enough: impl Fn(&Watched) -> bool) -> u32 {
+/// Follows an owner whose host accepts connections but sends no response, until `done` holds.
+/// Returns how often the cell was claimed.
+fn follow_unresponsive_owner(appends: bool, done: impl Fn(&CountingJournal) -> bool) -> u32 {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let owner = silent.local_addr().expect("an address");
     let builder = RuntimeBuilder::<LegacyDriver>::new();
-    // The instance outlives the story; the runtime must not be dropped under it.
+    // The instance outlives the test, so its runtime must not be dropped.
     let mut runtime = ManuallyDrop::new(builder.enable_timer().build().expect("a runtime"));
     runtime.block_on(async {
-        let journal = Rc::new(Watched {
+        let journal = Rc::new(CountingJournal {
             owner,
-            writes,
+            appends,
             end: Cell::new(7),
             reads: Cell::new(0),
             claims: Cell::new(0),
@@ -175,11 +176,11 @@
         let limits =
             peer::Limits { keepalive: Duration::from_millis(100), ..peer::Limits::default() };
         let clock: Rc<dyn Clock> = Rc::new(System::start());
-        let borders = Dependencies {
+        let deps = Dependencies {
             journal: journal.clone(),
-            workers: Rc::new(Nobody),
-            policy_service: Rc::new(Nobody),
-            discovery: Rc::new(Nobody),
+            workers: Rc::new(Unresponsive),
+            policy_service: Rc::new(Unresponsive),
+            discovery: Rc::new(Unresponsive),
             peers: Rc::new(peer::Client::new(limits)),
             clock,
             profiler: ThreadProfiler::new(),
@@ -191,26 +192,29 @@
             domain: "hall".into(),
         };
         let stop = Shutdown::new();
-        Node::new(identity, 1, Timings::default(), Rc::new(borders), stop).start();
+        Node::new(identity, 1, Timings::default(), Rc::new(deps), stop).start();
         let start = Instant::now();
-        while !enough(&journal) {
-            assert!(start.elapsed() < LIMIT, "nothing came of it within {LIMIT:?}");
-            monoio::time::sleep(POLL_PAUSE).await;
+        while !done(&journal) {
+            assert!(start.elapsed() < LIMIT, "the condition did not hold within {LIMIT:?}");
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
         journal.claims.get()
     })
 }
 
-/// An owner with more to do than it can answers nobody in time. Replaced by one that begins with the
-/// same work and more, which answered nobody either, the cell changed hands each second.
+/// An overloaded owner does not answer its peers in time, but still appends to the journal.
+/// Replacing it does not help: the next owner has the same load and more, and the cell changed its
+/// owner every second.
 #[test]
-fn owner_that_is_silent_and_writes_is_kept() {
-    let enough = |journal: &Watched| journal.reads.get() >= MANY_READS || journal.claims.get() > 0;
-    assert_eq!(follow_silent_owner(true, enough), 0);
+fn unresponsive_owner_that_appends_is_kept() {
+    let done =
+        |journal: &CountingJournal| journal.reads.get() >= MANY_READS || journal.claims.get() > 0;
+    assert_eq!(follow_unresponsive_owner(true, done), 0);
 }
 
-/// A process that is suspended takes connections as well, and its cell must not wait for it.
+/// The kernel accepts connections for a suspended process too. An owner that neither answers nor
+/// appends must be replaced.
 #[test]
-fn owner_that_is_silent_and_writes_nothing_is_replaced() {
-    assert!(follow_silent_owner(false, |journal| journal.claims.get() > 0) > 0);
+fn unresponsive_owner_that_appends_nothing_is_replaced() {
+    assert!(follow_unresponsive_owner(false, |journal| journal.claims.get() > 0) > 0);
 }
--- a/tests/process/owner/host.rs
+++ b/tests/process/owner/host.rs
@@ -1,14 +1,14 @@
-//! What the daemon asks of the machine it runs on.
+//! What the daemon requires of its host.
 
 use std::fs;
 
 use oriolefork::api::view::job::State;
 
-use super::site::{HALL, callers, owner};
+use super::site::{DOMAIN, api_addrs, await_owner};
 use super::work::{Work, await_state, submit_until_accepted};
 use crate::harness::Plan;
 
-/// Fields of `/proc/PID/stat` after the name, which may hold spaces.
+/// Fields of `/proc/PID/stat` after the process name, which may contain spaces.
 fn stat(pid: u32) -> Vec<String> {
     let text = fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
     let (_, fields) = text.rsplit_once(')').expect("a name in parentheses");
@@ -33,23 +33,23 @@
     pids.filter(|pid| parent_of(*pid).as_ref() == Some(&parent)).count()
 }
 
-// The machines forbid io_uring and processes that start others. A daemon that does either works on
-// a developer's machine and fails at its first start in production. Looked at after real work.
+// Production hosts forbid io_uring and child processes. A daemon that uses either works on a
+// developer's machine and fails at its first start in production. Checked after a job has run.
 #[test]
 fn daemon_without_io_uring_or_children() {
     let cluster = Plan { entries: 2, workers: 1, proxied: true, ..Plan::default() }.start();
-    let everyone = callers(&cluster, HALL, &[]);
-    owner(&cluster, HALL, &[]);
+    let addrs = api_addrs(&cluster, DOMAIN, &[]);
+    await_owner(&cluster, DOMAIN, &[]);
     let key = "ordinary".to_owned();
-    submit_until_accepted(&everyone, &key, &Work::batch(10));
-    await_state(&everyone, [&key], State::Succeeded);
+    submit_until_accepted(&addrs, &key, &Work::batch(10));
+    await_state(&addrs, [&key], State::Succeeded);
     for entry in &cluster.entries {
         let pid = entry.process.pid();
         let open = descriptors(pid);
         assert!(open.iter().any(|name| name.contains("eventpoll")), "{open:?}");
         assert!(!open.iter().any(|name| name.contains("io_uring")), "{open:?}");
         assert_eq!(children(pid), 0);
-        // Faults and time of children that have ended: all zero when there never was one.
+        // Page faults and CPU time of children that have ended: zero if there was none.
         let stat = stat(pid);
         let ended = [&stat[8], &stat[10], &stat[13], &stat[14]];
         assert_eq!(ended, ["0", "0", "0", "0"], "a child of {} has ended", entry.place.name);
--- a/tests/process/owner/mod.rs
+++ b/tests/process/owner/mod.rs
@@ -1,7 +1,7 @@
-//! Stories of the ownership of a failure domain, with real processes behind the fault proxy.
+//! Scenarios about the owner of a failure domain, with real processes behind the fault proxy.
 //!
-//! Whatever happens, the workers' own records decide: [`Cluster::runs`](crate::harness::Cluster)
-//! checks that no worker was overcommitted and that no task ran in two places at once.
+//! Each scenario reads the workers' own records with [`Cluster::runs`](crate::harness::Cluster),
+//! which checks that no worker was overcommitted and that no task ran in two places at once.
 
 mod cut;
 mod host;
--- a/tests/process/owner/rolling.rs
+++ b/tests/process/owner/rolling.rs
@@ -1,4 +1,4 @@
-//! Every entry instance is replaced, one after the other, while jobs come in.
+//! Replacement of every entry instance, one at a time, while jobs are submitted.
 
 use std::net::SocketAddr;
 use std::sync::RwLock;
@@ -7,40 +7,41 @@
 
 use oriolefork::api::view::job::State;
 
-use super::site::{HALL, Runs, callers, owner};
-use super::work::{Said, Work, await_state, begin, finish};
+use super::site::{DOMAIN, Runs, api_addrs, await_owner};
+use super::work::{SubmitOutcome, Work, await_state, begin, finish};
 use crate::harness::{Cluster, Plan, eventually};
 
-/// What the stream of submissions came to.
+/// Results of a stream of submissions.
 #[derive(Default)]
-struct Heard {
+struct StreamResult {
     accepted: Vec<String>,
-    cut: Vec<String>,
+    interrupted: Vec<String>,
 }
 
-/// The instance to which a balancer sends no new requests, because it is about to be stopped.
+/// The instance that is about to stop, to which a load balancer would send no new requests.
 type Leaving = RwLock<Option<SocketAddr>>;
 
 /// Submits once, unless the instance is leaving.
 ///
-/// The request is sent whole while nobody can be told to stop, so that it is in flight when its
-/// instance is. Without that, a caller may connect at the moment at which the instance closes its
-/// listening socket, and the system resets what was never a request.
-fn submit(leaving: &Leaving, addr: SocketAddr, key: &str, work: &Work) -> Said {
+/// The lock is held until the request is sent completely, so that no instance is stopped in between
+/// and the request is in flight when its instance stops. Otherwise a caller could connect while the
+/// instance closes its listening socket, and the kernel would reset a connection on which no
+/// request was sent.
+fn submit(leaving: &Leaving, addr: SocketAddr, key: &str, work: &Work) -> SubmitOutcome {
     let begun = {
         let leaving = leaving.read().expect("a lock");
         if *leaving == Some(addr) {
-            return Said::Unreachable;
+            return SubmitOutcome::Unreachable;
         }
         begin(addr, key, work)
     };
-    begun.map_or(Said::Unreachable, finish)
+    begun.map_or(SubmitOutcome::Unreachable, finish)
 }
 
-/// Submits job after job until told to stop, each under its key until it is accepted.
-fn stream(name: &str, addrs: &[SocketAddr], leaving: &Leaving, done: &AtomicBool) -> Heard {
-    let mut heard = Heard::default();
-    let mut ways = addrs.iter().cycle();
+/// Submits jobs one after the other until `done` is set, and repeats each until it is accepted.
+fn stream(name: &str, addrs: &[SocketAddr], leaving: &Leaving, done: &AtomicBool) -> StreamResult {
+    let mut result = StreamResult::default();
+    let mut targets = addrs.iter().cycle();
     for number in 0.. {
         if done.load(Ordering::Relaxed) {
             break;
@@ -48,30 +49,31 @@
         let key = format!("{name}-{number}");
         let work = if number % 2 == 0 { Work::once(50) } else { Work::batch(50) };
         eventually("a job is accepted", || {
-            match submit(leaving, *ways.next().expect("an address"), &key, &work) {
-                Said::Accepted { .. } => return Some(()),
-                Said::Cut(cause) => heard.cut.push(cause),
-                Said::NotRun | Said::Unknown | Said::Unreachable => {}
+            match submit(leaving, *targets.next().expect("an address"), &key, &work) {
+                SubmitOutcome::Accepted { .. } => return Some(()),
+                SubmitOutcome::ConnectionLost(cause) => result.interrupted.push(cause),
+                SubmitOutcome::NotRun | SubmitOutcome::Unknown | SubmitOutcome::Unreachable => {}
             }
             None
         });
-        heard.accepted.push(key);
+        result.accepted.push(key);
     }
-    heard
+    result
 }
 
-/// Replaces every entry instance by `replace` under a stream of submissions. When `announced`,
-/// callers begin no request at an instance from just before it is replaced until it is back.
-fn roll(announced: bool, replace: impl Fn(&mut Cluster, usize)) -> Heard {
+/// Stops every entry instance by `replace` and restarts it, under a stream of submissions. If
+/// `announced`, callers begin no request at an instance from just before it stops until it is
+/// ready.
+fn roll(announced: bool, replace: impl Fn(&mut Cluster, usize)) -> StreamResult {
     let plan = Plan { entries: 3, workers: 2, proxied: true, ..Plan::default() };
     let mut cluster = plan.start();
-    owner(&cluster, HALL, &[]);
-    let everyone = callers(&cluster, HALL, &[]);
+    await_owner(&cluster, DOMAIN, &[]);
+    let addrs = api_addrs(&cluster, DOMAIN, &[]);
     let (leaving, done) = (Leaving::default(), AtomicBool::new(false));
-    let heard = thread::scope(|scope| {
+    let result = thread::scope(|scope| {
         let streams: Vec<_> = ["north", "south"]
             .map(|name| {
-                let (addrs, leaving, done) = (&everyone, &leaving, &done);
+                let (addrs, leaving, done) = (&addrs, &leaving, &done);
                 scope.spawn(move || stream(name, addrs, leaving, done))
             })
             .into();
@@ -82,37 +84,37 @@
             cluster.entries[index].process.restart();
             cluster.entries[index].wait_ready();
             *leaving.write().expect("a lock") = None;
-            owner(&cluster, HALL, &[]);
+            await_owner(&cluster, DOMAIN, &[]);
         }
         done.store(true, Ordering::Relaxed);
-        let heard = streams.into_iter().map(|stream| stream.join().expect("a stream"));
-        heard.reduce(|all, more| Heard {
+        let result = streams.into_iter().map(|stream| stream.join().expect("a stream"));
+        result.reduce(|all, more| StreamResult {
             accepted: [all.accepted, more.accepted].concat(),
-            cut: [all.cut, more.cut].concat(),
+            interrupted: [all.interrupted, more.interrupted].concat(),
         })
     });
-    let heard = heard.expect("two streams");
-    await_state(&everyone, &heard.accepted, State::Succeeded);
+    let result = result.expect("two streams");
+    await_state(&addrs, &result.accepted, State::Succeeded);
     let runs = Runs::of(&cluster);
-    heard.accepted.iter().for_each(|key| runs.assert_started_once(key));
-    heard
+    result.accepted.iter().for_each(|key| runs.assert_started_once(key));
+    result
 }
 
-// An operator updates the daemon: each instance is told to stop, ends, and is replaced. Callers'
-// requests in flight are answered whole, and every job that was accepted runs exactly once.
+// A rolling update: each instance is stopped by a signal and replaced. Requests in flight get
+// complete responses, and every accepted job runs exactly once.
 #[test]
 fn rolling_replacement_graceful() {
-    let heard = roll(true, |cluster, index| {
+    let result = roll(true, |cluster, index| {
         let process = &mut cluster.entries[index].process;
         process.terminate();
         let status = eventually("an instance ends", || process.ended());
         assert!(status.success(), "{status}: {}", process.output());
     });
-    assert_eq!(heard.cut, Vec::<String>::new(), "requests in flight were cut");
+    assert_eq!(result.interrupted, Vec::<String>::new(), "requests in flight were interrupted");
 }
 
-// Every instance in turn is lost without warning, as when the platform replaces them. Callers
-// repeat what was cut under the same key; each job runs exactly once.
+// Every instance in turn is killed, as when the platform replaces hosts. Callers repeat interrupted
+// submissions under the same key; each job runs exactly once.
 #[test]
 fn rolling_replacement_by_kill() {
     roll(false, |cluster, index| cluster.entries[index].process.kill());
--- a/tests/process/owner/site.rs
+++ b/tests/process/owner/site.rs
@@ -1,4 +1,4 @@
-//! What the stories see of a cluster besides its workers' records.
+//! Queries of a cluster that the scenarios share.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,13 +7,13 @@
 use oriolefork::task::{self, End, Phase};
 use serde_json::{Value, json};
 
-use super::work::id;
+use super::work::job_id;
 use crate::harness::{Cluster, Plan, eventually, get};
 
-/// The failure domain of stories that need only one.
-pub const HALL: &str = "oamaru-hall";
+/// The failure domain of scenarios that need only one.
+pub const DOMAIN: &str = "oamaru-hall";
 
-/// One failure domain behind the proxy whose leases lapse soon, for stories that wait for that.
+/// One failure domain behind the proxy with short leases, for scenarios that wait until they lapse.
 pub fn short_lease(entries: usize, workers: usize) -> Plan {
     Plan { entries, workers, proxied: true, settings: short_lease_settings(), ..Plan::default() }
 }
@@ -32,8 +32,8 @@
     })
 }
 
-/// Where callers reach the entry instances of a failure domain, but for `without`.
-pub fn callers(cluster: &Cluster, domain: &str, without: &[usize]) -> Vec<SocketAddr> {
+/// API addresses of the entry instances of a failure domain, except those in `without`.
+pub fn api_addrs(cluster: &Cluster, domain: &str, without: &[usize]) -> Vec<SocketAddr> {
     let entries = cluster.entries.iter().enumerate();
     entries
         .filter(|(index, entry)| entry.place.domain == domain && !without.contains(index))
@@ -46,9 +46,9 @@
     Some(reply.json())
 }
 
-/// Waits until one instance of the domain owns it with all its workers, and returns its position
-/// and epoch. The instances in `without` are neither asked nor taken for the owner.
-pub fn owner(cluster: &Cluster, domain: &str, without: &[usize]) -> (usize, String) {
+/// Waits until an instance reports that it owns the domain and that all workers are live, and
+/// returns its index and epoch. The instances in `without` are skipped.
+pub fn await_owner(cluster: &Cluster, domain: &str, without: &[usize]) -> (usize, String) {
     let workers = cluster.workers.iter().filter(|worker| worker.member.domain == domain.into());
     let workers = u32::try_from(workers.count()).expect("few workers");
     eventually("an owner with all workers", || {
@@ -63,11 +63,11 @@
     })
 }
 
-/// How each task of each job ran, in order of the starts.
+/// Phases of the runs of each task, in the order in which the runs started.
 pub struct Runs(BTreeMap<(String, u32), Vec<Phase>>);
 
 impl Runs {
-    /// Reads every worker's record, after the checks of [`Cluster::runs`].
+    /// Reads the records of all workers with [`Cluster::runs`], which also checks them.
     pub fn of(cluster: &Cluster) -> Self {
         let mut runs: BTreeMap<_, Vec<Phase>> = BTreeMap::new();
         for (task, view) in cluster.runs() {
@@ -77,9 +77,9 @@
         Self(runs)
     }
 
-    /// Phases of the runs of one task of the job that `key` stands for.
+    /// Phases of the runs of one task of the job submitted under `key`.
     pub fn phases(&self, key: &str, index: u32) -> &[Phase] {
-        self.0.get(&(id(key).to_string(), index)).map_or(&[], Vec::as_slice)
+        self.0.get(&(job_id(key).to_string(), index)).map_or(&[], Vec::as_slice)
     }
 
     /// Checks that every task of the job succeeded in exactly one run.
@@ -91,22 +91,21 @@
         }
     }
 
-    /// Checks that the job's only task was started once and succeeded.
+    /// Checks that the first task of the job was started once and succeeded.
     pub fn assert_started_once(&self, key: &str) {
         let done = [Phase::Ended(End::Succeeded)];
         assert_eq!(self.phases(key, 0), done, "{key}");
     }
 
-    /// Checks that no task of the job was ever started.
+    /// Checks that the first task of the job was never started.
     pub fn assert_never_started(&self, key: &str) {
         assert_eq!(self.phases(key, 0), [], "{key}");
     }
 }
 
-/// Waits until a task of the job has been started on some worker, and returns the worker's
-/// position.
-pub fn started_on(cluster: &Cluster, key: &str) -> usize {
-    let job = id(key).to_string();
+/// Waits until a task of the job has started, and returns the index of its worker.
+pub fn await_start(cluster: &Cluster, key: &str) -> usize {
+    let job = job_id(key).to_string();
     eventually("a task is started", || {
         cluster.worker_states().iter().position(|state| {
             let named = |run: &oriolefork::standin::worker::TaskView| {
--- a/tests/process/owner/work.rs
+++ b/tests/process/owner/work.rs
@@ -1,4 +1,4 @@
-//! Jobs that the stories submit, and what callers hear of them.
+//! Jobs that the scenarios submit, and calls of the API about them.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,10 +13,10 @@
 
 const TEAM: &str = "council";
 
-/// Time that a caller gives each call, in milliseconds.
-const PATIENCE_MS: &str = "4000";
+/// Timeout that callers request for each call, in milliseconds.
+const CALL_TIMEOUT_MS: &str = "4000";
 
-/// Work of one job.
+/// Properties of a job to submit.
 #[derive(Clone, Copy, Debug)]
 pub struct Work {
     kind: &'static str,
@@ -27,9 +27,9 @@
     end: &'static str,
 }
 
-/// What a caller heard of a submission.
+/// Outcome of a submission, as the caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum SubmitOutcome {
     /// It was accepted.
     Accepted {
         /// Whether an earlier call with the key had been accepted already.
@@ -39,10 +39,10 @@
     NotRun,
     /// It may have taken effect.
     Unknown,
-    /// The instance did not even take the connection.
+    /// The instance did not accept the connection.
     Unreachable,
-    /// The connection broke before the answer was whole.
-    Cut(String),
+    /// The connection broke before the response was complete.
+    ConnectionLost(String),
 }
 
 impl Work {
@@ -52,7 +52,7 @@
         Self { kind, effect, tasks: 1, cpu_millis: 500, run_ms, end }
     }
 
-    /// A batch job of one task that may be started once only.
+    /// A batch job of one task that may be started at most once.
     pub const fn once(run_ms: u64) -> Self {
         Self { effect: "at-most-once", ..Self::batch(run_ms) }
     }
@@ -67,12 +67,12 @@
         Self { kind: "long-running", end: "never", ..Self::batch(0) }
     }
 
-    /// The same with so many tasks.
+    /// Sets the number of tasks.
     pub const fn tasks(self, tasks: u32) -> Self {
         Self { tasks, ..self }
     }
 
-    /// The same with so much processor time for each task.
+    /// Sets the CPU demand of each task, in thousandths of a core.
     pub const fn cpu(self, cpu_millis: u64) -> Self {
         Self { cpu_millis, ..self }
     }
@@ -90,8 +90,8 @@
     }
 }
 
-/// Identity of the job that `key` stands for.
-pub fn id(key: &str) -> job::Id {
+/// Identity of the job submitted under `key`.
+pub fn job_id(key: &str) -> job::Id {
     job::Id::derive(TEAM, key)
 }
 
@@ -102,87 +102,91 @@
     headers: &[(&str, &str)],
     body: &[u8],
 ) -> Result<Reply, ureq::Error> {
-    let patience = ("request-timeout-ms", PATIENCE_MS);
-    let headers: Vec<_> = headers.iter().copied().chain([patience]).collect();
+    let timeout = ("request-timeout-ms", CALL_TIMEOUT_MS);
+    let headers: Vec<_> = headers.iter().copied().chain([timeout]).collect();
     request(method, addr, path, &headers, body)
 }
 
 /// Submits once.
-pub fn submit(addr: SocketAddr, key: &str, work: &Work) -> Said {
+pub fn submit(addr: SocketAddr, key: &str, work: &Work) -> SubmitOutcome {
     let body = work.spec().to_string();
     let reply = call(Method::POST, addr, "/v1/jobs", &[("idempotency-key", key)], body.as_bytes());
     match reply {
         Ok(reply) if reply.status / 100 == 2 => {
             let accepted: wire::job::Accepted = reply.json();
-            assert_eq!(accepted.job, id(key).to_string(), "the answer to another submission");
-            Said::Accepted { duplicate: accepted.duplicate }
+            assert_eq!(
+                accepted.job,
+                job_id(key).to_string(),
+                "the response belongs to another submission"
+            );
+            SubmitOutcome::Accepted { duplicate: accepted.duplicate }
         }
         Ok(reply) => match reply.json::<wire::Refusal>().ran {
-            Ran::NotRun => Said::NotRun,
-            Ran::Unknown => Said::Unknown,
+            Ran::NotRun => SubmitOutcome::NotRun,
+            Ran::Unknown => SubmitOutcome::Unknown,
         },
         Err(ureq::Error::Io(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-            Said::Unreachable
+            SubmitOutcome::Unreachable
         }
-        Err(ureq::Error::ConnectionFailed) => Said::Unreachable,
-        Err(error) => Said::Cut(error.to_string()),
+        Err(ureq::Error::ConnectionFailed) => SubmitOutcome::Unreachable,
+        Err(error) => SubmitOutcome::ConnectionLost(error.to_string()),
     }
 }
 
-/// Connects and sends a submission whole, without waiting for its answer.
+/// Connects and sends a complete submission without waiting for the response.
 pub fn begin(addr: SocketAddr, key: &str, work: &Work) -> io::Result<TcpStream> {
     let body = work.spec().to_string();
     let mut stream = TcpStream::connect(addr)?;
     let head = format!(
         "POST /v1/jobs HTTP/1.1\r\nhost: {addr}\r\nidempotency-key: {key}\r\n\
-         request-timeout-ms: {PATIENCE_MS}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
+         request-timeout-ms: {CALL_TIMEOUT_MS}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
     stream.write_all((head + &body).as_bytes())?;
     Ok(stream)
 }
 
-/// Waits for the answer to a submission that was sent.
-pub fn finish(mut stream: TcpStream) -> Said {
+/// Waits for the response to a submission sent by [`begin`].
+pub fn finish(mut stream: TcpStream) -> SubmitOutcome {
     let mut answer = String::new();
     if let Err(error) = stream.read_to_string(&mut answer) {
-        return Said::Cut(error.to_string());
+        return SubmitOutcome::ConnectionLost(error.to_string());
     }
     let Some((head, body)) = answer.split_once("\r\n\r\n") else {
-        return Said::Cut(format!("no whole answer: {answer:?}"));
+        return SubmitOutcome::ConnectionLost(format!("incomplete response: {answer:?}"));
     };
     if head.starts_with("HTTP/1.1 2") {
         let accepted: wire::job::Accepted = wire::parse(body.as_bytes()).expect("an acceptance");
-        return Said::Accepted { duplicate: accepted.duplicate };
+        return SubmitOutcome::Accepted { duplicate: accepted.duplicate };
     }
     match wire::parse::<wire::Refusal>(body.as_bytes()).expect("a refusal").ran {
-        Ran::NotRun => Said::NotRun,
-        Ran::Unknown => Said::Unknown,
+        Ran::NotRun => SubmitOutcome::NotRun,
+        Ran::Unknown => SubmitOutcome::Unknown,
     }
 }
 
-/// Submits under the same key, at one instance after the other, until the job is accepted.
+/// Submits under the same key, at each instance in turn, until the job is accepted.
 pub fn submit_until_accepted(addrs: &[SocketAddr], key: &str, work: &Work) {
-    let mut ways = addrs.iter().cycle();
+    let mut targets = addrs.iter().cycle();
     eventually("a job is accepted", || {
-        let said = submit(*ways.next().expect("an address"), key, work);
-        matches!(said, Said::Accepted { .. }).then_some(())
+        let outcome = submit(*targets.next().expect("an address"), key, work);
+        matches!(outcome, SubmitOutcome::Accepted { .. }).then_some(())
     });
 }
 
-/// Asks one instance after the other to cancel a job, until one does.
+/// Cancels a job at each instance in turn, until one accepts the call.
 pub fn cancel_until_accepted(addrs: &[SocketAddr], key: &str) {
-    let path = format!("/v1/jobs/{}/cancel", id(key));
-    let mut ways = addrs.iter().cycle();
+    let path = format!("/v1/jobs/{}/cancel", job_id(key));
+    let mut targets = addrs.iter().cycle();
     eventually("a job is cancelled", || {
-        let reply = call(Method::POST, *ways.next().expect("an address"), &path, &[], b"");
+        let reply = call(Method::POST, *targets.next().expect("an address"), &path, &[], b"");
         reply.ok().filter(|reply| reply.status / 100 == 2).map(drop)
     });
 }
 
-/// What the first instance that knows the job says of it.
-pub fn look(addrs: &[SocketAddr], key: &str) -> Option<wire::job::Job> {
-    let path = format!("/v1/jobs/{}", id(key));
+/// The job, from the first instance that returns it.
+pub fn get_job(addrs: &[SocketAddr], key: &str) -> Option<wire::job::Job> {
+    let path = format!("/v1/jobs/{}", job_id(key));
     let asked = |addr: &SocketAddr| call(Method::GET, *addr, &path, &[], b"").ok();
     let known = addrs.iter().filter_map(asked).find(|reply| reply.status == 200)?;
     Some(known.json())
@@ -190,7 +194,7 @@
 
 /// Waits until an alert of `kind` names the job.
 pub fn await_alert(addrs: &[SocketAddr], kind: view::alert::Kind, key: &str) {
-    let job = id(key).to_string();
+    let job = job_id(key).to_string();
     eventually("an alert names the job", || {
         let asked = |addr: &SocketAddr| call(Method::GET, *addr, "/v1/alerts", &[], b"").ok();
         let reply = addrs.iter().filter_map(asked).find(|reply| reply.status == 200)?;
@@ -200,7 +204,7 @@
     });
 }
 
-/// Waits until every job stands in `state`.
+/// Waits until every job is in `state`.
 pub fn await_state<'a>(
     addrs: &[SocketAddr],
     keys: impl IntoIterator<Item = &'a String>,
@@ -210,7 +214,7 @@
         let mut last = None;
         let what = format!("job {key} is {state}");
         eventually(&what, || {
-            let now = look(addrs, key).map(|job| job.summary.state);
+            let now = get_job(addrs, key).map(|job| job.summary.state);
             if now != last {
                 eprintln!("job {key}: {now:?}");
                 last = now;
