--- a/src/entry/assembly.rs
+++ b/src/entry/assembly.rs
@@ -1,4 +1,4 @@
-//! Tasks and borders as the settings describe them.
+//! Creates tasks and their dependencies from the settings.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,17 +21,17 @@
 use crate::telemetry::measured;
 use crate::{config, http, membership, peer, store, worker};
 
-/// Stream of a failure domain in the log.
+/// Name of the stream of a failure domain in the log.
 pub fn stream(domain: &domain::Name) -> String {
     format!("domain-{}", domain.as_str())
 }
 
-/// What the tasks of one process share.
+/// Resources that the tasks of one process share.
 #[derive(Clone)]
 pub struct SharedResources {
     /// This process.
     pub me: Instance,
-    /// Time.
+    /// Clock.
     pub clock: Rc<dyn Clock>,
     /// The platform's log.
     pub store: Rc<dyn Store>,
@@ -44,7 +44,7 @@
 }
 
 impl SharedResources {
-    /// The shared parts of the process `me`, whose tasks end with `stop`.
+    /// Creates the resources of the process `me`, whose tasks end with `stop`.
     pub fn new(settings: &Settings, me: Instance, clock: Rc<dyn Clock>, stop: Shutdown) -> Self {
         let client = Rc::new(http::Client::new(http::Limits::default()));
         let peers = Rc::new(peer::Client::new(peer::Limits::default()));
@@ -52,7 +52,7 @@
         Self { me, clock, store, peers, client, stop }
     }
 
-    /// The task that owns the state machine of the failure domain.
+    /// Creates the controller of the failure domain's state machine.
     pub fn controller(
         &self,
         settings: &Settings,
@@ -81,7 +81,7 @@
         Controller::new(machine, deps)
     }
 
-    /// Starts the tasks of the settings in force.
+    /// Starts the tasks that replicate the operators' settings.
     pub fn start_config(&self, settings: &Settings) -> config::Handle {
         config::follow::start(config::follow::Setup {
             name: settings.instance.clone(),
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Starts the tasks that keep the view of the instances.
+    /// Starts the tasks that keep the list of instances up to date.
     pub fn start_membership(&self, settings: &Settings) -> membership::follow::Handle {
         let list = &settings.instance_list;
         let source = membership::http::Client::new(list.address, self.client.clone(), list.timeout);
@@ -111,7 +111,7 @@
     }
 }
 
-/// What the deployment weighs more.
+/// What placement optimizes, according to the settings.
 pub fn objective(settings: &Settings) -> Objective {
     match settings.weighs {
         Weighs::Packing => Objective::Packing,
@@ -129,7 +129,7 @@
     }
 }
 
-/// The platform's log at all its addresses.
+/// Client of the platform's log that fails over between its addresses.
 fn log(settings: &Settings, client: &Rc<http::Client>) -> Rc<dyn Store> {
     let addresses = settings.log.addresses.iter();
     let at = |address: &SocketAddr| -> Rc<dyn Store> {
--- a/src/entry/backend/alerts.rs
+++ b/src/entry/backend/alerts.rs
@@ -8,7 +8,7 @@
 use crate::owner::machine::{self, Answer};
 
 impl Entry {
-    /// Marks an alert as seen, as the owner.
+    /// Acknowledges an alert, as the owner.
     pub(super) async fn acknowledge_here(&self, call: Call, text: &str) -> Reply {
         let unknown = || Refusal::not_run(Reason::NotFound, format!("no alert {text} is known"));
         let id = alert::Id::parse(text).ok_or_else(unknown)?;
--- a/src/entry/backend/dump.rs
+++ b/src/entry/backend/dump.rs
@@ -1,5 +1,5 @@
-//! The whole state of the process, for people and tools. It holds no secrets: no token is part of any
-//! state shown here.
+//! Dump of the whole state of the process, for diagnosis. It contains no secrets: no token is part
+//! of any state in it.
 
 use serde::Serialize;
 
@@ -33,7 +33,7 @@
     reasons: Vec<String>,
 }
 
-/// State towards the failure domain.
+/// State of the failure domain at this instance.
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
 struct Owner {
@@ -43,7 +43,7 @@
     known_epoch: String,
     caught_up: bool,
     next_offset: u64,
-    /// Earlier owners that may still act as such.
+    /// Earlier owners that may still act as owners.
     formers: Vec<String>,
     open_alerts: usize,
     jobs: Vec<wire::job::Job>,
@@ -73,15 +73,15 @@
     heard_ms: u64,
 }
 
-/// The instances, as believed.
+/// The instance list.
 #[derive(Serialize)]
 struct Instances {
     members: Vec<membership::wire::Member>,
-    /// Classes of which the list lost suspiciously many.
+    /// Classes of instances of which the platform's list lost suspiciously many.
     suspects: Vec<String>,
 }
 
-/// Counts of the record of at-most-once work.
+/// Counters of the records of at-most-once work.
 #[derive(Serialize)]
 struct Intents {
     intents: u64,
@@ -105,7 +105,9 @@
             requests: self.requests.dump().await,
             intents: self.binder.guard.stats().await.map(Intents::from),
         };
-        let failed = |error| Refusal::not_run(Reason::Internal, format!("no dump: {error}"));
+        let failed = |error| {
+            Refusal::not_run(Reason::Internal, format!("the state cannot be serialized: {error}"))
+        };
         serde_json::to_value(dump).map_err(failed)
     }
 }
--- a/src/entry/backend/jobs.rs
+++ b/src/entry/backend/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs at the owner of the failure domain.
+//! Submission and cancellation of jobs at the owner of the failure domain.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::job;
 use crate::owner::machine::{self, Answer};
 
-/// Pause that a refused caller is asked to make while the log is away or too much waits for it.
+/// Time after which a caller should retry while the log is unreachable or does not answer.
 const LOG_PAUSE: Duration = Duration::from_secs(5);
 
 impl Entry {
@@ -41,7 +41,7 @@
     }
 }
 
-/// What a caller is told of a change that the owner did not carry out.
+/// Refusal of a change that the owner did not confirm.
 pub(super) fn refusal(what: &str, id: &str, answer: Answer) -> Refusal {
     let cause = match answer {
         Answer::Refused(cause) => cause,
@@ -61,17 +61,18 @@
         machine::Refusal::NotOwner(_) => views::no_owner(),
         machine::Refusal::WorkerReachable => Refusal::not_run(
             Reason::AlreadyEnded,
-            format!("worker {id} answers, so what it runs is known; drain it instead"),
+            format!("worker {id} is reachable, so it is known what it runs; drain it instead"),
         ),
         machine::Refusal::KeyReused => Refusal::not_run(
             Reason::KeyReused,
-            format!("the idempotency key already stands for job {id} with other contents"),
+            format!("the idempotency key was already used for job {id} with different contents"),
         ),
         machine::Refusal::Impossible(reason) => {
             Refusal::not_run(Reason::Impossible, reason.to_string())
         }
         machine::Refusal::Busy => {
-            Refusal::not_run(Reason::Overloaded, "too much waits for the log").after(OWNER_PAUSE)
+            Refusal::not_run(Reason::Overloaded, "too many changes wait for the log")
+                .after(OWNER_PAUSE)
         }
         machine::Refusal::LogUnavailable => {
             let message = "the platform's log cannot be reached, so nothing can be recorded";
--- a/src/entry/backend/mod.rs
+++ b/src/entry/backend/mod.rs
@@ -1,4 +1,4 @@
-//! What an entry instance does for callers and operators.
+//! The backend of the API at an entry instance.
 
 mod alerts;
 mod dump;
@@ -26,65 +26,65 @@
 use crate::runner::Proxy;
 use crate::{config, domain, job, peer, worker};
 
-/// Pause that a refused caller is asked to make while the domain changes owners.
+/// Time after which a refused caller should retry while the owner of the domain changes.
 const OWNER_PAUSE: Duration = Duration::from_secs(1);
 
-/// Answers calls from the state machine of this instance, or passes them to the owner.
+/// Serves calls from the state machine of this instance, or forwards them to the owner.
 pub struct Entry {
     /// This process.
     pub me: Instance,
     /// Its failure domain.
     pub domain: domain::Name,
-    /// The state machine's task.
+    /// The controller of the state machine.
     pub handle: Handle,
-    /// Other instances.
+    /// Calls to other instances.
     pub peers: Rc<peer::Client>,
-    /// Quick requests.
+    /// The proxy of quick requests.
     pub requests: Proxy,
-    /// Time.
+    /// Clock.
     pub clock: Rc<dyn Clock>,
-    /// Which instances there are.
+    /// Lookup of instances.
     pub directory: Rc<Directory>,
-    /// Who hears whether other instances answer.
+    /// Receives the results of calls to other instances.
     pub reachability: Rc<ReachabilityReporter>,
-    /// The task of the settings in force.
+    /// The replication of the operators' settings.
     pub config: config::Handle,
-    /// Operators' way to the settings in force.
+    /// Reads and changes the operators' settings.
     pub configuration: Configuration,
-    /// Whether this instance should get traffic.
+    /// Whether this instance should receive traffic.
     pub readiness: Rc<Readiness>,
-    /// What was last heard of other failure domains.
+    /// Last status received from each other failure domain.
     pub last_statuses: status::LastStatuses,
-    /// What binds submissions to failure domains.
+    /// Binds submissions to failure domains.
     pub binder: DomainBinder,
 }
 
 impl Entry {
-    /// Answers a call here when this instance owns the domain, and otherwise at the owner.
+    /// Serves a call here if this instance owns the domain, and forwards it to the owner otherwise.
     ///
     /// # Errors
     ///
-    /// Returns the owner's refusal, or one that says that the owner cannot be reached.
+    /// Returns the owner's refusal, or a refusal because the owner cannot be reached.
     pub async fn call_owner(&self, call: Call, request: OwnerRequest) -> Reply {
         let domain = self.domain.clone();
         self.route(ForwardedCall { domain, hops: forward::MAX_HOPS, call, request }).await
     }
 
-    /// Answers a call that another instance has passed on.
+    /// Serves a call that another instance has forwarded.
     ///
     /// # Errors
     ///
-    /// As for [`Self::call_owner`].
+    /// The same as those of [`Self::call_owner`].
     pub async fn route(&self, forwarded: ForwardedCall) -> Reply {
         if forwarded.domain != self.domain {
             return Err(views::no_owner());
         }
-        let place = self
+        let ownership = self
             .handle
             .inspect(|machine, _, _| (machine.is_owner(), machine.owner().cloned()))
             .await;
-        match place {
-            Some((true, _)) => self.answer(forwarded.call, forwarded.request).await,
+        match ownership {
+            Some((true, _)) => self.serve_as_owner(forwarded.call, forwarded.request).await,
             Some((false, Some(owner))) if owner != self.me && forwarded.hops > 0 => {
                 self.forward_to_owner(&owner, forwarded).await
             }
@@ -141,7 +141,7 @@
         }
     }
 
-    async fn answer(&self, call: Call, request: OwnerRequest) -> Reply {
+    async fn serve_as_owner(&self, call: Call, request: OwnerRequest) -> Reply {
         match request {
             OwnerRequest::Submit(submission) => self.submit_here(call, submission).await,
             OwnerRequest::Cancel(job) => self.cancel_here(call, job).await,
@@ -179,30 +179,31 @@
     /// Reads from the state machine.
     async fn read_state<T: 'static>(
         &self,
-        look: impl FnOnce(&Machine, Instant, Unix) -> Result<T, Refusal> + 'static,
+        read: impl FnOnce(&Machine, Instant, Unix) -> Result<T, Refusal> + 'static,
     ) -> Result<T, Refusal> {
         let stopping = || Refusal::not_run(Reason::ShuttingDown, "the instance is stopping");
-        self.handle.inspect(look).await.ok_or_else(stopping)?
+        self.handle.inspect(read).await.ok_or_else(stopping)?
     }
 }
 
-/// Refusal for a call whose way to the owner broke.
+/// Refusal of a call that could not be forwarded to the owner.
 fn forward_error(owner: &Instance, change: bool, error: &peer::Error) -> Refusal {
     log::warn!("event=entry.forward_failed owner={} {error}", owner.name);
     if change && error.sent {
-        let message = "the owner did not answer; ask again with the same key to learn the outcome";
+        let message = "the owner did not answer; repeat with the same key to learn the outcome";
         return Refusal::unknown(Reason::NoOwner, message).after(OWNER_PAUSE);
     }
     Refusal::not_run(Reason::NoOwner, "the owner cannot be reached; try again shortly")
         .after(OWNER_PAUSE)
 }
 
-/// Answer of another kind than the question, which only a fault in the owner can bring about.
+/// Refusal because the response does not match the request, which only a bug in the owner can
+/// cause.
 fn unexpected_response() -> Refusal {
     Refusal::unknown(Reason::Internal, "the owner answered another question")
 }
 
-/// Asks the owner and picks the expected kind of answer.
+/// Calls the owner and extracts the expected variant of the response.
 macro_rules! call_owner {
     ($self:ident, $call:ident, $request:expr, $kind:path) => {
         async move {
--- a/src/entry/backend/other_domains.rs
+++ b/src/entry/backend/other_domains.rs
@@ -1,4 +1,4 @@
-//! Calls about jobs that another failure domain has taken.
+//! Calls about jobs of other failure domains.
 
 use std::time::Duration;
 
@@ -10,18 +10,19 @@
 use crate::entry::forward::{self, ForwardedCall, OwnerRequest, Reply};
 use crate::job;
 
-/// Longest that one instance of another failure domain is waited for with a question.
+/// Maximum time to wait for one instance of another failure domain when looking for a job.
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(1);
-/// Instances of another failure domain that are tried.
+/// Number of instances of another failure domain to try.
 const MAX_ATTEMPTS: usize = 2;
 
 impl Entry {
-    /// Asks about a job wherever it is: at the own failure domain first, then at the others.
+    /// Sends a request about a job to this failure domain and, if the job is not there, to the
+    /// domain that has it.
     ///
     /// # Errors
     ///
-    /// Returns the refusal of the domain that has the job, or one that says that none knows it or
-    /// which could not be asked.
+    /// Returns the refusal of the domain that has the job, or a refusal because no domain has it or
+    /// because a domain could not be queried.
     pub(super) async fn call_any_domain(
         &self,
         call: Call,
@@ -37,20 +38,20 @@
             Lookup::Found(domain) => self.call_domain_owner(&domain, call, request).await,
             Lookup::Unanswered(domain) if refusal.reason == Reason::NotFound => {
                 let message =
-                    format!("no job {job} is known here, and {domain} could not be asked");
+                    format!("no job {job} is known here, and {domain} could not be queried");
                 Err(Refusal::not_run(Reason::NoOwner, message).after(OWNER_PAUSE))
             }
             Lookup::Unanswered(_) | Lookup::NotFound => Err(refusal),
         }
     }
 
-    /// Looks for a job in the other failure domains, all at once.
+    /// Looks for a job in all other failure domains concurrently.
     async fn find_job(&self, call: &Call, job: job::Id) -> Lookup {
         let within = LOOKUP_TIMEOUT.min(call.within / 3);
         let call = Call { within, ..call.clone() };
         let others = self.directory.other_domains();
-        let ask = |domain| self.call_domain_owner(domain, call.clone(), OwnerRequest::Job(job));
-        let answers = join_all(others.iter().map(ask)).await;
+        let find_in = |domain| self.call_domain_owner(domain, call.clone(), OwnerRequest::Job(job));
+        let answers = join_all(others.iter().map(find_in)).await;
         let mut unanswered = None;
         for (domain, answer) in others.into_iter().zip(answers) {
             match answer {
@@ -62,11 +63,12 @@
         unanswered.map_or(Lookup::NotFound, Lookup::Unanswered)
     }
 
-    /// Asks the owner of another failure domain through an entry instance there.
+    /// Calls the owner of another failure domain through an entry instance there.
     ///
     /// # Errors
     ///
-    /// Returns the owner's refusal, or one that says whether the call may have taken effect.
+    /// Returns the owner's refusal, or a refusal that states whether the call may have taken
+    /// effect.
     pub(super) async fn call_domain_owner(
         &self,
         domain: &domain::Name,
@@ -99,7 +101,7 @@
     }
 }
 
-/// Where a job was found.
+/// Result of looking for a job. `Unanswered` names a domain that could not be queried.
 enum Lookup {
     Found(domain::Name),
     Unanswered(domain::Name),
--- a/src/entry/backend/settings.rs
+++ b/src/entry/backend/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that operators change while the system runs.
+//! Operators' orders about workers.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 
 /// Pause between two polls of whether the owner applies a drain.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait for that.
+/// Maximum number of these polls.
 const MAX_POLLS: u32 = 40;
 
 impl Entry {
-    /// Carries out an operator's order about a worker of this failure domain.
+    /// Executes an operator's order about a worker of this failure domain.
     pub(super) async fn execute_order(
         &self,
         call: Call,
@@ -29,13 +29,14 @@
             Order::Undrain => false,
             Order::Lost => return self.request_worker(call, OwnerRequest::GiveUp(name)).await,
         };
-        // Asked first, so that a mistyped name is refused and drains nothing.
+        // The worker is queried first, so that a mistyped name is refused
+        // before a drain is recorded.
         self.request_worker(call.clone(), OwnerRequest::Worker(name.clone())).await?;
         self.configuration.drain(&call, &self.domain, &name, is_drained).await?;
         self.await_drain_state(call, name, is_drained).await
     }
 
-    /// Waits until the owner acts by a drain, so that the operator sees it done.
+    /// Waits until the owner applies a drain, so that the response shows it.
     async fn await_drain_state(
         &self,
         call: Call,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Shows a worker as the owner.
+    /// Returns a worker, as the owner.
     pub(super) async fn show_worker(&self, name: worker::Name) -> Result<Worker, Refusal> {
         self.read_state(move |machine, _, _| {
             let worker = views::worker(views::active(machine)?, &name);
@@ -70,7 +71,7 @@
         .await
     }
 
-    /// Takes a worker for gone, as the owner.
+    /// Declares a worker lost, as the owner.
     pub(super) async fn give_up_here(&self, call: Call, name: worker::Name) -> Reply {
         let change = machine::Call::GiveUp(name.clone());
         match self.handle.call(&*self.clock, change, call.within).await {
@@ -81,7 +82,7 @@
     }
 }
 
-/// Refusal of a name that no worker of the failure domain has.
+/// Refusal because the failure domain has no worker of this name.
 fn unknown_worker(name: &worker::Name) -> Refusal {
     let message = format!("no worker {} is known in this failure domain", name.as_str());
     Refusal::not_run(Reason::NotFound, message)
--- a/src/entry/backend/status.rs
+++ b/src/entry/backend/status.rs
@@ -1,4 +1,4 @@
-//! What every failure domain is doing.
+//! Status of all failure domains.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,23 +18,23 @@
 use crate::entry::forward::{OwnerRequest, OwnerResponse};
 use crate::entry::views;
 
-/// Peer method by which an instance asks what another failure domain is doing.
+/// Peer method that returns the status of a failure domain.
 pub const STATUS: &str = "entry/status";
 
-/// Longest that one instance of another failure domain is waited for.
+/// Maximum time to wait for one instance of another failure domain.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
-/// Instances of another failure domain that are asked before it counts as cut off.
+/// Number of instances of another failure domain to try before it counts as unreachable.
 const MAX_ATTEMPTS: usize = 2;
-/// Age up to which what was heard of an instance goes before what is older.
+/// Age up to which the sync status of an instance counts as recent and is preferred to older ones.
 const RECENT_AGE: Duration = Duration::from_secs(5);
 
-/// What was last heard of other failure domains.
+/// Last status received from each other failure domain.
 #[derive(Debug, Default)]
 pub struct LastStatuses {
     domains: RefCell<BTreeMap<domain::Name, RecordedStatus>>,
 }
 
-/// What was last heard of a failure domain.
+/// Last status received from a failure domain.
 #[derive(Clone, Debug)]
 struct RecordedStatus {
     at: Instant,
@@ -42,29 +42,30 @@
 }
 
 impl Entry {
-    /// What all failure domains are doing, this instance's own first.
+    /// Status of all failure domains, this instance's own first.
     pub(super) async fn status_of_all(&self, call: Call) -> Result<Status, Refusal> {
         let own = self.domain_status(call.clone()).await?;
         let others = self.directory.other_domains();
-        let asked = join_all(others.iter().map(|domain| self.request_status(&call, domain))).await;
-        let known = self.settings_overview().await;
+        let answers =
+            join_all(others.iter().map(|domain| self.request_status(&call, domain))).await;
+        let settings = self.settings_overview().await;
         let mut domains = vec![own];
-        for (name, answer) in others.into_iter().zip(asked) {
+        for (name, answer) in others.into_iter().zip(answers) {
             domains.push(match answer {
                 Some(domain) => self.record_status(domain),
-                None => self.last_status(&name, &known),
+                None => self.last_status(&name, &settings),
             });
         }
-        let preset = in_force(known.value.as_deref());
+        let preset = in_force(settings.value.as_deref());
         Ok(Status { instance: self.identity_view(), preset, domains })
     }
 
-    /// What this failure domain is doing: by its owner's word, or by this instance's own while
-    /// none can be reached.
+    /// Status of this failure domain, from its owner or, if the owner cannot be reached, from this
+    /// instance.
     ///
     /// # Errors
     ///
-    /// Refuses while the instance stops.
+    /// Refuses while the instance is stopping.
     pub async fn domain_status(&self, call: Call) -> Result<Domain, Refusal> {
         match self.call_owner(call, OwnerRequest::Status).await {
             Ok(OwnerResponse::Status(status)) => Ok(*status),
@@ -72,12 +73,12 @@
         }
     }
 
-    /// What this failure domain is doing as far as this instance knows.
+    /// Status of this failure domain as seen by this instance.
     pub(super) async fn status_here(&self) -> Result<Domain, Refusal> {
-        let known = self.settings_overview().await;
+        let settings = self.settings_overview().await;
         let name = self.domain.clone();
-        let preset = in_force(known.value.as_deref());
-        let staleness = known.staleness(&name);
+        let preset = in_force(settings.value.as_deref());
+        let staleness = settings.staleness(&name);
         self.read_state(move |machine, now, _| {
             let state = views::status(machine, now);
             Ok(Domain {
@@ -116,23 +117,25 @@
     }
 
     fn record_status(&self, domain: Domain) -> Domain {
-        let heard = RecordedStatus { at: self.clock.now(), domain: domain.clone() };
-        self.last_statuses.domains.borrow_mut().insert(domain.name.clone(), heard);
+        let recorded = RecordedStatus { at: self.clock.now(), domain: domain.clone() };
+        self.last_statuses.domains.borrow_mut().insert(domain.name.clone(), recorded);
         domain
     }
 
-    /// What was last heard of a failure domain that does not answer.
-    fn last_status(&self, name: &domain::Name, known: &SettingsOverview) -> Domain {
-        let heard = self.last_statuses.domains.borrow().get(name).cloned();
-        let age = heard.as_ref().map_or(known.uptime, |heard| known.now.since(heard.at));
-        let mut domain = heard.map_or_else(|| empty_status(name.clone()), |heard| heard.domain);
-        let standing = known.worst.get(name);
-        let standing_age = standing.map_or(known.uptime, |standing| standing.heard);
-        if let Some(preset) = standing.and_then(|standing| known.preset_of(standing)) {
+    /// Last status of a failure domain that does not answer.
+    fn last_status(&self, name: &domain::Name, settings: &SettingsOverview) -> Domain {
+        let recorded = self.last_statuses.domains.borrow().get(name).cloned();
+        let age =
+            recorded.as_ref().map_or(settings.uptime, |recorded| settings.now.since(recorded.at));
+        let mut domain =
+            recorded.map_or_else(|| empty_status(name.clone()), |recorded| recorded.domain);
+        let standing = settings.worst.get(name);
+        let standing_age = standing.map_or(settings.uptime, |standing| standing.heard);
+        if let Some(preset) = standing.and_then(|standing| settings.preset_of(standing)) {
             domain.preset = preset;
         }
         domain.heard = age.min(standing_age);
-        domain.staleness = known.staleness(name);
+        domain.staleness = settings.staleness(name);
         domain
     }
 
@@ -147,7 +150,7 @@
     }
 }
 
-/// What this instance knows of the settings everywhere.
+/// How current the settings are in all failure domains, as known here.
 struct SettingsOverview {
     now: Instant,
     uptime: Duration,
@@ -156,14 +159,14 @@
 }
 
 impl SettingsOverview {
-    /// How long a domain's settings have gone unconfirmed by the log: as long as this process has
-    /// run, where nothing was heard.
+    /// Time since the log last confirmed a domain's settings; the uptime of this process if that is
+    /// unknown.
     fn staleness(&self, domain: &domain::Name) -> Duration {
         let standing = self.worst.get(domain);
         standing.and_then(|standing| standing.confirmed).unwrap_or(self.uptime)
     }
 
-    /// The preset that was in force where `standing` was told.
+    /// The preset in force at the version that `standing` reports.
     fn preset_of(&self, standing: &Standing) -> Option<InForce> {
         let value = self.value.as_ref()?;
         if standing.version == value.version {
@@ -173,7 +176,7 @@
     }
 }
 
-/// The preset in force, for people, also while it is not known.
+/// The preset in force, or a placeholder if it is not known.
 fn in_force(value: Option<&Value>) -> InForce {
     value.map_or_else(unknown_preset, InForce::from)
 }
--- a/src/entry/binding.rs
+++ b/src/entry/binding.rs
@@ -1,4 +1,4 @@
-//! Fixes the failure domain that takes a job, so that a submission repeated anywhere is one job.
+//! Binds each submission to a failure domain, so that repeating it at any instance yields one job.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,39 +8,39 @@
 use crate::intent::{self, Attempt, Guard, Key, Kind, Placement, Request};
 use crate::{codec, domain};
 
-/// Part of the caller's time that fixing the failure domain may take.
+/// Divisor of the caller's timeout that yields the timeout of binding.
 const BIND_TIMEOUT_DIVISOR: u32 = 2;
-/// Pause that a caller is asked to make when the failure domain could not be fixed.
+/// Time after which a caller should retry if the submission could not be bound.
 const BIND_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What binds submissions to failure domains.
+/// Binds submissions to failure domains.
 pub struct DomainBinder {
-    /// Intents in the log.
+    /// Records of idempotency keys in the log.
     pub guard: Guard,
-    /// Time.
+    /// Clock.
     pub clock: Rc<dyn Clock>,
-    /// This instance's failure domain, which takes new jobs.
+    /// This instance's failure domain, to which new jobs are bound.
     pub domain: domain::Name,
 }
 
-/// A submission whose failure domain is fixed.
+/// A submission bound to a failure domain.
 pub struct BoundSubmission {
     /// The failure domain.
     pub domain: domain::Name,
-    /// Whether its owner is recorded to have accepted the job.
+    /// Whether the log records that its owner has accepted the job.
     pub accepted: bool,
     request: Request,
     attempt: Attempt,
 }
 
 impl DomainBinder {
-    /// Fixes the failure domain of a submission: this one's, or that of an earlier submission with
-    /// the same key through any instance.
+    /// Binds a submission to this failure domain, or to that of an earlier submission with the same
+    /// key at any instance.
     ///
     /// # Errors
     ///
-    /// Refuses when the log cannot tell whether there was an earlier one, or when the key stands for
-    /// another job. Nothing was handed over then.
+    /// Refuses if the log cannot be read to find an earlier submission, or if the key was used for
+    /// a different job. Nothing has been sent to an owner then.
     pub async fn bind(
         &self,
         call: &Call,
@@ -58,13 +58,14 @@
     }
 
     /// Records that the owner has accepted the job, so that a late retry finds it accepted even
-    /// when the owner has forgotten the ended job.
+    /// after the owner has removed the ended job.
     pub fn record_acceptance(&self, bound: &BoundSubmission) {
         self.guard.accept_job(&bound.request, bound.attempt, bound.domain.clone());
     }
 
-    /// A key that is no version 7 UUID counts as made now: while its record is known, the key
-    /// decides, and after that it is a new one.
+    /// A key that is not a version 7 UUID has no creation time and is treated as created now. As
+    /// long as its record is kept it identifies the earlier submission; after that it counts as a
+    /// new key.
     fn request(&self, submission: &view::job::Submission) -> Result<Request, Refusal> {
         let view::job::Submission { key, spec } = submission;
         let invalid = |cause: String| Refusal::invalid("idempotency-key", cause);
--- a/src/entry/controller.rs
+++ b/src/entry/controller.rs
@@ -23,7 +23,7 @@
 
 /// Peer method that carries an owner's heartbeat.
 pub const HEARTBEAT: &str = "owner/beat";
-/// Peer method by which an owner without the log asks an instance to keep a batch.
+/// Peer method by which an owner that cannot reach the log asks an instance to store a batch.
 pub const STORE_BATCH: &str = "owner/hold";
 /// Peer method by which an owner asks an instance to take over.
 pub const HANDOVER: &str = "owner/handover";
@@ -31,10 +31,10 @@
 /// Longest time between two steps of the machine.
 const TICK: Duration = Duration::from_millis(25);
 
-/// A look at the machine, run by the task that owns it.
+/// Closure that reads the machine, run by the task that owns it.
 type Inspection = Box<dyn FnOnce(&Machine, Instant, Unix)>;
 
-/// Message to the controller.
+/// Input of the controller.
 enum Input {
     Message(Message),
     Call { ticket: Ticket, call: Call, reply: oneshot::Sender<Answer> },
@@ -42,36 +42,36 @@
     Inspect(Inspection),
 }
 
-/// Way to talk to the controller.
+/// Handle to the controller.
 #[derive(Clone)]
 pub struct Handle {
     inputs: Tx<Input>,
     tickets: Rc<std::cell::Cell<Ticket>>,
 }
 
-/// Dependencies through which effects reach the outside.
+/// Interfaces that carry out the machine's effects.
 pub struct Dependencies {
     /// The platform's log.
     pub store: Rc<dyn Store>,
-    /// The workers.
+    /// Calls to the workers.
     pub workers: Rc<dyn Link>,
-    /// Other instances.
+    /// Calls to other instances.
     pub peers: Rc<peer::Client>,
-    /// Time.
+    /// Clock.
     pub clock: Rc<dyn Clock>,
-    /// Stream of the failure domain.
+    /// Name of the stream of the failure domain.
     pub stream: String,
-    /// Time an exchange may take beyond what the worker may wait.
+    /// Timeout of an exchange, in addition to the time that the worker may wait.
     pub worker_timeout: Duration,
-    /// Time a heartbeat may take.
+    /// Timeout of a call to another instance.
     pub peer_timeout: Duration,
-    /// Who hears whether other instances answer.
+    /// Receives the results of calls to other instances and workers.
     pub reachability: Rc<ReachabilityReporter>,
-    /// Whether this instance should get traffic.
+    /// Whether this instance should receive traffic.
     pub readiness: Rc<Readiness>,
 }
 
-/// The task's state.
+/// Runs the state machine and carries out its effects.
 pub struct Controller {
     machine: Machine,
     deps: Rc<Dependencies>,
@@ -81,16 +81,16 @@
 }
 
 impl Handle {
-    /// Hands a message to the machine.
+    /// Sends a message to the machine.
     pub fn send(&self, message: Message) {
-        // The controller ends only when the process does; a message to it is then moot.
+        // The controller ends only with the process, so a message that it misses has no effect.
         let _ = self.inputs.send(Input::Message(message));
     }
 
-    /// Asks the owner on this instance for a change and waits at most `within`.
+    /// Requests a change from the owner on this instance and waits at most `within`.
     ///
-    /// When time runs out the machine takes back what was not handed to the log yet, so that the
-    /// answer says truly whether the change may take effect.
+    /// After that time the machine withdraws the change if it has not been sent to the log yet, so
+    /// that the answer tells correctly whether the change may take effect.
     pub async fn call(&self, clock: &dyn Clock, call: Call, within: Duration) -> Answer {
         let (reply, mut answer) = oneshot::channel();
         let ticket = self.tickets.get() + 1;
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Runs `look` on the machine and returns what it found; `None` while the process ends.
+    /// Runs `read` on the machine and returns its result, or `None` if the controller has ended.
     pub async fn inspect<T: 'static>(
         &self,
         read: impl FnOnce(&Machine, Instant, Unix) -> T + 'static,
@@ -122,23 +122,23 @@
 }
 
 impl Controller {
-    /// A controller of `machine`.
+    /// Creates the controller of `machine`.
     pub fn new(machine: Machine, deps: Dependencies) -> Self {
         let (sender, inputs) = channel();
         let handle = Handle { inputs: sender, tickets: Rc::default() };
         Self { machine, deps: Rc::new(deps), inputs, handle, waiting: BTreeMap::new() }
     }
 
-    /// Way to talk to this controller.
+    /// Returns a handle to this controller.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
     /// Runs until the machine has stopped.
     ///
-    /// A step is due a tick after the last one, whatever came in between. Counted from the last
-    /// input instead, an owner that is asked for its state more often than once a tick would send
-    /// no heartbeat and commit nothing until some other message came.
+    /// A step is due one tick after the last step, regardless of inspections in between. If the
+    /// time counted from the last input, an owner whose state is read more often than once a tick
+    /// would send no heartbeat and commit nothing until another message arrived.
     pub async fn run(mut self) {
         let mut due = self.deps.clock.now().after(TICK);
         loop {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Whether the machine has stopped.
+    /// Handles one message and returns whether the machine has stopped.
     fn step(&mut self, message: Message) -> bool {
         let now = self.deps.clock.now();
         let unix = self.deps.clock.unix();
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: binds its addresses, starts its tasks and ends them in order.
+//! The daemon: binds its addresses, starts its tasks and shuts them down in order.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,13 +26,13 @@
 use crate::telemetry::Recorder;
 use crate::{api, http, peer};
 
-/// A daemon that could not start, with the step and the address at which it failed.
+/// Failure to start, with the step and the address at which it occurred.
 #[derive(Debug, Display, derive_more::Error)]
 #[display("step={step} address={address} cause={cause}")]
 pub struct Error {
-    /// What was tried.
+    /// Step that failed.
     pub step: &'static str,
-    /// Address concerned.
+    /// Address to bind.
     pub address: SocketAddr,
     /// Cause.
     #[error(source)]
@@ -42,9 +42,9 @@
 /// Addresses that a daemon listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listening {
-    /// Callers and operators.
+    /// Address for callers and operators.
     pub api: SocketAddr,
-    /// Other instances.
+    /// Address for other instances.
     pub peer: SocketAddr,
 }
 
@@ -58,8 +58,8 @@
 }
 
 impl Daemon {
-    /// Binds the addresses that the settings name. Needs a running runtime on this thread.
-    /// Daemons of one process share its recorder.
+    /// Binds the addresses in the settings. Requires a running runtime on this thread.
+    /// Daemons of one process share its metrics recorder.
     ///
     /// # Errors
     ///
@@ -79,13 +79,13 @@
         Ok(Self { settings, api, peer, listening, recorder })
     }
 
-    /// Addresses that are bound.
+    /// Returns the bound addresses.
     pub fn listening(&self) -> Listening {
         self.listening
     }
 
-    /// Serves until `stop` is triggered. Requests in flight end first, then the failure domain is
-    /// handed over.
+    /// Serves until `stop` is triggered, then finishes requests in flight and hands the failure
+    /// domain over.
     pub async fn run(self, stop: Shutdown) {
         let Self { settings, api, peer, listening, recorder } = self;
         let clock: Rc<dyn Clock> = Rc::new(System::start());
@@ -98,14 +98,14 @@
             listening.api,
             listening.peer
         );
-        // Tasks in the background go on until requests in flight have ended.
+        // Background tasks continue until requests in flight have ended.
         let end = Shutdown::new();
         let shared = SharedResources::new(&settings, me, clock.clone(), end.clone());
         let readiness = Rc::new(Readiness::new(stop.clone()));
         let (entry, requests, running) = start(&settings, &shared, readiness, stop.clone());
         let handle = entry.handle.clone();
-        // Peers are served to the very end: those whose requests this instance still has in flight
-        // reach the owner through it, and the new owner asks whether this one has stepped down.
+        // Peer calls are served until the end: requests in flight may still be forwarded to the
+        // owner here, and the new owner checks whether this instance has stepped down.
         let peer_stop = Shutdown::new();
         let peer_handler = Rc::new(peers::PeerHandler::new(entry.clone(), requests.clone()));
         let grace = settings.http.shutdown_grace;
@@ -134,8 +134,8 @@
 /// Time for the last batch to reach the log and for a peer to take over.
 const HAND_OVER_GRACE: Duration = Duration::from_secs(3);
 
-/// Starts the tasks of the process, and returns its parts towards callers with the state machine's
-/// task. No quick request is taken any more once `stop` is triggered.
+/// Starts the tasks of the process. Returns the backend of the API, the proxy of quick requests and
+/// the task of the state machine. No quick request is accepted once `stop` is triggered.
 fn start(
     settings: &Settings,
     shared: &SharedResources,
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -1,4 +1,4 @@
-//! Which instances there are, as this instance last believed.
+//! Lookup of instances in the latest instance list.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -11,27 +11,27 @@
 use crate::membership::view::Key;
 use crate::membership::{Member, Role, State};
 
-/// The latest roster, for the tasks that look instances up.
+/// The latest instance list, for the tasks that look instances up.
 pub struct Directory {
     me: Instance,
     domain: domain::Name,
-    /// Failure domains that the settings name.
+    /// Failure domains in the settings.
     domains: Vec<domain::Name>,
     roster: RefCell<Rc<Roster>>,
 }
 
 impl Directory {
-    /// A directory for the instance `me` of `domain` that knows no other instance yet.
+    /// Creates an empty directory for the instance `me` of `domain`.
     pub fn new(me: Instance, domain: domain::Name, domains: Vec<domain::Name>) -> Self {
         Self { me, domain, domains, roster: RefCell::default() }
     }
 
-    /// Takes in what is believed from now on.
+    /// Replaces the instance list.
     pub fn update(&self, roster: Rc<Roster>) {
         *self.roster.borrow_mut() = roster;
     }
 
-    /// The latest roster.
+    /// The latest instance list.
     pub fn roster(&self) -> Rc<Roster> {
         self.roster.borrow().clone()
     }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -1,4 +1,4 @@
-//! Calls that only the owner of a failure domain can answer, as passed on between instances.
+//! Calls to the owner of a failure domain, as forwarded between instances.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 /// Peer method that carries a call to the owner.
 pub const CALL: &str = "owner/call";
 
-/// Most instances a call passes through. A call meets a second hop when the owner has just
-/// changed; more would let two instances with stale views pass it back and forth.
+/// Maximum number of instances that a call is forwarded through. A second hop occurs when the owner
+/// has just changed; with more, two instances with stale views could forward it back and forth.
 pub const MAX_HOPS: u8 = 2;
 
-/// A call on its way to the owner.
+/// A call that is forwarded to the owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ForwardedCall {
-    /// Failure domain whose owner is asked. An address may have gone to an instance of another
-    /// domain, which must not accept the job a second time.
+    /// Failure domain whose owner is called. The address may have been reassigned to an instance of
+    /// another domain, which must not accept the job a second time.
     pub domain: domain::Name,
-    /// Instances it may still pass through.
+    /// Number of further hops allowed.
     pub hops: u8,
-    /// The caller's circumstances.
+    /// Timeout and identity of the caller.
     pub call: Call,
-    /// What is asked.
+    /// Request to the owner.
     #[serde(rename = "ask")]
     pub request: OwnerRequest,
 }
 
-/// What is asked of the owner.
+/// Request to the owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum OwnerRequest {
     /// Accept a job.
@@ -40,56 +40,57 @@
     Job(job::Id),
     /// List jobs.
     Jobs(view::job::Filter, view::Cut<job::Id>),
-    /// Say why a job waits.
+    /// Explain why a job waits.
     Explain(job::Id),
     /// List workers.
     Workers,
     /// Show a worker.
     Worker(worker::Name),
-    /// Take a worker for gone.
+    /// Declare a worker lost.
     GiveUp(worker::Name),
-    /// List alerts, acknowledged ones too when the flag is set.
+    /// List alerts, including acknowledged ones if the flag is set.
     Alerts(bool, view::Cut<String>),
-    /// Mark an alert as seen.
+    /// Acknowledge an alert.
     Acknowledge(String),
-    /// Report the domain's state.
+    /// Return the domain's status.
     Status,
 }
 
 impl OwnerRequest {
-    /// Whether the call changes anything.
+    /// Whether the request changes state.
     pub fn is_change(&self) -> bool {
         matches!(self, Self::Submit(_) | Self::Cancel(_) | Self::GiveUp(_) | Self::Acknowledge(_))
     }
 }
 
-/// What the owner answers.
+/// The owner's response.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum OwnerResponse {
-    /// To [`OwnerRequest::Submit`].
+    /// Response to [`OwnerRequest::Submit`].
     Accepted(view::job::Accepted),
-    /// To [`OwnerRequest::Cancel`] and [`OwnerRequest::Job`].
+    /// Response to [`OwnerRequest::Cancel`] and [`OwnerRequest::Job`].
     Job(Box<view::job::Job>),
-    /// To [`OwnerRequest::Jobs`].
+    /// Response to [`OwnerRequest::Jobs`].
     Jobs(view::Page<view::job::Summary, job::Id>),
-    /// To [`OwnerRequest::Explain`].
+    /// Response to [`OwnerRequest::Explain`].
     Explanation(view::job::Explanation),
-    /// To [`OwnerRequest::Workers`].
+    /// Response to [`OwnerRequest::Workers`].
     Workers(Vec<view::worker::Worker>),
-    /// To [`OwnerRequest::Worker`] and [`OwnerRequest::GiveUp`].
+    /// Response to [`OwnerRequest::Worker`] and [`OwnerRequest::GiveUp`].
     Worker(view::worker::Worker),
-    /// To [`OwnerRequest::Alerts`].
+    /// Response to [`OwnerRequest::Alerts`].
     Alerts(view::Page<view::alert::Alert, String>),
-    /// To [`OwnerRequest::Acknowledge`].
+    /// Response to [`OwnerRequest::Acknowledge`].
     Alert(view::alert::Alert),
-    /// To [`OwnerRequest::Status`].
+    /// Response to [`OwnerRequest::Status`].
     Status(Box<view::status::Domain>),
 }
 
 /// Result of a call to the owner.
 pub type Reply = Result<OwnerResponse, Refusal>;
 
-/// Time kept back for the way home, so that the caller hears the owner's answer in time.
+/// Timeout of a forwarded call: nine tenths of the time left, so that the response reaches the
+/// caller in time.
 pub fn owner_timeout(left: Duration) -> Duration {
     left.saturating_sub(left / 10)
 }
--- a/src/entry/gauges.rs
+++ b/src/entry/gauges.rs
@@ -1,4 +1,4 @@
-//! Figures of the failure domain, taken from the state machine at intervals.
+//! Gauges of the failure domain, updated from the state machine at intervals.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use crate::resource::Amount;
 use crate::telemetry::{Recorder, names};
 
-/// Pause between two looks; a look walks over all jobs.
+/// Pause between two updates. An update iterates over all jobs.
 const PAUSE: Duration = Duration::from_secs(10);
 
-/// Sets the gauges at intervals until the process ends, and keeps the recorder's memory within
-/// bounds where nothing scrapes it.
+/// Updates the gauges at intervals until the controller ends. Also runs the recorder's upkeep, so
+/// that its memory stays bounded even if it is never scraped.
 pub async fn update_periodically(recorder: Rc<Recorder>, handle: Handle, clock: Rc<dyn Clock>) {
     while handle.inspect(set).await.is_some() {
         recorder.upkeep();
@@ -42,7 +42,7 @@
     set_packing(views::active(machine).ok());
 }
 
-/// How long the job that waits longest has waited for its first task to be placed.
+/// Longest time that a job without a placed task has waited.
 fn oldest_wait(machine: &Machine, unix: Unix) -> Duration {
     let waits = |job: &&Job| job.tasks.iter().all(|task| task.state == AttemptState::Pending);
     let waiting = machine.replica.table.jobs().filter(waits);
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -1,4 +1,4 @@
-//! The task that passes the view of the instances on to those who use it.
+//! The task that distributes changes of the instance list within the process.
 
 use std::rc::Rc;
 
@@ -9,20 +9,20 @@
 use crate::owner::machine::Message;
 use crate::runner::Proxy;
 
-/// Who uses the view.
+/// Receivers of the instance list.
 pub struct MembershipSubscriber {
-    /// Those who look instances up.
+    /// Lookup of instances.
     pub directory: Rc<Directory>,
     /// The state machine of the failure domain.
     pub owner: Handle,
-    /// The settings in force.
+    /// The replication of the operators' settings.
     pub config: config::Handle,
-    /// The quick requests.
+    /// The proxy of quick requests.
     pub requests: Proxy,
 }
 
 impl MembershipSubscriber {
-    /// Passes on every change.
+    /// Distributes every change until there are no more.
     pub async fn run(self, mut changes: Changes) {
         while let Some(roster) = changes.recv().await {
             self.directory.update(roster.clone());
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! Assembly of the daemon of an entry instance: which tasks run, and how they reach each other.
+//! The daemon of an entry instance: its tasks and how they are connected.
 
 mod assembly;
 pub mod backend;
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! Answers to calls from other instances.
+//! Handler of calls from other instances.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,32 +19,32 @@
 use crate::peer::{Code, Handler, Refusal, decode};
 use crate::runner::{self, Proxy};
 
-/// Answer to a heartbeat.
+/// Response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
 pub struct HeartbeatResponse {
     /// The instance that answers.
     pub from: Instance,
-    /// Latest epoch it knows, the heartbeat's included.
+    /// Latest epoch it knows, including that of the heartbeat.
     pub epoch: Epoch,
 }
 
-/// Answer to a batch that was to be kept.
+/// Response to a request to store a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
 pub struct StoreBatchResponse {
     /// The instance that answers.
     pub from: Instance,
-    /// Whether it keeps the batch.
+    /// Whether it stores the batch.
     pub kept: bool,
 }
 
-/// Answers to calls from other instances.
+/// Handles calls from other instances.
 pub struct PeerHandler {
     entry: Rc<Entry>,
     requests: runner::peer::Handler,
 }
 
 impl PeerHandler {
-    /// Answers in the name of `entry`, and of `requests` where runners are concerned.
+    /// Creates a handler that serves calls from `entry`, and calls about runners from `requests`.
     pub fn new(entry: Rc<Entry>, requests: Proxy) -> Self {
         Self { entry, requests: runner::peer::Handler::new(requests) }
     }
@@ -66,12 +66,13 @@
         }
     }
 
-    /// The answer goes out only after the machine keeps the batch: its sender lets it take effect.
+    /// Responds only after the machine has handled the batch, because the sender then lets the
+    /// batch take effect.
     async fn store_batch(&self, copy: BatchCopy) -> Result<StoreBatchResponse, Refusal> {
         let (epoch, sequence) = (copy.epoch, copy.sequence);
         self.entry.handle.send(Message::StoreBatch(copy));
-        let look = move |machine: &Machine, _, _| machine.copies.contains(epoch, sequence);
-        let kept = self.entry.handle.inspect(look).await;
+        let is_stored = move |machine: &Machine, _, _| machine.copies.contains(epoch, sequence);
+        let kept = self.entry.handle.inspect(is_stored).await;
         let kept = kept.ok_or_else(|| Refusal::new(Code::Busy, "stopping"))?;
         Ok(StoreBatchResponse { from: self.entry.me.clone(), kept })
     }
@@ -81,11 +82,14 @@
         self.entry.config.handle(method, body).await.unwrap_or_else(|| Err(unknown()))
     }
 
-    /// The answer goes out only after the machine has taken the heartbeat in: its sender concludes
-    /// from it that this instance does not act as an owner of an earlier epoch any more.
+    /// Responds only after the machine has processed the heartbeat, because the sender concludes
+    /// from the response that this instance no longer acts as the owner of an earlier epoch.
     async fn receive_heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatResponse, Refusal> {
         if heartbeat.domain != self.entry.domain {
-            return Err(Refusal::new(Code::Conflict, "another failure domain"));
+            return Err(Refusal::new(
+                Code::Conflict,
+                "the heartbeat is for another failure domain",
+            ));
         }
         self.entry.handle.send(Message::Heartbeat(heartbeat));
         let epoch = self.entry.handle.inspect(|machine, _, _| machine.known_epoch()).await;
--- a/src/entry/policy.rs
+++ b/src/entry/policy.rs
@@ -1,4 +1,4 @@
-//! The task that passes the settings in force on to those who act by them.
+//! The task that applies changes of the operators' settings within the process.
 
 use std::rc::Rc;
 
@@ -11,26 +11,26 @@
 use crate::placement::{Objective, Policy};
 use crate::telemetry::names;
 
-/// Who acts by the settings in force.
+/// Receivers of the settings in force.
 pub struct ConfigSubscriber {
     /// The state machine of the failure domain.
     pub owner: Handle,
-    /// What the deployment weighs more.
+    /// What placement optimizes.
     pub objective: Objective,
-    /// Level of the log while the settings in force name none.
+    /// Log level if the settings in force contain none.
     pub log_level: LevelFilter,
-    /// Whether this instance should get traffic.
+    /// Whether this instance should receive traffic.
     pub readiness: Rc<Readiness>,
 }
 
 impl ConfigSubscriber {
-    /// Passes on every value as it comes into force.
+    /// Applies each version of the settings when it comes into force.
     pub async fn run(self, mut values: Values) {
         let mut level = None;
         while let Some(value) = values.recv().await {
-            self.pass_on(&value);
-            // A level that an operator set for this process alone holds until the common one
-            // changes.
+            self.apply(&value);
+            // A level that an operator set for this process alone stays until the level in the
+            // settings changes.
             if value.log_level != level {
                 level = value.log_level;
                 log::set_max_level(level.unwrap_or(self.log_level));
@@ -38,7 +38,7 @@
         }
     }
 
-    fn pass_on(&self, value: &Rc<Value>) {
+    fn apply(&self, value: &Rc<Value>) {
         let policy = Policy::for_preset(value.preset.into(), self.objective);
         self.owner.send(Message::Policy(policy));
         self.owner.send(Message::Settings(value.clone()));
--- a/src/entry/reachability.rs
+++ b/src/entry/reachability.rs
@@ -1,4 +1,4 @@
-//! What this instance's own calls say of other instances.
+//! Reports from this instance's own calls whether other instances are reachable.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,21 +13,23 @@
 use crate::peer::{self, Step};
 use crate::worker::{self, Fault};
 
-/// Rest between two reports that an instance answers. Each report costs a look at the whole view.
+/// Minimum interval between two reports that an instance answers. Each report makes the membership
+/// view be evaluated as a whole.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Passes on to the view of the instances whether they answer.
+/// Reports to the membership view whether instances answer calls.
 pub struct ReachabilityReporter {
     domain: domain::Name,
     members: Handle,
     directory: Rc<Directory>,
     clock: Rc<dyn Clock>,
-    /// When an instance was last reported to answer; none after a failure.
+    /// When each instance was last reported as answering; removed after a failure.
     last_reported: RefCell<BTreeMap<Key, Instant>>,
 }
 
 impl ReachabilityReporter {
-    /// Reports to `members` on workers of `domain` and on the entry instances in `directory`.
+    /// Creates a reporter to `members` about workers of `domain` and entry instances in
+    /// `directory`.
     pub fn new(
         domain: domain::Name,
         members: Handle,
@@ -53,7 +55,7 @@
 
     /// Reports how a call to an entry instance ended.
     ///
-    /// A timeout says nothing: the call may have waited for something beyond that instance.
+    /// A timeout is not reported, because the instance may itself have waited for something else.
     pub fn record_call<T>(&self, address: std::net::SocketAddr, result: &Result<T, peer::Error>) {
         let answered = match result {
             Ok(_) => true,
--- a/src/entry/readiness.rs
+++ b/src/entry/readiness.rs
@@ -1,11 +1,11 @@
-//! Whether this instance should get traffic.
+//! Whether this instance should receive traffic.
 
 use std::cell::Cell;
 
 use crate::api::view;
 use crate::shutdown::Shutdown;
 
-/// What readiness depends on, as the tasks concerned last said.
+/// Conditions of readiness, as last set by the tasks concerned.
 pub struct Readiness {
     stop: Shutdown,
     is_caught_up: Cell<bool>,
@@ -13,22 +13,22 @@
 }
 
 impl Readiness {
-    /// An instance that knows nothing yet and stops with `stop`.
+    /// Creates the readiness of an instance that is not ready yet and stops with `stop`.
     pub fn new(stop: Shutdown) -> Self {
         Self { stop, is_caught_up: Cell::new(false), settings_known: Cell::new(false) }
     }
 
-    /// Takes in whether the state read from the log is as new as the log.
+    /// Sets whether the failure domain's stream has been read to its end.
     pub fn set_caught_up(&self, is_caught_up: bool) {
         self.is_caught_up.set(is_caught_up);
     }
 
-    /// Takes in that the settings in force are known.
+    /// Records that the settings in force are known.
     pub fn set_settings_known(&self) {
         self.settings_known.set(true);
     }
 
-    /// Whether this instance should get traffic, and why not.
+    /// Whether this instance should receive traffic, with the reasons if not.
     pub fn view(&self) -> view::Readiness {
         let conditions = [
             (!self.stop.is_triggered(), "the instance is stopping"),
--- a/src/entry/requests.rs
+++ b/src/entry/requests.rs
@@ -1,4 +1,4 @@
-//! The daemon's part in quick requests: who may ask, which runners there are, who keeps shares.
+//! Starts the tasks of quick requests and keeps their role in the failure domain up to date.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,26 +18,26 @@
 use crate::telemetry::measured;
 use crate::{http, peer};
 
-/// Pause between two looks at who owns the failure domain.
+/// Interval at which the owner of the failure domain is checked.
 const OWNER_POLL: Duration = Duration::from_millis(250);
-/// Time for the last records of at-most-once work to reach the log.
+/// Time limit at shutdown for the last records of at-most-once work to reach the log.
 const RECORD_GRACE: Duration = Duration::from_secs(3);
 
-/// What the tasks reach.
+/// Interfaces that the tasks use.
 pub struct Dependencies {
-    /// Runners, and nothing else.
+    /// HTTP client used only for runners.
     pub runners: Rc<http::Client>,
-    /// Other instances.
+    /// Calls to other instances.
     pub peers: Rc<peer::Client>,
-    /// Intents in the log.
+    /// Records of idempotency keys in the log.
     pub guard: Guard,
-    /// The owner's controller.
+    /// Controller of the failure domain's state machine.
     pub handle: Handle,
-    /// Time.
+    /// Clock.
     pub clock: Rc<dyn Clock>,
 }
 
-/// Starts the task that records intents of work that runs at most once.
+/// Starts the task that records idempotency keys of work that runs at most once.
 pub fn start_records(me: &Instance, store: Rc<dyn Store>, clock: Rc<dyn Clock>) -> Guard {
     let (guard, records) = Guard::new(&me.name, me.run, intent::Policy::default(), store, clock);
     monoio::spawn(records.run(RECORD_GRACE));
@@ -45,7 +45,7 @@
     guard
 }
 
-/// Starts the tasks that answer quick requests until `stop` is triggered and all are answered.
+/// Starts the tasks that serve quick requests until `stop` is triggered and all are answered.
 pub fn start(settings: &Settings, me: &Instance, deps: Dependencies, stop: Shutdown) -> Proxy {
     let Dependencies { runners, peers, guard, handle, clock } = deps;
     let transport: Rc<dyn RunnerTransport> = Rc::new(runner::http::Client::new(runners));
@@ -72,7 +72,7 @@
     proxy.drain().await;
 }
 
-/// Tells the proxy who owns the failure domain, for as long as the controller runs.
+/// Updates the role of the proxy from the owner of the failure domain, until the controller ends.
 async fn follow_owner(me: Instance, handle: Handle, clock: Rc<dyn Clock>, proxy: Proxy) {
     loop {
         let own = me.clone();
--- a/src/entry/views.rs
+++ b/src/entry/views.rs
@@ -1,4 +1,4 @@
-//! What the state machine shows to callers and operators.
+//! Views of the state machine for callers and operators.
 
 use crate::api::{Reason, Refusal, view};
 use crate::clock::{Instant, Unix};
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 ///
-/// Refuses on an instance that is not the owner, and tells the caller to come back.
+/// Refuses on an instance that is not the owner, with a time after which to retry.
 pub fn active(machine: &Machine) -> Result<&Active, Refusal> {
     match &machine.role {
         Role::Owner(active) => Ok(active),
@@ -29,7 +29,7 @@
 }
 
 fn not_found(id: job::Id) -> Refusal {
-    let message = format!("no job {id} is known here; it may have been dropped after its end");
+    let message = format!("no job {id} is known here; it may have been removed after its end");
     Refusal::not_run(Reason::NotFound, message)
 }
 
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// Refuses when the job is not known.
+/// Refuses if the job is not known.
 pub fn job(machine: &Machine, id: job::Id) -> Result<view::job::Job, Refusal> {
     let job = machine.replica.table.get(id).ok_or_else(|| not_found(id))?;
     let active = active(machine).ok();
@@ -128,7 +128,7 @@
     if running { State::Running } else { State::Waiting }
 }
 
-/// Jobs that match, after the cursor.
+/// Page of the jobs that match `filter`, starting after the cursor.
 pub fn jobs(
     machine: &Machine,
     filter: &view::job::Filter,
@@ -157,7 +157,7 @@
 ///
 /// # Errors
 ///
-/// Refuses when the job is not known.
+/// Refuses if the job is not known.
 pub fn explain(
     machine: &Machine,
     id: job::Id,
@@ -175,7 +175,7 @@
 fn describe_state(state: view::job::State) -> &'static str {
     use view::job::State;
     match state {
-        State::Waiting => "its tasks are on their way to workers, or pause before another try",
+        State::Waiting => "its tasks are being started at workers, or pause before another attempt",
         State::Running => "it does not wait: its tasks run",
         State::Cancelling => "it was cancelled; its tasks are being stopped",
         State::Succeeded | State::Failed | State::Cancelled => "it has ended",
@@ -189,7 +189,7 @@
     sessions.map(|(name, session)| show_worker(active, name, session)).collect()
 }
 
-/// One worker; `None` when it is not known.
+/// One worker; `None` if it is not known.
 pub fn worker(active: &Active, name: &worker::Name) -> Option<view::worker::Worker> {
     active.sessions.get(name).map(|session| show_worker(active, name, session))
 }
@@ -218,7 +218,7 @@
     }
 }
 
-/// State of the failure domain, apart from what the settings stream says.
+/// State of the failure domain, without the settings.
 pub fn status(machine: &Machine, now: Instant) -> DomainState {
     let active = active(machine).ok();
     let mut load = view::status::Load::default();
@@ -229,7 +229,7 @@
     let failing = failing.or(machine.election.read_failing_since());
     let log = match failing.map(|since| now.since(since)) {
         None => view::status::Health::Up,
-        Some(span) if span < SLOW_LOG_LIMIT => view::status::Health::Slow,
+        Some(failing_for) if failing_for < SLOW_LOG_LIMIT => view::status::Health::Slow,
         Some(_) => view::status::Health::Down,
     };
     let workers = active.map(count_workers).unwrap_or_default();
@@ -242,21 +242,21 @@
     }
 }
 
-/// Failure of the log up to which it counts as slow rather than down.
+/// Duration of failing log calls up to which the log counts as slow instead of down.
 const SLOW_LOG_LIMIT: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// State of a failure domain, as its owner sees it.
+/// State of a failure domain, as this instance sees it.
 #[derive(Clone, Debug)]
 pub struct DomainState {
     /// Name of the owner.
     pub owner: Option<String>,
     /// Its epoch.
     pub epoch: crate::domain::Epoch,
-    /// Jobs and tasks.
+    /// Number of jobs and tasks by state.
     pub load: view::status::Load,
-    /// How the log does.
+    /// Health of the log.
     pub log: view::status::Health,
-    /// Workers by state.
+    /// Number of workers by state.
     pub workers: view::worker::Count,
 }
 
