--- a/src/entry/backend/dump.rs
+++ b/src/entry/backend/dump.rs
@@ -94,7 +94,7 @@
     /// The whole state of the process.
     pub(super) async fn dump_all(&self) -> Result<serde_json::Value, Refusal> {
         let owner = self.read_state(|machine, _, _| Ok(Owner::from(machine))).await?;
-        let standings = self.config.standings().await;
+        let standings = self.config.sync_statuses().await;
         let dump = Dump {
             instance: self.identity_view().into(),
             readiness: self.readiness.view().into(),
@@ -103,7 +103,7 @@
             standings: standings.iter().map(Standing::from).collect(),
             instances: Instances::from(&*self.directory.roster()),
             requests: self.requests.dump().await,
-            intents: self.binder.guard.stats().await.map(Intents::from),
+            intents: self.binder.deduplicator.stats().await.map(Intents::from),
         };
         let failed = |error| {
             Refusal::not_run(Reason::Internal, format!("the state cannot be serialized: {error}"))
@@ -150,8 +150,8 @@
     }
 }
 
-impl From<&gossip::Standing> for Standing {
-    fn from(standing: &gossip::Standing) -> Self {
+impl From<&gossip::SyncStatus> for Standing {
+    fn from(standing: &gossip::SyncStatus) -> Self {
         Self {
             instance: standing.instance.clone(),
             domain: standing.domain.clone(),
@@ -174,7 +174,7 @@
 
 impl From<Stats> for Intents {
     fn from(stats: Stats) -> Self {
-        let Stats { intents, appends, reads, unsettled, .. } = stats;
-        Self { intents, appends, reads, unsettled }
+        let Stats { intents, appends, reads, unconfirmed, .. } = stats;
+        Self { intents, appends, reads, unsettled: unconfirmed }
     }
 }
--- a/src/entry/backend/status.rs
+++ b/src/entry/backend/status.rs
@@ -13,7 +13,7 @@
 use crate::api::{Call, Refusal, view};
 use crate::clock::{Instant, Unix};
 use crate::config::Value;
-use crate::config::gossip::{Standing, worst_by_domain};
+use crate::config::gossip::{SyncStatus, worst_by_domain};
 use crate::domain::{self, Epoch};
 use crate::entry::forward::{OwnerRequest, OwnerResponse};
 use crate::entry::views;
@@ -129,12 +129,12 @@
             recorded.as_ref().map_or(settings.uptime, |recorded| settings.now.since(recorded.at));
         let mut domain =
             recorded.map_or_else(|| empty_status(name.clone()), |recorded| recorded.domain);
-        let standing = settings.worst.get(name);
-        let standing_age = standing.map_or(settings.uptime, |standing| standing.heard);
-        if let Some(preset) = standing.and_then(|standing| settings.preset_of(standing)) {
+        let status = settings.worst.get(name);
+        let status_age = status.map_or(settings.uptime, |status| status.heard);
+        if let Some(preset) = status.and_then(|status| settings.preset_of(status)) {
             domain.preset = preset;
         }
-        domain.heard = age.min(standing_age);
+        domain.heard = age.min(status_age);
         domain.staleness = settings.staleness(name);
         domain
     }
@@ -145,7 +145,7 @@
             now,
             uptime: now.since(Instant::default()),
             value: self.config.value().await,
-            worst: worst_by_domain(&self.config.standings().await, RECENT_AGE),
+            worst: worst_by_domain(&self.config.sync_statuses().await, RECENT_AGE),
         }
     }
 }
@@ -155,24 +155,24 @@
     now: Instant,
     uptime: Duration,
     value: Option<Rc<Value>>,
-    worst: BTreeMap<domain::Name, Standing>,
+    worst: BTreeMap<domain::Name, SyncStatus>,
 }
 
 impl SettingsOverview {
     /// Time since the log last confirmed a domain's settings; the uptime of this process if that is
     /// unknown.
     fn staleness(&self, domain: &domain::Name) -> Duration {
-        let standing = self.worst.get(domain);
-        standing.and_then(|standing| standing.confirmed).unwrap_or(self.uptime)
+        let status = self.worst.get(domain);
+        status.and_then(|status| status.confirmed).unwrap_or(self.uptime)
     }
 
-    /// The preset in force at the version that `standing` reports.
-    fn preset_of(&self, standing: &Standing) -> Option<InForce> {
+    /// The preset in force at the version that `status` reports.
+    fn preset_of(&self, status: &SyncStatus) -> Option<InForce> {
         let value = self.value.as_ref()?;
-        if standing.version == value.version {
+        if status.version == value.version {
             return Some((&**value).into());
         }
-        value.tenure_at(standing.version).map(InForce::from)
+        value.activation_at(status.version).map(InForce::from)
     }
 }
 
--- a/src/entry/binding.rs
+++ b/src/entry/binding.rs
@@ -5,7 +5,7 @@
 
 use crate::api::{Call, Refusal, view};
 use crate::clock::Clock;
-use crate::intent::{self, Attempt, Guard, Key, Kind, Placement, Request};
+use crate::intent::{self, AttemptId, Deduplicator, DomainBinding, Key, Kind, Request};
 use crate::{codec, domain};
 
 /// Divisor of the caller's timeout that yields the timeout of binding.
@@ -16,7 +16,7 @@
 /// Binds submissions to failure domains.
 pub struct DomainBinder {
     /// Records of idempotency keys in the log.
-    pub guard: Guard,
+    pub deduplicator: Deduplicator,
     /// Clock.
     pub clock: Rc<dyn Clock>,
     /// This instance's failure domain, to which new jobs are bound.
@@ -30,7 +30,7 @@
     /// Whether the log records that its owner has accepted the job.
     pub accepted: bool,
     request: Request,
-    attempt: Attempt,
+    attempt: AttemptId,
 }
 
 impl DomainBinder {
@@ -47,20 +47,20 @@
         submission: &view::job::Submission,
     ) -> Result<BoundSubmission, Refusal> {
         let request = self.request(submission)?;
-        let placement =
-            self.guard.place_job(request.clone(), call.within / BIND_TIMEOUT_DIVISOR).await;
-        match placement {
-            Placement::Placed { attempt, domain, accepted, .. } => {
+        let binding =
+            self.deduplicator.bind_job(request.clone(), call.within / BIND_TIMEOUT_DIVISOR).await;
+        match binding {
+            DomainBinding::Bound { attempt, domain, accepted, .. } => {
                 Ok(BoundSubmission { domain, accepted, request, attempt })
             }
-            Placement::NotRun(refusal) => Err(Refusal::from(refusal).after(BIND_RETRY_AFTER)),
+            DomainBinding::NotRun(refusal) => Err(Refusal::from(refusal).after(BIND_RETRY_AFTER)),
         }
     }
 
     /// Records that the owner has accepted the job, so that a late retry finds it accepted even
     /// after the owner has removed the ended job.
     pub fn record_acceptance(&self, bound: &BoundSubmission) {
-        self.guard.accept_job(&bound.request, bound.attempt, bound.domain.clone());
+        self.deduplicator.record_acceptance(&bound.request, bound.attempt, bound.domain.clone());
     }
 
     /// A key that is not a version 7 UUID has no creation time and is treated as created now. As
@@ -71,7 +71,7 @@
         let invalid = |cause: String| Refusal::invalid("idempotency-key", cause);
         let work = codec::encode(spec).map_err(|error| invalid(error.to_string()))?;
         Ok(Request {
-            created: intent::created_of(key).unwrap_or_else(|| self.clock.unix()),
+            created: intent::creation_time(key).unwrap_or_else(|| self.clock.unix()),
             key: Key::new(Kind::Job, &spec.team, key)
                 .map_err(|error| invalid(error.to_string()))?,
             fingerprint: intent::fingerprint(&work),
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -163,11 +163,11 @@
         readiness: readiness.clone(),
     };
     monoio::spawn(subscriber.run(config.subscribe()));
-    let guard = requests::start_records(&me, shared.store.clone(), clock.clone());
+    let deduplicator = requests::start_records(&me, shared.store.clone(), clock.clone());
     let deps = requests::Dependencies {
         runners: Rc::new(http::Client::new(http::Limits::default())),
         peers: shared.peers.clone(),
-        guard: guard.clone(),
+        deduplicator: deduplicator.clone(),
         handle: handle.clone(),
         clock: clock.clone(),
     };
@@ -180,7 +180,8 @@
     };
     monoio::spawn(subscriber.run(members.subscribe()));
     let running = monoio::spawn(controller.run());
-    let binder = DomainBinder { guard, clock: clock.clone(), domain: settings.domain.clone() };
+    let binder =
+        DomainBinder { deduplicator, clock: clock.clone(), domain: settings.domain.clone() };
     let entry = Entry {
         binder,
         me,
