--- a/src/entry/parts.rs
+++ b/src/entry/assembly.rs
@@ -1,13 +1,13 @@
-//! Tasks and borders as the settings describe them.
+//! Creates tasks and their dependencies from the settings.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use crate::clock::Clock;
 use crate::domain::{self, Instance};
-use crate::entry::controller::{Borders, Controller};
+use crate::entry::controller::{Controller, Dependencies};
+use crate::entry::reachability::ReachabilityReporter;
 use crate::entry::readiness::Readiness;
-use crate::entry::witness::Witness;
 use crate::membership::probe::TcpProbe;
 use crate::membership::seed::SeededSource;
 use crate::membership::view::ViewPolicy;
@@ -21,17 +21,17 @@
 use crate::telemetry::instrumented;
 use crate::{config, http, membership, peer, store, worker};
 
-/// Stream of a failure domain in the log.
+/// Name of the stream of a failure domain in the log.
 pub fn stream(domain: &domain::Name) -> String {
     format!("domain-{}", domain.as_str())
 }
 
-/// What the tasks of one process share.
+/// Resources that the tasks of one process share.
 #[derive(Clone)]
-pub struct Shared {
+pub struct SharedResources {
     /// This process.
     pub me: Instance,
-    /// Time.
+    /// Clock.
     pub clock: Rc<dyn Clock>,
     /// The platform's log.
     pub store: Rc<dyn Store>,
@@ -43,8 +43,8 @@
     pub stop: Shutdown,
 }
 
-impl Shared {
-    /// The shared parts of the process `me`, whose tasks end with `stop`.
+impl SharedResources {
+    /// Creates the resources of the process `me`, whose tasks end with `stop`.
     pub fn new(settings: &Settings, me: Instance, clock: Rc<dyn Clock>, stop: Shutdown) -> Self {
         let client = Rc::new(http::Client::new(http::Limits::default()));
         let peers = Rc::new(peer::Client::new(peer::Limits::default()));
@@ -52,22 +52,22 @@
         Self { me, clock, store, peers, client, stop }
     }
 
-    /// The task that owns the state machine of the failure domain.
+    /// Creates the controller of the failure domain's state machine.
     pub fn controller(
         &self,
         settings: &Settings,
-        witness: Rc<Witness>,
+        reachability: Rc<ReachabilityReporter>,
         readiness: Rc<Readiness>,
     ) -> Controller {
         let machine = Machine::new(
             self.me.clone(),
             settings.domain.clone(),
             timings(settings),
-            Policy::for_preset(Preset::Ordinary, weighs(settings)),
+            Policy::for_preset(Preset::Ordinary, objective(settings)),
             self.clock.now(),
         );
         let workers = worker::http::Client::new(self.client.clone());
-        let borders = Borders {
+        let deps = Dependencies {
             store: self.store.clone(),
             workers: Rc::new(instrumented::Workers(Rc::new(workers))),
             peers: self.peers.clone(),
@@ -75,13 +75,13 @@
             stream: stream(&settings.domain),
             worker_timeout: settings.owner.exchange_timeout,
             peer_timeout: settings.peer_calls.timeout,
-            witness,
+            reachability,
             readiness,
         };
-        Controller::new(machine, borders)
+        Controller::new(machine, deps)
     }
 
-    /// Starts the tasks of the settings in force.
+    /// Starts the tasks that replicate the operators' settings.
     pub fn start_config(&self, settings: &Settings) -> config::Handle {
         config::follow::start(config::follow::Setup {
             name: settings.instance.clone(),
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Starts the tasks that keep the view of the instances.
+    /// Starts the tasks that keep the list of instances up to date.
     pub fn start_membership(&self, settings: &Settings) -> membership::follow::Handle {
         let list = &settings.instance_list;
         let source = membership::http::Client::new(list.address, self.client.clone(), list.timeout);
@@ -111,8 +111,8 @@
     }
 }
 
-/// What the deployment weighs more.
-pub fn weighs(settings: &Settings) -> Objective {
+/// What placement optimizes, according to the settings.
+pub fn objective(settings: &Settings) -> Objective {
     match settings.weighs {
         Weighs::Packing => Objective::Packing,
         Weighs::Waiting => Objective::Waiting,
@@ -129,7 +129,7 @@
     }
 }
 
-/// The platform's log at all its addresses.
+/// Client of the platform's log that fails over between its addresses.
 fn log(settings: &Settings, client: &Rc<http::Client>) -> Rc<dyn Store> {
     let addresses = settings.log.addresses.iter();
     let at = |address: &SocketAddr| -> Rc<dyn Store> {
--- a/src/entry/backend/alerts.rs
+++ b/src/entry/backend/alerts.rs
@@ -4,11 +4,11 @@
 use super::jobs::refusal;
 use crate::alert;
 use crate::api::{CallContext, Reason, Refusal, view};
-use crate::entry::forward::{Reply, Tell};
+use crate::entry::forward::{OwnerResponse, Reply};
 use crate::owner::machine::{self, Answer};
 
 impl Entry {
-    /// Marks an alert as seen, as the owner.
+    /// Acknowledges an alert, as the owner.
     pub(super) async fn acknowledge_here(&self, call: CallContext, text: &str) -> Reply {
         let unknown = || Refusal::not_run(Reason::NotFound, format!("no alert {text} is known"));
         let id = alert::Id::parse(text).ok_or_else(unknown)?;
@@ -19,12 +19,12 @@
             Answer::NotFound => return Err(unknown()),
             other => return Err(refusal("alert", text, other)),
         }
-        self.look(move |machine, _, _| {
+        self.read_state(move |machine, _, _| {
             let alert = machine.board().get(id);
             Ok(alert.map(|alert| view::alert::Alert::new(&machine.domain, alert)))
         })
         .await?
-        .map(Tell::Alert)
+        .map(OwnerResponse::Alert)
         .ok_or_else(unknown)
     }
 }
--- a/src/entry/backend/jobs.rs
+++ b/src/entry/backend/jobs.rs
@@ -1,15 +1,15 @@
-//! Jobs at the owner of the failure domain.
+//! Submission and cancellation of jobs at the owner of the failure domain.
 
 use std::time::Duration;
 
 use super::{Entry, OWNER_PAUSE};
 use crate::api::{CallContext, Reason, Refusal, view};
-use crate::entry::forward::{Reply, Tell};
+use crate::entry::forward::{OwnerResponse, Reply};
 use crate::entry::views;
 use crate::job;
 use crate::owner::machine::{self, Answer};
 
-/// Pause that a refused caller is asked to make while the log is away or too much waits for it.
+/// Time after which a caller should retry while the log is unreachable or does not answer.
 const LOG_PAUSE: Duration = Duration::from_secs(5);
 
 impl Entry {
@@ -23,7 +23,7 @@
         let view::job::Submission { key, spec } = submission;
         let change = machine::Call::Submit { job: id, key, spec };
         match self.handle.call(&*self.clock, change, call.within).await {
-            Answer::Accepted { duplicate } => Ok(Tell::Accepted(view::job::Accepted {
+            Answer::Accepted { duplicate } => Ok(OwnerResponse::Accepted(view::job::Accepted {
                 job: id,
                 durability: view::job::Durability::Log,
                 duplicate,
@@ -37,15 +37,15 @@
         let change = machine::Call::Cancel(id);
         match self.handle.call(&*self.clock, change, call.within).await {
             Answer::Cancelled => self
-                .look(move |machine, _, _| views::job(machine, id))
+                .read_state(move |machine, _, _| views::job(machine, id))
                 .await
-                .map(|job| Tell::Job(Box::new(job))),
+                .map(|job| OwnerResponse::Job(Box::new(job))),
             other => Err(refusal("job", &id.to_string(), other)),
         }
     }
 }
 
-/// What a caller is told of a change that the owner did not carry out.
+/// Refusal of a change that the owner did not confirm.
 pub(super) fn refusal(what: &str, id: &str, answer: Answer) -> Refusal {
     let cause = match answer {
         Answer::Refused(cause) => cause,
@@ -65,17 +65,17 @@
         machine::Refusal::NotOwner(_) => views::no_owner(),
         machine::Refusal::WorkerReachable => Refusal::not_run(
             Reason::AlreadyEnded,
-            format!("worker {id} answers, so what it runs is known; drain it instead"),
+            format!("worker {id} is reachable, so it is known what it runs; drain it instead"),
         ),
         machine::Refusal::KeyReused => Refusal::not_run(
             Reason::KeyReused,
-            format!("the idempotency key already stands for job {id} with other contents"),
+            format!("the idempotency key was already used for job {id} with different contents"),
         ),
         machine::Refusal::Impossible(reason) => {
             Refusal::not_run(Reason::Impossible, reason.to_string())
         }
         machine::Refusal::Busy => {
-            Refusal::not_run(Reason::Overloaded, "too much waits for the log")
+            Refusal::not_run(Reason::Overloaded, "too many changes wait for the log")
                 .with_retry_after(OWNER_PAUSE)
         }
         machine::Refusal::LogUnavailable => {
--- a/src/entry/backend/status.rs
+++ b/src/entry/backend/status.rs
@@ -1,4 +1,4 @@
-//! What every failure domain is doing.
+//! Status of all failure domains.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,70 +15,71 @@
 use crate::config::Value;
 use crate::config::gossip::{SyncStatus, worst_by_domain};
 use crate::domain::{self, Epoch};
-use crate::entry::forward::{Ask, Tell};
+use crate::entry::forward::{OwnerRequest, OwnerResponse};
 use crate::entry::views;
 
-/// Peer method by which an instance asks what another failure domain is doing.
+/// Peer method that returns the status of a failure domain.
 pub const STATUS: &str = "entry/status";
 
-/// Longest that one instance of another failure domain is waited for.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// Instances of another failure domain that are asked before it counts as cut off.
-const TRIES: usize = 2;
-/// Age up to which what was heard of an instance goes before what is older.
-const RECENT: Duration = Duration::from_secs(5);
+/// Maximum time to wait for one instance of another failure domain.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
+/// Number of instances of another failure domain to try before it counts as unreachable.
+const MAX_ATTEMPTS: usize = 2;
+/// Age up to which the sync status of an instance counts as recent and is preferred to older ones.
+const RECENT_AGE: Duration = Duration::from_secs(5);
 
-/// What was last heard of other failure domains.
+/// Last status received from each other failure domain.
 #[derive(Debug, Default)]
-pub struct Memory {
-    domains: RefCell<BTreeMap<domain::Name, Heard>>,
+pub struct LastStatuses {
+    domains: RefCell<BTreeMap<domain::Name, RecordedStatus>>,
 }
 
-/// What was last heard of a failure domain.
+/// Last status received from a failure domain.
 #[derive(Clone, Debug)]
-struct Heard {
+struct RecordedStatus {
     at: Instant,
     domain: Domain,
 }
 
 impl Entry {
-    /// What all failure domains are doing, this instance's own first.
+    /// Status of all failure domains, this instance's own first.
     pub(super) async fn status_of_all(&self, call: CallContext) -> Result<Status, Refusal> {
         let own = self.domain_status(call.clone()).await?;
         let others = self.directory.other_domains();
-        let asked = join_all(others.iter().map(|domain| self.ask_domain(&call, domain))).await;
-        let known = self.known().await;
+        let answers =
+            join_all(others.iter().map(|domain| self.request_status(&call, domain))).await;
+        let settings = self.settings_overview().await;
         let mut domains = vec![own];
-        for (name, answer) in others.into_iter().zip(asked) {
+        for (name, answer) in others.into_iter().zip(answers) {
             domains.push(match answer {
-                Some(domain) => self.hear(domain),
-                None => self.recall(&name, &known),
+                Some(domain) => self.record_status(domain),
+                None => self.last_status(&name, &settings),
             });
         }
-        let preset = in_force(known.value.as_deref());
+        let preset = in_force(settings.value.as_deref());
         Ok(Status { instance: self.identity_view(), preset, domains })
     }
 
-    /// What this failure domain is doing: by its owner's word, or by this instance's own while
-    /// none can be reached.
+    /// Status of this failure domain, from its owner or, if the owner cannot be reached, from this
+    /// instance.
     ///
     /// # Errors
     ///
-    /// Refuses while the instance stops.
+    /// Refuses while the instance is stopping.
     pub async fn domain_status(&self, call: CallContext) -> Result<Domain, Refusal> {
-        match self.ask(call, Ask::Status).await {
-            Ok(Tell::Status(status)) => Ok(*status),
+        match self.call_owner(call, OwnerRequest::Status).await {
+            Ok(OwnerResponse::Status(status)) => Ok(*status),
             _ => self.status_here().await,
         }
     }
 
-    /// What this failure domain is doing as far as this instance knows.
+    /// Status of this failure domain as seen by this instance.
     pub(super) async fn status_here(&self) -> Result<Domain, Refusal> {
-        let known = self.known().await;
+        let settings = self.settings_overview().await;
         let name = self.domain.clone();
-        let preset = in_force(known.value.as_deref());
-        let staleness = known.staleness(&name);
-        self.look(move |machine, now, _| {
+        let preset = in_force(settings.value.as_deref());
+        let staleness = settings.staleness(&name);
+        self.read_state(move |machine, now, _| {
             let state = views::status(machine, now);
             Ok(Domain {
                 name,
@@ -96,13 +97,13 @@
         .await
     }
 
-    async fn ask_domain(&self, call: &CallContext, domain: &domain::Name) -> Option<Domain> {
-        let within = PATIENCE.min(call.within / 4);
+    async fn request_status(&self, call: &CallContext, domain: &domain::Name) -> Option<Domain> {
+        let within = REQUEST_TIMEOUT.min(call.within / 4);
         let call = CallContext { within, ..call.clone() };
-        for address in self.directory.entries_of(domain).into_iter().take(TRIES) {
+        for address in self.directory.entries_of(domain).into_iter().take(MAX_ATTEMPTS) {
             let answer: Result<Result<Domain, Refusal>, _> =
                 self.peers.call(address, STATUS, &call, within).await;
-            self.witness.called(address, &answer);
+            self.reachability.record_call(address, &answer);
             match answer {
                 Ok(Ok(answer)) if answer.name == *domain => return Some(answer),
                 Ok(Ok(answer)) => {
@@ -115,55 +116,57 @@
         None
     }
 
-    fn hear(&self, domain: Domain) -> Domain {
-        let heard = Heard { at: self.clock.now(), domain: domain.clone() };
-        self.memory.domains.borrow_mut().insert(domain.name.clone(), heard);
+    fn record_status(&self, domain: Domain) -> Domain {
+        let recorded = RecordedStatus { at: self.clock.now(), domain: domain.clone() };
+        self.last_statuses.domains.borrow_mut().insert(domain.name.clone(), recorded);
         domain
     }
 
-    /// What was last heard of a failure domain that does not answer.
-    fn recall(&self, name: &domain::Name, known: &Known) -> Domain {
-        let heard = self.memory.domains.borrow().get(name).cloned();
-        let age = heard.as_ref().map_or(known.uptime, |heard| known.now.since(heard.at));
-        let mut domain = heard.map_or_else(|| unheard(name.clone()), |heard| heard.domain);
-        let status = known.worst.get(name);
-        let status_age = status.map_or(known.uptime, |status| status.heard);
-        if let Some(preset) = status.and_then(|status| known.preset_of(status)) {
+    /// Last status of a failure domain that does not answer.
+    fn last_status(&self, name: &domain::Name, settings: &SettingsOverview) -> Domain {
+        let recorded = self.last_statuses.domains.borrow().get(name).cloned();
+        let age =
+            recorded.as_ref().map_or(settings.uptime, |recorded| settings.now.since(recorded.at));
+        let mut domain =
+            recorded.map_or_else(|| empty_status(name.clone()), |recorded| recorded.domain);
+        let status = settings.worst.get(name);
+        let status_age = status.map_or(settings.uptime, |status| status.heard);
+        if let Some(preset) = status.and_then(|status| settings.preset_of(status)) {
             domain.preset = preset;
         }
         domain.heard = age.min(status_age);
-        domain.staleness = known.staleness(name);
+        domain.staleness = settings.staleness(name);
         domain
     }
 
-    async fn known(&self) -> Known {
+    async fn settings_overview(&self) -> SettingsOverview {
         let now = self.clock.now();
-        Known {
+        SettingsOverview {
             now,
             uptime: now.since(Instant::default()),
             value: self.config.value().await,
-            worst: worst_by_domain(&self.config.sync_statuses().await, RECENT),
+            worst: worst_by_domain(&self.config.sync_statuses().await, RECENT_AGE),
         }
     }
 }
 
-/// What this instance knows of the settings everywhere.
-struct Known {
+/// How current the settings are in all failure domains, as known here.
+struct SettingsOverview {
     now: Instant,
     uptime: Duration,
     value: Option<Rc<Value>>,
     worst: BTreeMap<domain::Name, SyncStatus>,
 }
 
-impl Known {
-    /// How long a domain's settings have gone unconfirmed by the log: as long as this process has
-    /// run, where nothing was heard.
+impl SettingsOverview {
+    /// Time since the log last confirmed a domain's settings; the uptime of this process if that is
+    /// unknown.
     fn staleness(&self, domain: &domain::Name) -> Duration {
         let status = self.worst.get(domain);
         status.and_then(|status| status.confirmed).unwrap_or(self.uptime)
     }
 
-    /// The preset that was in force where `status` was told.
+    /// The preset in force at the version that `status` reports.
     fn preset_of(&self, status: &SyncStatus) -> Option<ActivePreset> {
         let value = self.value.as_ref()?;
         if status.version == value.version {
@@ -173,7 +176,7 @@
     }
 }
 
-/// The preset in force, for people, also while it is not known.
+/// The preset in force, or a placeholder if it is not known.
 fn in_force(value: Option<&Value>) -> ActivePreset {
     value.map_or_else(unknown_preset, ActivePreset::from)
 }
@@ -187,7 +190,7 @@
     }
 }
 
-fn unheard(name: domain::Name) -> Domain {
+fn empty_status(name: domain::Name) -> Domain {
     Domain {
         name,
         owner: None,
--- a/src/entry/controller.rs
+++ b/src/entry/controller.rs
@@ -10,9 +10,9 @@
 
 use crate::clock::{Clock, Instant, Unix};
 use crate::domain::Epoch;
-use crate::entry::peers::{Heard, Kept};
+use crate::entry::peers::{HeartbeatResponse, StoreBatchResponse};
+use crate::entry::reachability::ReachabilityReporter;
 use crate::entry::readiness::Readiness;
-use crate::entry::witness::Witness;
 use crate::owner::journal::AppendRequest;
 use crate::owner::machine::{Answer, Call, Effect, Heartbeat, Machine, Message};
 use crate::owner::session::ExchangeRequest;
@@ -22,19 +22,19 @@
 use crate::worker::{self, WorkerTransport};
 
 /// Peer method that carries an owner's heartbeat.
-pub const BEAT: &str = "owner/beat";
-/// Peer method by which an owner without the log asks an instance to keep a batch.
-pub const HOLD: &str = "owner/hold";
+pub const HEARTBEAT: &str = "owner/beat";
+/// Peer method by which an owner that cannot reach the log asks an instance to store a batch.
+pub const STORE_BATCH: &str = "owner/hold";
 /// Peer method by which an owner asks an instance to take over.
 pub const HANDOVER: &str = "owner/handover";
 
 /// Longest time between two steps of the machine.
 const TICK: Duration = Duration::from_millis(25);
 
-/// A look at the machine, run by the task that owns it.
+/// Closure that reads the machine, run by the task that owns it.
 type Inspection = Box<dyn FnOnce(&Machine, Instant, Unix)>;
 
-/// Message to the controller.
+/// Input of the controller.
 enum Input {
     Message(Message),
     Call { ticket: Ticket, call: Call, reply: oneshot::Sender<Answer> },
@@ -42,55 +42,55 @@
     Inspect(Inspection),
 }
 
-/// Way to talk to the controller.
+/// Handle to the controller.
 #[derive(Clone)]
 pub struct Handle {
     inputs: Tx<Input>,
     tickets: Rc<std::cell::Cell<Ticket>>,
 }
 
-/// Borders through which effects reach the outside.
-pub struct Borders {
+/// Interfaces that carry out the machine's effects.
+pub struct Dependencies {
     /// The platform's log.
     pub store: Rc<dyn Store>,
-    /// The workers.
+    /// Calls to the workers.
     pub workers: Rc<dyn WorkerTransport>,
-    /// Other instances.
+    /// Calls to other instances.
     pub peers: Rc<peer::Client>,
-    /// Time.
+    /// Clock.
     pub clock: Rc<dyn Clock>,
-    /// Stream of the failure domain.
+    /// Name of the stream of the failure domain.
     pub stream: String,
-    /// Time an exchange may take beyond what the worker may wait.
+    /// Timeout of an exchange, in addition to the time that the worker may wait.
     pub worker_timeout: Duration,
-    /// Time a heartbeat may take.
+    /// Timeout of a call to another instance.
     pub peer_timeout: Duration,
-    /// Who hears whether other instances answer.
-    pub witness: Rc<Witness>,
-    /// Whether this instance should get traffic.
+    /// Receives the results of calls to other instances and workers.
+    pub reachability: Rc<ReachabilityReporter>,
+    /// Whether this instance should receive traffic.
     pub readiness: Rc<Readiness>,
 }
 
-/// The task's state.
+/// Runs the state machine and carries out its effects.
 pub struct Controller {
     machine: Machine,
-    borders: Rc<Borders>,
+    deps: Rc<Dependencies>,
     inputs: Rx<Input>,
     handle: Handle,
     waiting: BTreeMap<Ticket, oneshot::Sender<Answer>>,
 }
 
 impl Handle {
-    /// Hands a message to the machine.
+    /// Sends a message to the machine.
     pub fn send(&self, message: Message) {
-        // The controller ends only when the process does; a message to it is then moot.
+        // The controller ends only with the process, so a message that it misses has no effect.
         let _ = self.inputs.send(Input::Message(message));
     }
 
-    /// Asks the owner on this instance for a change and waits at most `within`.
+    /// Requests a change from the owner on this instance and waits at most `within`.
     ///
-    /// When time runs out the machine takes back what was not handed to the log yet, so that the
-    /// answer says truly whether the change may take effect.
+    /// After that time the machine withdraws the change if it has not been sent to the log yet, so
+    /// that the answer tells correctly whether the change may take effect.
     pub async fn call(&self, clock: &dyn Clock, call: Call, within: Duration) -> Answer {
         let (reply, mut answer) = oneshot::channel();
         let ticket = self.tickets.get() + 1;
@@ -107,14 +107,14 @@
         }
     }
 
-    /// Runs `look` on the machine and returns what it found; `None` while the process ends.
+    /// Runs `read` on the machine and returns its result, or `None` if the controller has ended.
     pub async fn inspect<T: 'static>(
         &self,
-        look: impl FnOnce(&Machine, Instant, Unix) -> T + 'static,
+        read: impl FnOnce(&Machine, Instant, Unix) -> T + 'static,
     ) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         let inspection: Inspection = Box::new(move |machine, now, unix| {
-            let _ = reply.send(look(machine, now, unix));
+            let _ = reply.send(read(machine, now, unix));
         });
         self.inputs.send(Input::Inspect(inspection)).ok()?;
         answer.await.ok()
@@ -122,27 +122,27 @@
 }
 
 impl Controller {
-    /// A controller of `machine`.
-    pub fn new(machine: Machine, borders: Borders) -> Self {
+    /// Creates the controller of `machine`.
+    pub fn new(machine: Machine, deps: Dependencies) -> Self {
         let (sender, inputs) = channel();
         let handle = Handle { inputs: sender, tickets: Rc::default() };
-        Self { machine, borders: Rc::new(borders), inputs, handle, waiting: BTreeMap::new() }
+        Self { machine, deps: Rc::new(deps), inputs, handle, waiting: BTreeMap::new() }
     }
 
-    /// Way to talk to this controller.
+    /// Returns a handle to this controller.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
     /// Runs until the machine has stopped.
     ///
-    /// A step is due a tick after the last one, whatever came in between. Counted from the last
-    /// input instead, an owner that is asked for its state more often than once a tick would send
-    /// no heartbeat and commit nothing until some other message came.
+    /// A step is due one tick after the last step, regardless of inspections in between. If the
+    /// time counted from the last input, an owner whose state is read more often than once a tick
+    /// would send no heartbeat and commit nothing until another message arrived.
     pub async fn run(mut self) {
-        let mut due = self.borders.clock.now().after(TICK);
+        let mut due = self.deps.clock.now().after(TICK);
         loop {
-            let left = due.since(self.borders.clock.now());
+            let left = due.since(self.deps.clock.now());
             let message = match monoio::time::timeout(left, self.inputs.recv()).await {
                 Err(_) => Message::Tick,
                 Ok(None) => return,
@@ -152,9 +152,9 @@
                     Message::Call { ticket, call }
                 }
                 Ok(Some(Input::Expire(ticket))) => Message::Expired(ticket),
-                Ok(Some(Input::Inspect(look))) => {
-                    let now = self.borders.clock.now();
-                    look(&self.machine, now, self.borders.clock.unix());
+                Ok(Some(Input::Inspect(inspection))) => {
+                    let now = self.deps.clock.now();
+                    inspection(&self.machine, now, self.deps.clock.unix());
                     if now < due {
                         continue;
                     }
@@ -164,14 +164,14 @@
             if self.step(message) {
                 return;
             }
-            due = self.borders.clock.now().after(TICK);
+            due = self.deps.clock.now().after(TICK);
         }
     }
 
-    /// Whether the machine has stopped.
+    /// Handles one message and returns whether the machine has stopped.
     fn step(&mut self, message: Message) -> bool {
-        let now = self.borders.clock.now();
-        let unix = self.borders.clock.unix();
+        let now = self.deps.clock.now();
+        let unix = self.deps.clock.unix();
         let mut stopped = false;
         for effect in self.machine.handle(message, now, unix) {
             match effect {
@@ -191,45 +191,44 @@
                 Effect::Stopped => stopped = true,
             }
         }
-        self.borders.readiness.set_caught_up(self.machine.is_ready());
+        self.deps.readiness.set_caught_up(self.machine.is_ready());
         stopped
     }
 
     fn read(&self, from: Offset, wait: Duration) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
-            let result = borders.store.read(&borders.stream, from, wait).await;
+            let result = deps.store.read(&deps.stream, from, wait).await;
             handle.send(Message::Read(result));
         });
     }
 
     fn append(&self, AppendRequest { tag, payload }: AppendRequest) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
-            let result = borders.store.append(&borders.stream, payload).await;
+            let result = deps.store.append(&deps.stream, payload).await;
             handle.send(Message::Appended { tag, result });
         });
     }
 
     fn exchange(&self, epoch: Epoch, worker: worker::Name, request: ExchangeRequest) {
-        let (borders, handle) = (self.borders.clone(), self.handle.clone());
+        let (deps, handle) = (self.deps.clone(), self.handle.clone());
         monoio::spawn(async move {
-            let timeout = borders.worker_timeout;
-            let result =
-                borders.workers.exchange(request.address, &request.exchange, timeout).await;
-            borders.witness.exchanged(&worker, &result);
+            let timeout = deps.worker_timeout;
+            let result = deps.workers.exchange(request.address, &request.exchange, timeout).await;
+            deps.reachability.record_exchange(&worker, &result);
             handle.send(Message::Exchanged { epoch, worker, channel: request.channel, result });
         });
     }
 
     fn send_heartbeat(&self, to: &[SocketAddr], heartbeat: &Heartbeat) {
         for peer in to.iter().copied() {
-            let (borders, handle) = (self.borders.clone(), self.handle.clone());
+            let (deps, handle) = (self.deps.clone(), self.handle.clone());
             let heartbeat = heartbeat.clone();
             monoio::spawn(async move {
-                let answer = borders.peers.call(peer, BEAT, &heartbeat, borders.peer_timeout).await;
-                borders.witness.called(peer, &answer);
-                if let Ok(Heard { from, epoch }) = answer {
+                let answer = deps.peers.call(peer, HEARTBEAT, &heartbeat, deps.peer_timeout).await;
+                deps.reachability.record_call(peer, &answer);
+                if let Ok(HeartbeatResponse { from, epoch }) = answer {
                     handle.send(Message::HeartbeatAnswered { from, epoch });
                 }
             });
@@ -238,11 +237,11 @@
 
     fn store_batch(&self, to: &[SocketAddr], copy: &BatchCopy) {
         for peer in to.iter().copied() {
-            let (borders, handle) = (self.borders.clone(), self.handle.clone());
+            let (deps, handle) = (self.deps.clone(), self.handle.clone());
             let copy = copy.clone();
             monoio::spawn(async move {
-                let answer = borders.peers.call(peer, HOLD, &copy, borders.peer_timeout).await;
-                if let Ok(Kept { from, kept: true }) = answer {
+                let answer = deps.peers.call(peer, STORE_BATCH, &copy, deps.peer_timeout).await;
+                if let Ok(StoreBatchResponse { from, kept: true }) = answer {
                     let (epoch, sequence) = (copy.epoch, copy.sequence);
                     handle.send(Message::BatchStored { from, epoch, sequence });
                 }
@@ -251,10 +250,10 @@
     }
 
     fn hand_over(&self, to: SocketAddr, epoch: Epoch) {
-        let borders = self.borders.clone();
+        let deps = self.deps.clone();
         monoio::spawn(async move {
             let answer: Result<(), _> =
-                borders.peers.call(to, HANDOVER, &epoch, borders.peer_timeout).await;
+                deps.peers.call(to, HANDOVER, &epoch, deps.peer_timeout).await;
             if let Err(error) = answer {
                 log::warn!("event=owner.handover_failed {error}");
             }
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: binds its addresses, starts its tasks and ends them in order.
+//! The daemon: binds its addresses, starts its tasks and shuts them down in order.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 
 use crate::clock::{Clock, System};
 use crate::domain::Instance;
+use crate::entry::assembly::{self, SharedResources};
 use crate::entry::backend::Entry;
-use crate::entry::backend::status::Memory;
-use crate::entry::binding::Binding;
+use crate::entry::backend::status::LastStatuses;
+use crate::entry::binding::DomainBinder;
 use crate::entry::directory::Directory;
-use crate::entry::parts::{self, Shared};
+use crate::entry::reachability::ReachabilityReporter;
 use crate::entry::readiness::Readiness;
-use crate::entry::witness::Witness;
 use crate::entry::{gauges, members, peers, policy, requests};
 use crate::owner::machine::Message;
 use crate::runner::Proxy;
@@ -26,13 +26,13 @@
 use crate::telemetry::Recorder;
 use crate::{api, http, peer};
 
-/// A daemon that could not start, with the step and the address at which it failed.
+/// Failure to start, with the step and the address at which it occurred.
 #[derive(Debug, Display, derive_more::Error)]
 #[display("step={step} address={address} cause={cause}")]
 pub struct Error {
-    /// What was tried.
+    /// Step that failed.
     pub step: &'static str,
-    /// Address concerned.
+    /// Address to bind.
     pub address: SocketAddr,
     /// Cause.
     #[error(source)]
@@ -42,9 +42,9 @@
 /// Addresses that a daemon listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listening {
-    /// Callers and operators.
+    /// Address for callers and operators.
     pub api: SocketAddr,
-    /// Other instances.
+    /// Address for other instances.
     pub peer: SocketAddr,
 }
 
@@ -58,8 +58,8 @@
 }
 
 impl Daemon {
-    /// Binds the addresses that the settings name. Needs a running runtime on this thread.
-    /// Daemons of one process share its recorder.
+    /// Binds the addresses in the settings. Requires a running runtime on this thread.
+    /// Daemons of one process share its metrics recorder.
     ///
     /// # Errors
     ///
@@ -79,13 +79,13 @@
         Ok(Self { settings, api, peer, listening, recorder })
     }
 
-    /// Addresses that are bound.
+    /// Returns the bound addresses.
     pub fn listening(&self) -> Listening {
         self.listening
     }
 
-    /// Serves until `stop` is triggered. Requests in flight end first, then the failure domain is
-    /// handed over.
+    /// Serves until `stop` is triggered, then finishes requests in flight and hands the failure
+    /// domain over.
     pub async fn run(self, stop: Shutdown) {
         let Self { settings, api, peer, listening, recorder } = self;
         let clock: Rc<dyn Clock> = Rc::new(System::start());
@@ -98,19 +98,23 @@
             listening.api,
             listening.peer
         );
-        // Tasks in the background go on until requests in flight have ended.
+        // Background tasks continue until requests in flight have ended.
         let end = Shutdown::new();
-        let shared = Shared::new(&settings, me, clock.clone(), end.clone());
+        let shared = SharedResources::new(&settings, me, clock.clone(), end.clone());
         let readiness = Rc::new(Readiness::new(stop.clone()));
         let (entry, requests, running) = start(&settings, &shared, readiness, stop.clone());
         let handle = entry.handle.clone();
-        // Peers are served to the very end: those whose requests this instance still has in flight
-        // reach the owner through it, and the new owner asks whether this one has stepped down.
+        // Peer calls are served until the end: requests in flight may still be forwarded to the
+        // owner here, and the new owner checks whether this instance has stepped down.
         let peer_stop = Shutdown::new();
-        let peer_handler = Rc::new(peers::Peers::new(entry.clone(), requests.clone()));
+        let peer_handler = Rc::new(peers::PeerHandler::new(entry.clone(), requests.clone()));
         let grace = settings.http.shutdown_grace;
         let peer_server = monoio::spawn(peer.serve(peer_handler, peer_stop.clone(), grace));
-        monoio::spawn(gauges::follow(recorder.clone(), entry.handle.clone(), clock.clone()));
+        monoio::spawn(gauges::update_periodically(
+            recorder.clone(),
+            entry.handle.clone(),
+            clock.clone(),
+        ));
         let options = api::Options {
             operator_token: settings.operator_token.map(check),
             metrics: Box::new(move || recorder.render()),
@@ -130,55 +134,56 @@
 /// Time for the last batch to reach the log and for a peer to take over.
 const HAND_OVER_GRACE: Duration = Duration::from_secs(3);
 
-/// Starts the tasks of the process, and returns its parts towards callers with the state machine's
-/// task. No quick request is taken any more once `stop` is triggered.
+/// Starts the tasks of the process. Returns the backend of the API, the proxy of quick requests and
+/// the task of the state machine. No quick request is accepted once `stop` is triggered.
 fn start(
     settings: &Settings,
-    shared: &Shared,
+    shared: &SharedResources,
     readiness: Rc<Readiness>,
     stop: Shutdown,
 ) -> (Rc<Entry>, Proxy, JoinHandle<()>) {
-    let Shared { me, clock, .. } = shared.clone();
+    let SharedResources { me, clock, .. } = shared.clone();
     let domains = settings.domains.iter().map(|domain| domain.name.clone()).collect();
     let directory = Rc::new(Directory::new(me.clone(), settings.domain.clone(), domains));
     let members = shared.start_membership(settings);
-    let witness = Rc::new(Witness::new(
+    let reachability = Rc::new(ReachabilityReporter::new(
         settings.domain.clone(),
         members.clone(),
         directory.clone(),
         clock.clone(),
     ));
-    let controller = shared.controller(settings, witness.clone(), readiness.clone());
+    let controller = shared.controller(settings, reachability.clone(), readiness.clone());
     let handle = controller.handle();
     let config = shared.start_config(settings);
-    let weighs = parts::weighs(settings);
-    let follower = policy::Follower {
+    let objective = assembly::objective(settings);
+    let subscriber = policy::ConfigSubscriber {
         owner: handle.clone(),
-        weighs,
+        objective,
         log_level: LevelFilter::from(settings.log_level),
         readiness: readiness.clone(),
     };
-    monoio::spawn(follower.run(config.subscribe()));
+    monoio::spawn(subscriber.run(config.subscribe()));
     let deduplicator = requests::start_records(&me, shared.store.clone(), clock.clone());
-    let ways = requests::Ways {
+    let deps = requests::Dependencies {
         runners: Rc::new(http::Client::new(http::Limits::default())),
         peers: shared.peers.clone(),
         deduplicator: deduplicator.clone(),
         handle: handle.clone(),
         clock: clock.clone(),
     };
-    let requests = requests::start(settings, &me, ways, stop);
-    let followers = members::Followers {
+    let requests = requests::start(settings, &me, deps, stop);
+    let subscriber = members::MembershipSubscriber {
         directory: directory.clone(),
         owner: handle.clone(),
         config: config.clone(),
         requests: requests.clone(),
     };
-    monoio::spawn(followers.run(members.subscribe()));
+    monoio::spawn(subscriber.run(members.subscribe()));
     let running = monoio::spawn(controller.run());
-    let binding = Binding { deduplicator, clock: clock.clone(), domain: settings.domain.clone() };
+    let binder =
+        DomainBinder { deduplicator, clock: clock.clone(), domain: settings.domain.clone() };
     let entry = Entry {
-        binding,
+        binder,
         me,
         domain: settings.domain.clone(),
         handle,
@@ -186,11 +191,11 @@
         requests: requests.clone(),
         clock: clock.clone(),
         directory,
-        witness,
-        configuration: api::Configuration::new(config.clone(), clock, weighs),
+        reachability,
+        configuration: api::Configuration::new(config.clone(), clock, objective),
         config,
         readiness,
-        memory: Memory::default(),
+        last_statuses: LastStatuses::default(),
     };
     (Rc::new(entry), requests, running)
 }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! Answers to calls from other instances.
+//! Handler of calls from other instances.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,53 +12,53 @@
 use crate::domain::{Epoch, Instance};
 use crate::entry::backend::Entry;
 use crate::entry::backend::status::STATUS;
-use crate::entry::controller::{BEAT, HANDOVER, HOLD};
-use crate::entry::forward::{self, Envelope};
+use crate::entry::controller::{HANDOVER, HEARTBEAT, STORE_BATCH};
+use crate::entry::forward::{self, ForwardedCall};
 use crate::owner::machine::{Machine, Message};
 use crate::owner::{BatchCopy, Heartbeat};
 use crate::peer::{Code, Handler, Refusal, decode};
 use crate::runner::{self, Proxy};
 
-/// Answer to a heartbeat.
+/// Response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
-pub struct Heard {
+pub struct HeartbeatResponse {
     /// The instance that answers.
     pub from: Instance,
-    /// Latest epoch it knows, the heartbeat's included.
+    /// Latest epoch it knows, including that of the heartbeat.
     pub epoch: Epoch,
 }
 
-/// Answer to a batch that was to be kept.
+/// Response to a request to store a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
-pub struct Kept {
+pub struct StoreBatchResponse {
     /// The instance that answers.
     pub from: Instance,
-    /// Whether it keeps the batch.
+    /// Whether it stores the batch.
     pub kept: bool,
 }
 
-/// Answers to calls from other instances.
-pub struct Peers {
+/// Handles calls from other instances.
+pub struct PeerHandler {
     entry: Rc<Entry>,
     requests: runner::peer::Handler,
 }
 
-impl Peers {
-    /// Answers in the name of `entry`, and of `requests` where runners are concerned.
+impl PeerHandler {
+    /// Creates a handler that serves calls from `entry`, and calls about runners from `requests`.
     pub fn new(entry: Rc<Entry>, requests: Proxy) -> Self {
         Self { entry, requests: runner::peer::Handler::new(requests) }
     }
 
     async fn answer(&self, method: &str, body: &[u8]) -> Result<Bytes, Refusal> {
         match method {
-            BEAT => encode(&self.hear(decode(body)?).await?),
-            HOLD => encode(&self.keep(decode(body)?).await?),
+            HEARTBEAT => encode(&self.receive_heartbeat(decode(body)?).await?),
+            STORE_BATCH => encode(&self.store_batch(decode(body)?).await?),
             HANDOVER => {
                 self.entry.handle.send(Message::Handover(decode(body)?));
                 encode(&())
             }
             STATUS => encode(&self.entry.domain_status(decode(body)?).await),
-            forward::CALL => encode(&self.entry.route(decode::<Envelope>(body)?).await),
+            forward::CALL => encode(&self.entry.route(decode::<ForwardedCall>(body)?).await),
             runner::peer::REQUEST_SHARES | runner::peer::RUN_FORWARDED => {
                 self.requests.answer(method, body).await
             }
@@ -66,14 +66,15 @@
         }
     }
 
-    /// The answer goes out only after the machine keeps the batch: its sender lets it take effect.
-    async fn keep(&self, copy: BatchCopy) -> Result<Kept, Refusal> {
+    /// Responds only after the machine has handled the batch, because the sender then lets the
+    /// batch take effect.
+    async fn store_batch(&self, copy: BatchCopy) -> Result<StoreBatchResponse, Refusal> {
         let (epoch, sequence) = (copy.epoch, copy.sequence);
         self.entry.handle.send(Message::StoreBatch(copy));
-        let look = move |machine: &Machine, _, _| machine.copies.contains(epoch, sequence);
-        let kept = self.entry.handle.inspect(look).await;
+        let is_stored = move |machine: &Machine, _, _| machine.copies.contains(epoch, sequence);
+        let kept = self.entry.handle.inspect(is_stored).await;
         let kept = kept.ok_or_else(|| Refusal::new(Code::Busy, "stopping"))?;
-        Ok(Kept { from: self.entry.me.clone(), kept })
+        Ok(StoreBatchResponse { from: self.entry.me.clone(), kept })
     }
 
     async fn answer_settings(&self, method: &str, body: &[u8]) -> Result<Bytes, Refusal> {
@@ -81,20 +82,23 @@
         self.entry.config.handle(method, body).await.unwrap_or_else(|| Err(unknown()))
     }
 
-    /// The answer goes out only after the machine has taken the heartbeat in: its sender concludes
-    /// from it that this instance does not act as an owner of an earlier epoch any more.
-    async fn hear(&self, heartbeat: Heartbeat) -> Result<Heard, Refusal> {
+    /// Responds only after the machine has processed the heartbeat, because the sender concludes
+    /// from the response that this instance no longer acts as the owner of an earlier epoch.
+    async fn receive_heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatResponse, Refusal> {
         if heartbeat.domain != self.entry.domain {
-            return Err(Refusal::new(Code::Conflict, "another failure domain"));
+            return Err(Refusal::new(
+                Code::Conflict,
+                "the heartbeat is for another failure domain",
+            ));
         }
         self.entry.handle.send(Message::Heartbeat(heartbeat));
         let epoch = self.entry.handle.inspect(|machine, _, _| machine.known_epoch()).await;
         let epoch = epoch.ok_or_else(|| Refusal::new(Code::Busy, "stopping"))?;
-        Ok(Heard { from: self.entry.me.clone(), epoch })
+        Ok(HeartbeatResponse { from: self.entry.me.clone(), epoch })
     }
 }
 
-impl Handler for Peers {
+impl Handler for PeerHandler {
     fn handle(
         &self,
         _peer: SocketAddr,
--- a/tests/process/controller.rs
+++ b/tests/process/controller.rs
@@ -1,4 +1,4 @@
-//! The task that owns the state machine, over borders that only count.
+//! The controller task, with dependencies that never respond.
 
 use std::cell::Cell;
 use std::mem::ManuallyDrop;
@@ -12,10 +12,10 @@
 use monoio::{LegacyDriver, RuntimeBuilder};
 use oriolefork::clock::{Clock, System};
 use oriolefork::domain::Instance;
-use oriolefork::entry::controller::{Borders, Controller};
+use oriolefork::entry::controller::{Controller, Dependencies};
 use oriolefork::entry::directory::Directory;
+use oriolefork::entry::reachability::ReachabilityReporter;
 use oriolefork::entry::readiness::Readiness;
-use oriolefork::entry::witness::Witness;
 use oriolefork::membership::follow::{Setup, start};
 use oriolefork::membership::probe::TcpProbe;
 use oriolefork::membership::view::ViewPolicy;
@@ -32,16 +32,16 @@
 
 const DOMAIN: &str = "kurow-hall";
 
-/// Shorter than any tick of the controller.
-const BETWEEN_LOOKS: Duration = Duration::from_millis(1);
+/// Shorter than a tick of the controller.
+const INSPECTION_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A log that counts its reads and answers none.
+/// Log that counts its reads and never responds.
 #[derive(Default)]
-struct Silent {
+struct CountingStore {
     reads: Cell<u32>,
 }
 
-impl Store for Silent {
+impl Store for CountingStore {
     fn append<'a>(
         &'a self,
         _stream: &'a str,
@@ -61,16 +61,16 @@
     }
 }
 
-/// Workers and a list that never answer.
-struct Nobody;
+/// Workers and an instance list that never respond.
+struct Unresponsive;
 
-impl Source for Nobody {
+impl Source for Unresponsive {
     fn list(&self) -> LocalBoxFuture<'_, Result<Vec<Member>, membership::Error>> {
         std::future::pending().boxed_local()
     }
 }
 
-impl WorkerTransport for Nobody {
+impl WorkerTransport for Unresponsive {
     fn exchange<'a>(
         &'a self,
         _peer: SocketAddr,
@@ -81,10 +81,10 @@
     }
 }
 
-/// A witness that nobody listens to.
-fn witness(me: &Instance, clock: &Rc<dyn Clock>) -> Rc<Witness> {
+/// A reporter whose reports nobody uses.
+fn reachability_reporter(me: &Instance, clock: &Rc<dyn Clock>) -> Rc<ReachabilityReporter> {
     let members = start(Setup {
-        source: Rc::new(Nobody),
+        source: Rc::new(Unresponsive),
         probe: Rc::new(TcpProbe { timeout: LIMIT }),
         policy: ViewPolicy::default(),
         interval: LIMIT,
@@ -92,43 +92,43 @@
         stop: Shutdown::new(),
     });
     let directory = Rc::new(Directory::new(me.clone(), DOMAIN.into(), Vec::new()));
-    Rc::new(Witness::new(DOMAIN.into(), members, directory, clock.clone()))
+    Rc::new(ReachabilityReporter::new(DOMAIN.into(), members, directory, clock.clone()))
 }
 
 #[test]
-fn run_while_looked_at() {
-    // An operator's dashboard asks an owner for its state every few milliseconds. Nothing else
-    // happens for a while, and the owner sends no heartbeat: each look put the next step off, so
-    // that another instance takes the domain from an owner that runs well.
+fn run_while_inspected() {
+    // A dashboard reads the state of an otherwise idle owner every few milliseconds. If each
+    // inspection postponed the next step, the owner would send no heartbeat and another instance
+    // would take the domain from a healthy owner.
     let builder = RuntimeBuilder::<LegacyDriver>::new();
-    // The controller outlives the story; the runtime must not be dropped under it.
+    // The controller outlives the test, so its runtime must not be dropped.
     let mut runtime = ManuallyDrop::new(builder.enable_timer().build().unwrap());
     runtime.block_on(async {
         let clock: Rc<dyn Clock> = Rc::new(System::start());
-        let store = Rc::new(Silent::default());
+        let store = Rc::new(CountingStore::default());
         let me = Instance { name: "kurow-1".into(), run: 1, peer: ([127, 0, 0, 1], 9).into() };
         let policy = Policy::for_preset(Preset::Ordinary, Objective::Waiting);
-        let witness = witness(&me, &clock);
+        let reachability = reachability_reporter(&me, &clock);
         let machine = Machine::new(me, DOMAIN.into(), Timings::default(), policy, clock.now());
-        let borders = Borders {
+        let deps = Dependencies {
             store: store.clone(),
-            workers: Rc::new(Nobody),
+            workers: Rc::new(Unresponsive),
             peers: Rc::new(peer::Client::new(peer::Limits::default())),
             clock,
             stream: "domain-kurow-hall".to_owned(),
             worker_timeout: LIMIT,
             peer_timeout: LIMIT,
-            witness,
+            reachability,
             readiness: Rc::new(Readiness::new(Shutdown::new())),
         };
-        let controller = Controller::new(machine, borders);
+        let controller = Controller::new(machine, deps);
         let handle = controller.handle();
         monoio::spawn(controller.run());
         let start = Instant::now();
         while store.reads.get() == 0 {
             assert!(start.elapsed() < LIMIT, "no step within {LIMIT:?}");
             handle.inspect(|_, _, _| ()).await;
-            monoio::time::sleep(BETWEEN_LOOKS).await;
+            monoio::time::sleep(INSPECTION_INTERVAL).await;
         }
     });
 }
