--- a/benches/cell/replay.rs
+++ b/benches/cell/replay.rs
@@ -261,7 +261,7 @@
                 for peer in self.proxy_busy_until.keys().copied().collect::<Vec<_>>() {
                     self.deliver(Message::InstanceSeen {
                         peer,
-                        strength: 1,
+                        cpu_millis: 1,
                         domain: "hall".into(),
                     });
                 }
@@ -406,7 +406,7 @@
         let allowed = query.workers.iter().filter(may);
         let workers = allowed.map(|worker| (worker.clone(), "ticket".to_owned())).collect();
         let allowed = Some(Eligibility { workers, valid_ms: Some(1_500) });
-        let message = Message::PolicyAnswered { query: query.number, allowed };
+        let message = Message::PolicyAnswered { query: query.number, eligibility: allowed };
         self.schedule(from + took + PEER_MS - self.now, Event::Deliver(message));
     }
 
--- a/src/cell/dependencies.rs
+++ b/src/cell/dependencies.rs
@@ -149,7 +149,7 @@
         &'a self,
         peer: SocketAddr,
         worker: &'a str,
-        look: &'a PollRequest,
+        request: &'a PollRequest,
         timeout: Duration,
     ) -> LocalBoxFuture<'a, Result<PollReport, WorkerError>>;
 
@@ -185,7 +185,7 @@
 
 /// Client for the policy service, which decides which workers may run a step.
 pub trait PolicyService {
-    /// Asks which of `workers` may run `step`.
+    /// Queries which of `workers` may run `step`.
     fn eligible_workers<'a>(
         &'a self,
         step: &'a StepKey,
@@ -259,7 +259,7 @@
     ///
     /// The first batch of an epoch is a claim: from then on the journal refuses smaller epochs. The
     /// sequence number of a claim differs between claimants. If two claimants used the same number,
-    /// the second would look like a repetition of the first, and both would be told that they won.
+    /// the second would look like a repetition of the first, and the store would report success to both.
     fn append<'a>(
         &'a self,
         cell: Id,
--- a/src/cell/election/claim.rs
+++ b/src/cell/election/claim.rs
@@ -178,8 +178,8 @@
             now,
             unix,
         );
-        let (peer, strength, domain) = (node.me, node.cpu_millis, node.domain.clone());
-        machine.handle(Message::InstanceSeen { peer, strength, domain }, now, unix);
+        let (peer, cpu_millis, domain) = (node.me, node.cpu_millis, node.domain.clone());
+        machine.handle(Message::InstanceSeen { peer, cpu_millis, domain }, now, unix);
         let (health_node, cell) = (node.clone(), self.cell);
         let health = Box::new(move |health| health_node.apply_store_health(cell, health));
         let (owner, handle) =
--- a/src/cell/election/mod.rs
+++ b/src/cell/election/mod.rs
@@ -67,7 +67,7 @@
 
 /// Follows or owns the cell until the instance leaves.
 pub async fn run(node: Rc<Node>, cell: Id) {
-    let next_keep_up = node.deps.clock.now();
+    let next_catch_up = node.deps.clock.now();
     let mut election = Election {
         node,
         cell,
@@ -77,7 +77,7 @@
         succession_digest: 0,
         last_owner_record: None,
         owner_unresponsive: false,
-        next_catch_up: next_keep_up,
+        next_catch_up,
         claimant_since: None,
         last_owner: None,
         owner_cpu_millis: 0,
--- a/src/cell/machine/backlog.rs
+++ b/src/cell/machine/backlog.rs
@@ -114,7 +114,6 @@
     pub(super) fn is_unqueried(&self, step: &PendingStep) -> bool {
         let tickets = self.tickets.get(&step.key);
         step.queue.policy.is_some()
-            && tickets
-                .is_none_or(|tickets| tickets.counts().0 == 0 && !tickets.has_pending_question())
+            && tickets.is_none_or(|tickets| tickets.counts().0 == 0 && !tickets.has_pending_query())
     }
 }
--- a/src/cell/machine/message.rs
+++ b/src/cell/machine/message.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::advice::PolicyQuery;
+use super::policy_query::PolicyQuery;
 use crate::cell::activity::OwnerActivity;
 use crate::cell::dependencies::{
     AppendError, Eligibility, JournalSnapshot, PollReport, PollRequest, RosterUpdate, StartCommand,
@@ -101,7 +101,7 @@
         /// Number of the query.
         query: u64,
         /// Workers that may run the step; `None` if no answer came.
-        allowed: Option<Eligibility>,
+        eligibility: Option<Eligibility>,
     },
     /// The list of workers changed.
     WorkersChanged(RosterUpdate),
@@ -111,10 +111,10 @@
     SnapshotDue,
     /// An instance is present and can send queries to the policy service.
     InstanceSeen {
-        /// Address at which it is reached.
+        /// Address of the instance's peer server.
         peer: SocketAddr,
         /// CPU that it may use, in thousandths of a core.
-        strength: u32,
+        cpu_millis: u32,
         /// Its failure domain.
         domain: Rc<str>,
     },
--- a/src/cell/machine/mod.rs
+++ b/src/cell/machine/mod.rs
@@ -5,7 +5,6 @@
 //! commands, answers to callers, final phases, and the permission for a worker to forget an end.
 
 mod active_run;
-mod advice;
 mod backlog;
 mod blocker;
 mod calls;
@@ -18,6 +17,7 @@
 mod outcome_stats;
 mod pending;
 mod place;
+mod policy_query;
 mod polls;
 mod preemption;
 mod proxy;
@@ -37,9 +37,9 @@
 use std::time::Duration;
 
 pub use active_run::{ActiveRun, Stage};
-pub use advice::PolicyQuery;
 pub use journal_queue::{JournalQueue, StoreHealth};
 pub use message::{Answer, Call, CallId, Effect, Message};
+pub use policy_query::PolicyQuery;
 pub use succession::Succession;
 pub use tracked_map::TrackedMap;
 
@@ -204,14 +204,14 @@
             Message::Polled { worker, sent, outcome } => self.poll_answered(&worker, sent, outcome),
             Message::Started { worker, run, outcome } => self.start_answered(&worker, run, outcome),
             Message::Stopped { worker, run, outcome } => self.stop_answered(&worker, run, outcome),
-            Message::PolicyAnswered { query, allowed } => {
-                self.policy_answered(query, allowed.as_ref())
+            Message::PolicyAnswered { query, eligibility } => {
+                self.policy_answered(query, eligibility.as_ref())
             }
             Message::WorkersChanged(roster) => self.update_workers(roster),
             Message::ConfigChanged(config) => self.configure(config),
             Message::SnapshotDue => self.snapshot_due = true,
-            Message::InstanceSeen { peer, strength, domain } => {
-                let new = || PolicyProxy::new(strength, domain, now);
+            Message::InstanceSeen { peer, cpu_millis, domain } => {
+                let new = || PolicyProxy::new(cpu_millis, domain, now);
                 self.proxies.entry(peer).or_insert_with(new).last_seen = now;
             }
         }
@@ -262,12 +262,12 @@
         self.journal.health(now)
     }
 
-    /// Whether another instance should take the cell over from this owner, which may use `strength`
-    /// thousandths of a core.
-    pub fn offer(&self, strength: u32, now: Instant) -> HandoverOffer {
+    /// Whether another instance should take the cell over from this owner, which may use
+    /// `cpu_millis` thousandths of a core.
+    pub fn offer(&self, cpu_millis: u32, now: Instant) -> HandoverOffer {
         match self.store_health(now) {
             StoreHealth::Stuck => HandoverOffer::Anyone,
-            _ if self.stronger_instance_exists(strength, now) => HandoverOffer::Anyone,
+            _ if self.stronger_instance_exists(cpu_millis, now) => HandoverOffer::Anyone,
             StoreHealth::Degraded => HandoverOffer::IfFaster,
             StoreHealth::Good => HandoverOffer::NotOffered,
         }
@@ -278,10 +278,10 @@
         self.journal.end()
     }
 
-    /// Whether an instance is present that is much stronger than `strength`.
-    fn stronger_instance_exists(&self, strength: u32, now: Instant) -> bool {
+    /// Whether an instance is present that may use much more CPU than `cpu_millis`.
+    fn stronger_instance_exists(&self, cpu_millis: u32, now: Instant) -> bool {
         let settled = now.since(self.claimed) > MIN_TENURE;
-        settled && f64::from(self.succession.strongest) > f64::from(strength) * STRENGTH_RATIO
+        settled && f64::from(self.succession.strongest) > f64::from(cpu_millis) * STRENGTH_RATIO
     }
 
     fn advance(&mut self, now: Instant, unix: Unix) {
--- a/src/cell/machine/place.rs
+++ b/src/cell/machine/place.rs
@@ -71,8 +71,8 @@
             if step.rank.timeliness != Timeliness::OnTime && shares.on_time_first() {
                 self.send_deferred(&mut shares);
             }
-            if let Some(advice) = &step.queue.policy {
-                self.query_policy(step, advice, views, &mut shares, &mut budget);
+            if let Some(timing) = &step.queue.policy {
+                self.query_policy(step, timing, views, &mut shares, &mut budget);
             }
             self.place_step(step, views);
         }
--- a/src/cell/machine/advice.rs
+++ b/src/cell/machine/policy_query.rs
@@ -126,7 +126,7 @@
     pub(super) fn query_policy(
         &mut self,
         step: &PendingStep,
-        advice: &PolicyTiming,
+        timing: &PolicyTiming,
         views: &mut WorkerViews,
         shares: &mut ProxyShares,
         budget: &mut GangBudget,
@@ -134,7 +134,7 @@
         let now = self.now;
         let gang = step.spec().gang;
         let tickets = self.tickets.entry(step.key).or_default();
-        if tickets.has_pending_question() && !gang || !tickets.may_ask(now) {
+        if tickets.has_pending_query() && !gang || !tickets.may_query(now) {
             return;
         }
         shares.note_turn(&step.queue);
@@ -147,16 +147,16 @@
             return;
         }
         views.sort();
-        let workers = self.query_workers(step, advice, views);
+        let workers = self.query_workers(step, timing, views);
         if gang && !workers.is_empty() && !self.has_query_or_tickets(step) && !budget.try_take(step)
         {
             return;
         }
         if !workers.is_empty() && admitted {
             shares.take(&step.queue);
-            self.send_query(proxy, step.key, workers, advice);
+            self.send_query(proxy, step.key, workers, timing);
         } else if !workers.is_empty() {
-            shares.defer_query(step.key, workers, *advice);
+            shares.defer_query(step.key, workers, *timing);
         } else if let Some(tickets) = self.tickets.get_mut(&step.key) {
             tickets.postpone(now.after(POLICY_RECHECK_INTERVAL));
         }
@@ -171,7 +171,7 @@
     fn query_workers(
         &self,
         step: &PendingStep,
-        advice: &PolicyTiming,
+        timing: &PolicyTiming,
         views: &WorkerViews,
     ) -> Vec<WorkerId> {
         let Some(tickets) = self.tickets.get(&step.key) else { return Vec::new() };
@@ -179,8 +179,8 @@
             return self.gang_query_workers(step, views, tickets);
         }
         let wanted = step.pending.len() as f64;
-        let (asked, eligible) = tickets.counts();
-        let expected = advice.time_ms(eligible);
+        let (queried, eligible) = tickets.counts();
+        let expected = timing.time_ms(eligible);
         let soon = self.now.after(Duration::from_millis(expected.max(0.0) as u64));
         let mut room = 0.0;
         let mut expiring = Candidates::default();
@@ -195,7 +195,7 @@
         if room - expiring.slots >= wanted {
             return Vec::new();
         }
-        if room < wanted && asked < self.workers.len() {
+        if room < wanted && queried < self.workers.len() {
             let unqueried = self.unqueried_workers(step, views, (wanted - room) * WORKER_FACTOR);
             if !unqueried.is_empty() {
                 return unqueried;
@@ -222,8 +222,7 @@
     ) -> Vec<WorkerId> {
         // Steps that rank behind it are queried first. Otherwise a gang that never fits has its
         // tickets renewed for as long as it waits, while narrow gangs find no idle instance.
-        if !tickets.has_pending_question()
-            && tickets.expired_within(POLICY_RECHECK_INTERVAL, self.now)
+        if !tickets.has_pending_query() && tickets.expired_within(POLICY_RECHECK_INTERVAL, self.now)
         {
             return Vec::new();
         }
@@ -278,7 +277,7 @@
                 break;
             }
             let view = views.get(at);
-            if !tickets.is_unasked(&view.id) {
+            if !tickets.is_unqueried(&view.id) {
                 continue;
             }
             let slots = self.slots_with_preemption(at, step, views);
@@ -304,20 +303,20 @@
         proxy: SocketAddr,
         step: StepKey,
         workers: Vec<WorkerId>,
-        advice: &PolicyTiming,
+        timing: &PolicyTiming,
     ) {
         self.last_query += 1;
-        let expected = advice.time_ms(workers.len());
+        let expected = timing.time_ms(workers.len());
         let query = PolicyQuery {
             number: self.last_query,
             proxy,
             step,
             workers,
-            ticket_lifetime: Duration::from_millis(advice.valid_ms),
+            ticket_lifetime: Duration::from_millis(timing.valid_ms),
             sent: self.now,
             timeout: Duration::from_millis(expected.max(0.0) as u64) + POLICY_TIMEOUT_MARGIN,
         };
-        self.tickets.entry(step).or_default().mark_asked(&query.workers);
+        self.tickets.entry(step).or_default().mark_queried(&query.workers);
         if let Some(proxy) = self.proxies.get_mut(&proxy) {
             proxy.query = Some(query.number);
         }
@@ -333,16 +332,16 @@
         self.effects.push(Effect::QueryPolicy(query));
     }
 
-    pub(super) fn policy_answered(&mut self, number: u64, allowed: Option<&Eligibility>) {
+    pub(super) fn policy_answered(&mut self, number: u64, eligibility: Option<&Eligibility>) {
         let Some(query) = self.queries.remove(&number) else { return };
         if let Some(proxy) = self.proxies.get_mut(&query.proxy)
             && proxy.query == Some(number)
         {
-            proxy.note_outcome(allowed.is_some(), self.now);
+            proxy.note_outcome(eligibility.is_some(), self.now);
         }
-        if let Some(allowed) = allowed {
+        if let Some(eligibility) = eligibility {
             let took_ms = self.now.since(query.sent).as_millis();
-            let (step, allowed) = (query.step, allowed.workers.len());
+            let (step, allowed) = (query.step, eligibility.workers.len());
             log::info!(
                 "event=advice.answered step={step} question={number} allowed={allowed} took_ms={took_ms}"
             );
@@ -351,7 +350,7 @@
             log::warn!("event=advice.failed step={step} asker={proxy} question={number}");
         }
         if let Some(tickets) = self.tickets.get_mut(&query.step) {
-            tickets.record_answer(&query.workers, allowed, query.ticket_lifetime, self.now);
+            tickets.record_answer(&query.workers, eligibility, query.ticket_lifetime, self.now);
             let tally = tickets.counts();
             self.update_eligible_share(&query.step, tally);
         }
@@ -360,11 +359,11 @@
 
     /// Updates the mean share of workers that may run a queue's steps, from which the size of the
     /// next query is computed.
-    fn update_eligible_share(&mut self, step: &StepKey, (asked, eligible): (usize, usize)) {
+    fn update_eligible_share(&mut self, step: &StepKey, (queried, eligible): (usize, usize)) {
         /// Weight of one answer in the mean.
         const WEIGHT: f64 = 0.1;
         let Some(entry) = self.state.jobs.get(&step.job) else { return };
-        let found = eligible as f64 / asked.max(1) as f64;
+        let found = eligible as f64 / queried.max(1) as f64;
         let mean = self.eligible_shares.entry(entry.job.queue.clone()).or_insert(found);
         *mean += (found - *mean) * WEIGHT;
     }
--- a/src/cell/machine/proxy.rs
+++ b/src/cell/machine/proxy.rs
@@ -11,7 +11,7 @@
 pub(super) struct PolicyProxy {
     pub(super) last_seen: Instant,
     pub(super) query: Option<u64>,
-    pub(super) strength: u32,
+    pub(super) cpu_millis: u32,
     /// Failure domain of the instance.
     pub(super) domain: Rc<str>,
     /// Consecutive queries without an answer.
@@ -20,8 +20,8 @@
 }
 
 impl PolicyProxy {
-    pub(super) const fn new(strength: u32, domain: Rc<str>, now: Instant) -> Self {
-        Self { last_seen: now, query: None, strength, domain, failures: 0, backoff_until: now }
+    pub(super) const fn new(cpu_millis: u32, domain: Rc<str>, now: Instant) -> Self {
+        Self { last_seen: now, query: None, cpu_millis, domain, failures: 0, backoff_until: now }
     }
 
     /// Notes that its query ended, with or without an answer.
--- a/src/cell/machine/proxy_shares.rs
+++ b/src/cell/machine/proxy_shares.rs
@@ -32,7 +32,7 @@
 pub(super) struct DeferredQuery {
     step: StepKey,
     workers: Vec<WorkerId>,
-    advice: PolicyTiming,
+    timing: PolicyTiming,
 }
 
 /// How the instances that can query are shared among queues in one placement round.
@@ -45,7 +45,7 @@
 /// against tasks that wait although workers are free at the end of a busy day: they wait only for a
 /// query, while gangs that find no capacity repeat theirs.
 pub(super) struct ProxyShares {
-    queues: Vec<Share>,
+    queues: Vec<QueueShare>,
     /// Whether most CPU is free.
     mostly_free: bool,
     /// Instances without a query in flight.
@@ -54,8 +54,8 @@
     deferred: Vec<DeferredQuery>,
 }
 
-/// Share and use of instances of one queue.
-struct Share {
+/// Instances that one queue is entitled to, and those that it uses.
+struct QueueShare {
     queue: Rc<Queue>,
     /// Instances that it is entitled to.
     entitled: usize,
@@ -88,7 +88,7 @@
     pub(super) fn admits(&self, queue: &Queue) -> bool {
         let own = self.queues.iter().find(|share| share.queue.name == queue.name);
         let others = self.queues.iter().filter(|share| share.queue.name != queue.name);
-        let unclaimed: usize = others.map(Share::unclaimed).sum();
+        let unclaimed: usize = others.map(QueueShare::unclaimed).sum();
         own.is_none_or(|share| share.used < share.entitled) || self.idle > unclaimed
     }
 
@@ -105,17 +105,17 @@
         &mut self,
         step: StepKey,
         workers: Vec<WorkerId>,
-        advice: PolicyTiming,
+        timing: PolicyTiming,
     ) {
-        self.deferred.push(DeferredQuery { step, workers, advice });
+        self.deferred.push(DeferredQuery { step, workers, timing });
     }
 
-    fn share(&mut self, queue: &Queue) -> Option<&mut Share> {
+    fn share(&mut self, queue: &Queue) -> Option<&mut QueueShare> {
         self.queues.iter_mut().find(|share| share.queue.name == queue.name)
     }
 }
 
-impl Share {
+impl QueueShare {
     const fn new(queue: Rc<Queue>) -> Self {
         Self { queue, entitled: 0, used: 0, unserved_steps: 0 }
     }
@@ -130,7 +130,7 @@
     /// Shares the instances among the queues of the `waiting` steps.
     pub(super) fn proxy_shares(&self, waiting: &[PendingStep], views: &WorkerViews) -> ProxyShares {
         let mostly_free = views.free_share() > MOSTLY_FREE;
-        let mut queues: Vec<Share> = Vec::new();
+        let mut queues: Vec<QueueShare> = Vec::new();
         let counted =
             |step: &&PendingStep| mostly_free || step.rank.timeliness == Timeliness::OnTime;
         for step in waiting.iter().filter(counted).filter(|step| self.may_query(step)) {
@@ -153,32 +153,32 @@
         let tickets = self.tickets.get(&step.key);
         step.queue.policy.is_some()
             && tickets
-                .is_none_or(|tickets| !tickets.has_pending_question() && tickets.may_ask(self.now))
+                .is_none_or(|tickets| !tickets.has_pending_query() && tickets.may_query(self.now))
     }
 
     /// Sends the deferred queries, as far as instances are idle.
     pub(super) fn send_deferred(&mut self, shares: &mut ProxyShares) {
         for query in std::mem::take(&mut shares.deferred) {
             let Some(proxy) = self.idle_proxy() else { return };
-            self.send_query(proxy, query.step, query.workers, &query.advice);
+            self.send_query(proxy, query.step, query.workers, &query.timing);
             shares.idle = shares.idle.saturating_sub(1);
         }
     }
 }
 
-fn share_of<'a>(queues: &'a mut Vec<Share>, queue: &Rc<Queue>) -> &'a mut Share {
+fn share_of<'a>(queues: &'a mut Vec<QueueShare>, queue: &Rc<Queue>) -> &'a mut QueueShare {
     let at = queues.iter().position(|share| share.queue.name == queue.name);
     let at = at.unwrap_or_else(|| {
-        queues.push(Share::new(queue.clone()));
+        queues.push(QueueShare::new(queue.clone()));
         queues.len() - 1
     });
     &mut queues[at]
 }
 
 /// Assigns shares of `count` instances; each priority gets `next` times as many as the one above.
-fn allot(queues: &mut [Share], count: usize, next: f64) {
+fn allot(queues: &mut [QueueShare], count: usize, next: f64) {
     let levels: BTreeSet<u32> = queues.iter().map(|share| share.queue.priority).collect();
-    let weight = |share: &Share| {
+    let weight = |share: &QueueShare| {
         let above = levels.range(..share.queue.priority).count();
         next.powi(i32::try_from(above).unwrap_or(i32::MAX))
     };
--- a/src/cell/machine/rank.rs
+++ b/src/cell/machine/rank.rs
@@ -62,7 +62,7 @@
         queue
             .policy
             .filter(|_| gang && unqueried)
-            .map_or(0.0, |advice| advice.time_ms(MAX_POLICY_WORKERS))
+            .map_or(0.0, |timing| timing.time_ms(MAX_POLICY_WORKERS))
     }
 
     /// Time by which a step may still be delayed without its job being late, in milliseconds;
@@ -82,7 +82,7 @@
     /// Expected duration of the longest chain of dependent steps from step `first` on, policy
     /// queries included, in milliseconds.
     fn critical_path_ms(&self, job: &Job, first: usize, queue: &Queue) -> f64 {
-        let query_ms = queue.policy.map_or(0.0, |advice| advice.time_ms(TYPICAL_QUERY_WORKERS));
+        let query_ms = queue.policy.map_or(0.0, |timing| timing.time_ms(TYPICAL_QUERY_WORKERS));
         let mut ends = vec![0.0_f64; job.steps.len()];
         for (number, step) in job.steps.iter().enumerate().skip(first) {
             let begin = step.depends_on.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
--- a/src/cell/machine/reservation.rs
+++ b/src/cell/machine/reservation.rs
@@ -92,7 +92,7 @@
     pub(super) fn has_query_or_tickets(&self, step: &PendingStep) -> bool {
         let tickets = self.tickets.get(&step.key);
         tickets.is_some_and(|tickets| {
-            tickets.has_pending_question() || tickets.with_valid_ticket(self.now).next().is_some()
+            tickets.has_pending_query() || tickets.with_valid_ticket(self.now).next().is_some()
         })
     }
 
--- a/src/cell/machine/succession.rs
+++ b/src/cell/machine/succession.rs
@@ -39,8 +39,8 @@
         let mut counts: BTreeMap<(u32, &str), u32> = BTreeMap::new();
         let mut ranked: Vec<(Reverse<u32>, u32, SocketAddr)> = Vec::new();
         for (peer, proxy) in fresh {
-            let turn = counts.entry((proxy.strength, &proxy.domain)).or_insert(0);
-            ranked.push((Reverse(proxy.strength), *turn, *peer));
+            let turn = counts.entry((proxy.cpu_millis, &proxy.domain)).or_insert(0);
+            ranked.push((Reverse(proxy.cpu_millis), *turn, *peer));
             *turn += 1;
         }
         ranked.sort_unstable();
@@ -59,7 +59,7 @@
         }
         let order = self.present_instances(self.now);
         let fresh = self.proxies.values().filter(|proxy| proxy.is_fresh(self.now));
-        let strongest = fresh.map(|proxy| proxy.strength).max().unwrap_or(0);
+        let strongest = fresh.map(|proxy| proxy.cpu_millis).max().unwrap_or(0);
         self.succession.next_ranking = self.now.after(RANKING_INTERVAL);
         self.succession.strongest = strongest;
         if *order != *self.succession.order {
--- a/src/cell/node/answer.rs
+++ b/src/cell/node/answer.rs
@@ -71,7 +71,7 @@
         if let Some(handle) = self.owner_handle(request.cell) {
             let (peer, cpu_millis, domain) =
                 (request.follower, request.cpu_millis, request.domain.clone());
-            handle.send(Message::InstanceSeen { peer, strength: cpu_millis, domain });
+            handle.send(Message::InstanceSeen { peer, cpu_millis, domain });
             if request.long_poll {
                 let _ =
                     monoio::time::timeout(WATCH_HOLD, self.until_handover_due(request.cell)).await;
--- a/src/cell/owner.rs
+++ b/src/cell/owner.rs
@@ -95,11 +95,11 @@
     /// Reads from the machine; `None` when the task has ended.
     pub async fn inspect<T: 'static>(
         &self,
-        look: impl FnOnce(&Machine, Instant) -> T + 'static,
+        inspect: impl FnOnce(&Machine, Instant) -> T + 'static,
     ) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
         let inspection = move |machine: &Machine, now| {
-            let _ = sender.send(look(machine, now));
+            let _ = sender.send(inspect(machine, now));
         };
         self.inputs.send(Input::Inspect(Box::new(inspection))).ok()?;
         receiver.await.ok()
@@ -229,7 +229,7 @@
                 self.pending_replies.insert(id, reply);
                 self.machine.handle(Message::Call { id, call }, now, unix);
             }
-            Input::Inspect(look) => look(&self.machine, now),
+            Input::Inspect(inspect) => inspect(&self.machine, now),
             Input::End => return true,
         }
         false
@@ -241,7 +241,7 @@
             Effect::Poll { worker, peer, poll } => self.poll(worker, peer, poll),
             Effect::Start { worker, peer, start } => self.start(worker, peer, start),
             Effect::Stop { worker, peer, run } => self.stop(worker, peer, run),
-            Effect::QueryPolicy(question) => self.advise(question),
+            Effect::QueryPolicy(question) => self.query_policy(question),
             Effect::Reply { id, answer } => {
                 if let Some(reply) = self.pending_replies.remove(&id) {
                     // The send fails when the caller no longer waits.
@@ -296,16 +296,16 @@
         });
     }
 
-    fn advise(&self, question: PolicyQuery) {
+    fn query_policy(&self, query: PolicyQuery) {
         let (deps, handle, me) = (self.deps.clone(), self.handle.clone(), self.me);
         monoio::spawn(async move {
-            let number = question.number;
-            let asked = ask_policy_service(&deps, me, question).boxed_local();
-            let allowed = deps.profiler.measure(OwnerActivity::Policy, asked).await;
-            if let Err(cause) = &allowed {
+            let number = query.number;
+            let call = query_policy_service(&deps, me, query).boxed_local();
+            let eligibility = deps.profiler.measure(OwnerActivity::Policy, call).await;
+            if let Err(cause) = &eligibility {
                 log::info!("event=advice.no_answer question={number} cause={cause:?}");
             }
-            handle.send(Message::PolicyAnswered { query: number, allowed: allowed.ok() });
+            handle.send(Message::PolicyAnswered { query: number, eligibility: eligibility.ok() });
         });
     }
 
@@ -368,25 +368,22 @@
     }
 }
 
-async fn ask_policy_service(
+async fn query_policy_service(
     deps: &Dependencies,
     me: SocketAddr,
-    question: PolicyQuery,
+    query: PolicyQuery,
 ) -> Result<super::dependencies::Eligibility, String> {
-    let timeout = question.timeout;
-    if question.proxy == me {
-        return deps
-            .policy_service
-            .eligible_workers(&question.step, &question.workers, timeout)
-            .await;
+    let timeout = query.timeout;
+    if query.proxy == me {
+        return deps.policy_service.eligible_workers(&query.step, &query.workers, timeout).await;
     }
     let request = wire::PolicyRequest {
-        step: question.step,
-        workers: question.workers,
+        step: query.step,
+        workers: query.workers,
         timeout_ms: crate::clock::millis(timeout),
     };
     let answer: Result<Result<super::dependencies::Eligibility, String>, peer::Error> =
-        deps.peers.call(question.proxy, wire::POLICY, &request, timeout + timeout / 4).await;
+        deps.peers.call(query.proxy, wire::POLICY, &request, timeout + timeout / 4).await;
     answer.map_err(|error| error.to_string())?
 }
 
--- a/src/cell/ticket.rs
+++ b/src/cell/ticket.rs
@@ -23,35 +23,35 @@
     eligible: BTreeMap<WorkerId, Ticket>,
     refused: BTreeSet<WorkerId>,
     /// Workers named in a pending query.
-    asked: BTreeSet<WorkerId>,
+    queried: BTreeSet<WorkerId>,
     /// Latest expiry of all tickets. It allows a step without valid tickets to be skipped quickly.
     last_expiry: Instant,
     /// Earliest time at which another query is considered.
-    next_question_at: Instant,
+    next_query_at: Instant,
 }
 
 impl Tickets {
     /// Records that a query about `workers` is pending.
-    pub fn mark_asked(&mut self, workers: &[WorkerId]) {
-        self.asked.extend(workers.iter().cloned());
+    pub fn mark_queried(&mut self, workers: &[WorkerId]) {
+        self.queried.extend(workers.iter().cloned());
     }
 
     /// Records the answer to a query about `workers`; `None` when there was none.
     pub fn record_answer(
         &mut self,
         workers: &[WorkerId],
-        allowed: Option<&Eligibility>,
+        eligibility: Option<&Eligibility>,
         valid: Duration,
         now: Instant,
     ) {
         for worker in workers {
-            self.asked.remove(worker);
+            self.queried.remove(worker);
         }
-        let Some(allowed) = allowed else { return };
-        let valid = allowed.valid_ms.map_or(valid, Duration::from_millis);
+        let Some(eligibility) = eligibility else { return };
+        let valid = eligibility.valid_ms.map_or(valid, Duration::from_millis);
         let until = now.after(valid).before(TICKET_MARGIN);
         self.last_expiry = self.last_expiry.max(until);
-        for (worker, text) in &allowed.workers {
+        for (worker, text) in &eligibility.workers {
             self.eligible.insert(worker.clone(), Ticket { token: text.clone(), expires_at: until });
         }
         for worker in workers {
@@ -67,18 +67,20 @@
     }
 
     /// Whether there is neither an answer nor a pending query about the worker.
-    pub fn is_unasked(&self, worker: &str) -> bool {
-        !self.is_eligible(worker) && !self.refused.contains(worker) && !self.asked.contains(worker)
+    pub fn is_unqueried(&self, worker: &str) -> bool {
+        !self.is_eligible(worker)
+            && !self.refused.contains(worker)
+            && !self.queried.contains(worker)
     }
 
     /// Whether a query is pending.
-    pub fn has_pending_question(&self) -> bool {
-        !self.asked.is_empty()
+    pub fn has_pending_query(&self) -> bool {
+        !self.queried.is_empty()
     }
 
     /// Workers named in a pending query that are not known to be eligible.
     pub fn awaiting_answer(&self) -> impl Iterator<Item = &WorkerId> {
-        self.asked.iter().filter(|worker| !self.is_eligible(worker))
+        self.queried.iter().filter(|worker| !self.is_eligible(worker))
     }
 
     /// The ticket of a worker, if it is valid.
@@ -106,13 +108,13 @@
     }
 
     /// Whether another query may be considered.
-    pub fn may_ask(&self, now: Instant) -> bool {
-        now >= self.next_question_at
+    pub fn may_query(&self, now: Instant) -> bool {
+        now >= self.next_query_at
     }
 
     /// Considers no query before `until`.
     pub fn postpone(&mut self, until: Instant) {
-        self.next_question_at = until;
+        self.next_query_at = until;
     }
 
     /// Removes a worker incarnation that has ended.
--- a/tests/logic/cell/harness.rs
+++ b/tests/logic/cell/harness.rs
@@ -205,7 +205,7 @@
     /// Reports that an instance is present and can query the policy service.
     pub fn see_instance(&mut self, number: u16) {
         let peer = ([127, 0, 0, 1], number).into();
-        self.deliver(Message::InstanceSeen { peer, strength: 1, domain: "hall".into() });
+        self.deliver(Message::InstanceSeen { peer, cpu_millis: 1, domain: "hall".into() });
     }
 
     /// Answers a query so that all its workers are eligible.
@@ -213,7 +213,7 @@
         let workers = query.workers.iter();
         let workers = workers.map(|worker| (worker.clone(), "ticket".to_owned())).collect();
         let allowed = Some(Eligibility { workers, valid_ms: None });
-        self.deliver(Message::PolicyAnswered { query: query.number, allowed });
+        self.deliver(Message::PolicyAnswered { query: query.number, eligibility: allowed });
         self.advance(20);
     }
 
--- a/tests/logic/cell/policy_queries.rs
+++ b/tests/logic/cell/policy_queries.rs
@@ -43,7 +43,7 @@
     harness.see_instance(2);
     submit(&mut harness, 1);
     let first = harness.drain_queries().pop().expect("a query");
-    harness.deliver(Message::PolicyAnswered { query: first.number, allowed: None });
+    harness.deliver(Message::PolicyAnswered { query: first.number, eligibility: None });
     harness.advance(20);
     let second = harness.drain_queries().pop().expect("another query");
     assert_ne!(second.proxy, first.proxy);
@@ -61,7 +61,7 @@
     harness.see_instance(1);
     submit(&mut harness, 1);
     let first = harness.drain_queries().pop().expect("a query");
-    harness.deliver(Message::PolicyAnswered { query: first.number, allowed: None });
+    harness.deliver(Message::PolicyAnswered { query: first.number, eligibility: None });
     harness.advance(20);
     assert!(harness.drain_queries().is_empty());
     harness.see_instance(1);
@@ -129,7 +129,7 @@
     assert!(first.workers.len() < 40);
     let allowed =
         Eligibility { workers: vec![(first.workers[0].clone(), "t".into())], valid_ms: None };
-    harness.deliver(Message::PolicyAnswered { query: first.number, allowed: Some(allowed) });
+    harness.deliver(Message::PolicyAnswered { query: first.number, eligibility: Some(allowed) });
     harness.advance(20);
     let second = harness.drain_queries().pop().expect("a query about others");
     assert!(second.workers.iter().all(|worker| !first.workers.contains(worker)));
--- a/tests/logic/cell/starvation.rs
+++ b/tests/logic/cell/starvation.rs
@@ -98,8 +98,10 @@
         for (_, query) in due {
             let workers = query.workers.iter().map(|worker| (worker.clone(), "t".to_owned()));
             let allowed = Eligibility { workers: workers.collect(), valid_ms: None };
-            self.harness
-                .deliver(Message::PolicyAnswered { query: query.number, allowed: Some(allowed) });
+            self.harness.deliver(Message::PolicyAnswered {
+                query: query.number,
+                eligibility: Some(allowed),
+            });
         }
     }
 
--- a/tests/logic/cell/succession.rs
+++ b/tests/logic/cell/succession.rs
@@ -25,9 +25,9 @@
     let mut harness = OwnerHarness::new(1);
     for domain in 0..DOMAINS {
         for number in 0..20 {
-            let strength = if number < strong { 500 } else { 120 };
+            let cpu_millis = if number < strong { 500 } else { 120 };
             let (peer, domain) = (peer(domain, number), format!("hall-{domain}").into());
-            harness.deliver(Message::InstanceSeen { peer, strength, domain });
+            harness.deliver(Message::InstanceSeen { peer, cpu_millis, domain });
         }
     }
     let order = harness.machine.present_instances(Instant::from_millis(harness.now));
@@ -45,9 +45,9 @@
 fn succession_begins_with_the_strongest() {
     let mut harness = OwnerHarness::new(1);
     let names = ["hall-0", "hall-0", "hall-1"];
-    for (number, (strength, domain)) in [120, 500, 500].into_iter().zip(names).enumerate() {
+    for (number, (cpu_millis, domain)) in [120, 500, 500].into_iter().zip(names).enumerate() {
         let peer = peer(0, number as u8);
-        harness.deliver(Message::InstanceSeen { peer, strength, domain: domain.into() });
+        harness.deliver(Message::InstanceSeen { peer, cpu_millis, domain: domain.into() });
     }
     let order = harness.machine.present_instances(Instant::from_millis(harness.now));
     assert_eq!(order, [peer(0, 1), peer(0, 2), peer(0, 0)]);
@@ -61,7 +61,7 @@
     let mut harness = OwnerHarness::new(1);
     let present = |harness: &mut OwnerHarness, number: u8| {
         let peer = peer(0, number);
-        harness.deliver(Message::InstanceSeen { peer, strength: 500, domain: "hall".into() });
+        harness.deliver(Message::InstanceSeen { peer, cpu_millis: 500, domain: "hall".into() });
     };
     (0..3).for_each(|number| present(&mut harness, number));
     harness.advance(200);
--- a/tests/logic/cell/ticket.rs
+++ b/tests/logic/cell/ticket.rs
@@ -16,7 +16,7 @@
 fn answered() -> Tickets {
     let mut tickets = Tickets::default();
     let workers = ["w1".into(), "w2".into()];
-    tickets.mark_asked(&workers);
+    tickets.mark_queried(&workers);
     let allowed = Eligibility { workers: vec![("w1".into(), "t1".to_owned())], valid_ms: None };
     tickets.record_answer(&workers, Some(&allowed), VALID, at(100));
     tickets
@@ -27,8 +27,8 @@
     let tickets = answered();
     assert!(tickets.is_eligible("w1"));
     assert!(!tickets.is_eligible("w2"));
-    assert!(!tickets.is_unasked("w2"));
-    assert!(tickets.is_unasked("w3"));
+    assert!(!tickets.is_unqueried("w2"));
+    assert!(tickets.is_unqueried("w3"));
     assert_eq!(tickets.counts(), (2, 1));
 }
 
@@ -51,11 +51,11 @@
 fn answer_missing_can_be_asked_again() {
     let mut tickets = Tickets::default();
     let workers = ["w1".into()];
-    tickets.mark_asked(&workers);
-    assert!(tickets.has_pending_question());
+    tickets.mark_queried(&workers);
+    assert!(tickets.has_pending_query());
     tickets.record_answer(&workers, None, VALID, at(100));
-    assert!(!tickets.has_pending_question());
-    assert!(tickets.is_unasked("w1"));
+    assert!(!tickets.has_pending_query());
+    assert!(tickets.is_unqueried("w1"));
 }
 
 #[test]
