--- a/src/placement/explanation.rs
+++ b/src/placement/explanation.rs
@@ -61,7 +61,7 @@
         let first = self.reservations.first();
         let team = self.teams.get(waiting.team);
         match (denial, team.quota, first) {
-            (None, ..) => PendingReason::LowerPriority,
+            (None, ..) => PendingReason::NotAttempted,
             (Some(Denial::Quota), Some(quota), _) => {
                 PendingReason::Quota { usage: team.usage, quota }
             }
--- a/src/placement/health.rs
+++ b/src/placement/health.rs
@@ -1,4 +1,4 @@
-//! Tells faulty workers from faulty jobs.
+//! Distinguishes faulty workers from faulty jobs.
 //!
 //! A failure counts against a worker unless jobs of that name also fail on several other workers.
 //! It counts against a job name once for each distinct worker. A worker on which several distinct
@@ -48,7 +48,7 @@
 /// Team and job name.
 pub(super) type JobName = (Rc<str>, Rc<str>);
 
-/// What a failed task reveals as faulty.
+/// What a failed task shows to be faulty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum FaultSource {
     /// The worker: distinct jobs fail on it.
--- a/src/placement/health_event.rs
+++ b/src/placement/health_event.rs
@@ -33,7 +33,7 @@
         worker: worker::Name,
     },
     /// Jobs of this name failed on several distinct workers, so the job is at fault.
-    #[display("job {job} ({team}/{name}) failed on every worker that ran it")]
+    #[display("job {job} ({team}/{name}) failed on several workers")]
     FailsEverywhere {
         /// The job that failed last.
         job: job::Id,
--- a/src/placement/pending_reason.rs
+++ b/src/placement/pending_reason.rs
@@ -72,9 +72,9 @@
         preset: Preset,
     },
     /// Waits for preempted tasks to stop.
-    #[display("capacity for {tasks} tasks is being freed by preemption")]
+    #[display("capacity for {tasks} of its tasks is set aside while preempted tasks stop")]
     Preempting {
-        /// Tasks of the job with a preemption claim.
+        /// Tasks of the waiting job for which capacity is set aside by a preemption claim.
         tasks: usize,
     },
     /// Only workers that are draining, closed or quarantined are large enough.
@@ -82,7 +82,8 @@
         "only workers that accept no new tasks (draining, closed, quarantined) are large enough"
     )]
     Unavailable,
-    /// Placement has not been attempted yet, because other jobs go first.
-    #[display("other jobs have a higher priority")]
-    LowerPriority,
+    /// No placement of the job or of similar jobs of its team has been denied yet: those ahead of
+    /// it in the queue order are attempted first, and each round has a limited number of attempts.
+    #[display("placement has not been attempted yet; jobs ahead of it in the queue go first")]
+    NotAttempted,
 }
