--- a/src/cell/activity.rs
+++ b/src/cell/activity.rs
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 pub struct ThreadProfiler {
     spent: RefCell<[TimeSpent; OwnerActivity::ALL.len()]>,
-    /// Polls seen by [`ThreadProfiler::measure`].
+    /// Number of polls in [`ThreadProfiler::measure`].
     polls: Cell<u32>,
 }
 
--- a/src/cell/command_backoff.rs
+++ b/src/cell/command_backoff.rs
@@ -19,7 +19,7 @@
 ///
 /// Guards against a worker that answers polls but no commands: it kept receiving tasks, and each
 /// was delayed by a lease or longer. The worker gets no tasks for a second, a second more for each
-/// consecutive time, and has the lowest preference for a while. Commands that are outstanding at
+/// consecutive pause, and has the lowest preference for a while. Commands that are outstanding at
 /// the same time count once, and one response clears the backoff. A short network cut therefore
 /// costs a healthy worker one second, however many commands were outstanding.
 #[derive(Clone, Copy, Debug, Default)]
@@ -66,7 +66,7 @@
         self.paused_until.into_iter().flat_map(|until| [until, until.after(LOW_PREFERENCE)])
     }
 
-    /// Number of consecutive times.
+    /// Number of consecutive pauses, up to a maximum.
     pub const fn consecutive(&self) -> u32 {
         self.consecutive
     }
--- a/src/cell/dependencies.rs
+++ b/src/cell/dependencies.rs
@@ -259,7 +259,8 @@
     ///
     /// The first batch of an epoch is a claim: from then on the journal refuses smaller epochs. The
     /// sequence number of a claim differs between claimants. If two claimants used the same number,
-    /// the second would look like a repetition of the first, and the store would report success to both.
+    /// the second would look like a repetition of the first, and the store would report success to
+    /// both.
     fn append<'a>(
         &'a self,
         cell: Id,
--- a/src/cell/election/follow.rs
+++ b/src/cell/election/follow.rs
@@ -43,7 +43,7 @@
                         self.catch_up().await;
                     }
                 }
-                // Guards against treating an owner as gone that is overloaded.
+                // An owner that is overloaded is not treated as gone.
                 Err(error) if error.is_busy() && refusals < MAX_REFUSALS => {
                     refusals += 1;
                     self.node.deps.clock.sleep(FOLLOW_DELAY).await;
--- a/src/cell/election/priority.rs
+++ b/src/cell/election/priority.rs
@@ -78,9 +78,9 @@
 
     /// Whether the store answers this instance within its usual time.
     async fn is_store_fast(&self) -> bool {
-        let asked = self.node.deps.clock.now();
+        let sent = self.node.deps.clock.now();
         let record = self.owner_record().await;
-        record.is_ok() && self.node.deps.clock.now().since(asked) <= FAST_STORE_READ
+        record.is_ok() && self.node.deps.clock.now().since(sent) <= FAST_STORE_READ
     }
 }
 
--- a/src/cell/election/takeover.rs
+++ b/src/cell/election/takeover.rs
@@ -11,7 +11,7 @@
 use crate::cell::timings::APPEND_RETRY;
 use crate::peer;
 
-/// Time within which an owner that does not answer must append to the journal to count as alive.
+/// Time within which an owner that does not answer must append to the journal to count as working.
 const APPEND_WINDOW: Duration = Duration::from_millis(250);
 
 /// Time for which an instance may not answer after it has claimed the cell.
--- a/src/cell/machine/calls.rs
+++ b/src/cell/machine/calls.rs
@@ -30,10 +30,10 @@
     /// Accepts a job. A job that is already known is accepted again, because its caller may not
     /// have received the first answer.
     ///
-    /// While the store is slow, new jobs wait outside the journal; once the store is stuck, they
-    /// are refused. Guards against an outage that leaves every caller's job in an unknown state: a
-    /// job that is queued for the journal is still written when the store returns, so its caller
-    /// cannot be told that it was refused.
+    /// While the store is slow, new jobs wait outside the journal; once an append has been
+    /// pending for longer than a slow store takes, they are refused. Guards against an outage that
+    /// leaves every caller's job in an unknown state: a job that is queued for the journal is still
+    /// written when the store returns, so it can no longer be refused.
     fn submit(&mut self, id: CallId, job: Job) {
         if self.state.jobs.contains_key(&job.id) {
             return self.defer(Deferred::Reply(id, Answer::Accepted));
--- a/src/cell/machine/journal_queue.rs
+++ b/src/cell/machine/journal_queue.rs
@@ -24,7 +24,7 @@
     ShowFinalPhase(Id),
 }
 
-/// How well the store takes appends.
+/// How fast the store completes appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreHealth {
     /// Appends take the usual time.
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns how well the store takes appends.
+    /// Returns how fast the store completes appends.
     pub(super) fn health(&self, now: Instant) -> StoreHealth {
         match self.trying_since.map(|since| now.since(since)) {
             Some(tried) if tried > OFFER_TO_ANYONE_AFTER => StoreHealth::Stuck,
@@ -185,9 +185,9 @@
 
     /// Hides a job's final phase from callers until it is stored.
     ///
-    /// Guards against an owner that reports *completed* and dies before the end is in the journal:
-    /// if the worker is lost as well, the next owner runs a task again although its caller has been
-    /// told that it is done.
+    /// Guards against an owner that reports *completed* and fails before the end is in the
+    /// journal: if the worker is lost as well, the next owner runs a task again although its caller
+    /// has received *completed*.
     pub(super) fn finish_job(&mut self, job: Id) {
         let phase = self.phase_of(job).unwrap_or(Phase::Pending);
         log::info!("event=job.ended job={job} phase={phase}");
@@ -197,8 +197,9 @@
         self.defer(Deferred::ShowFinalPhase(job));
     }
 
-    /// Appends the next batch, or an empty one as a sign of life. An unanswered batch is sent again
-    /// in parallel; the journal takes it only once, because the sequence number is the same.
+    /// Appends the next batch, or an empty one to show that the owner is working. An unanswered
+    /// batch is sent again in parallel; the journal writes it only once, because the sequence number
+    /// is the same.
     ///
     /// Guards against an append that hangs although the store has returned: without the second one,
     /// the owner and all callers would wait for the timeout.
@@ -245,7 +246,7 @@
                 let reason = "step=journal.append cause=fenced".to_owned();
                 self.effects.push(Effect::StepDown { reason });
             }
-            // A repetition has the same sequence number, so that the journal takes the batch only
+            // A repetition has the same sequence number, so that the journal writes the batch only
             // once.
             Err(AppendError::NotWritten(cause) | AppendError::Unknown(cause)) => {
                 log::warn!("event=journal.append_failed sequence={sequence} cause={cause:?}");
--- a/src/cell/machine/mod.rs
+++ b/src/cell/machine/mod.rs
@@ -116,7 +116,7 @@
     polls: TimerQueue<WorkerId>,
     /// When the next command of each attempt is to be sent.
     commands: TimerQueue<Run>,
-    /// Workers as placement rounds see them.
+    /// Views of the workers for placement rounds.
     views: WorkerViews,
     /// Attempts of earlier owners on workers that have not been listed yet.
     unlisted_runs: BTreeSet<Run>,
@@ -257,7 +257,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// How well the store takes appends.
+    /// How fast the store completes appends.
     pub fn store_health(&self, now: Instant) -> StoreHealth {
         self.journal.health(now)
     }
--- a/src/cell/machine/polls.rs
+++ b/src/cell/machine/polls.rs
@@ -14,7 +14,8 @@
 /// Most polls that one step sends.
 ///
 /// Guards against a new owner that blocks its thread for most of a second with the first polls of
-/// thousands of workers: the instances that follow it considered it dead, one after the other.
+/// thousands of workers: the instances that follow it considered it failed, one after the
+/// other.
 const MAX_POLLS_PER_STEP: usize = 512;
 
 impl Machine {
@@ -130,14 +131,14 @@
     /// Records the ends of attempts, and allows the worker to forget them once they are stored.
     fn record_ends(&mut self, id: &str, ended: Vec<EndedRun>) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let (told, recorded) = (worker.last_reported_end, worker.last_recorded_end);
+        let (reported, recorded) = (worker.last_reported_end, worker.last_recorded_end);
         let Some(last) = ended.iter().map(|end| end.number).max() else { return };
-        worker.last_reported_end = told.max(last);
+        worker.last_reported_end = reported.max(last);
         // The worker reports the same ends until it may forget them, so the next poll waits for the
         // journal.
         worker.next_poll = self.now.after(POLL_RETRY);
         for end in ended {
-            if end.number > told && self.is_on(&end.run, id) {
+            if end.number > reported && self.is_on(&end.run, id) {
                 self.end_run(end.run, end.outcome, end.checkpoint);
             }
         }
--- a/src/cell/machine/rank.rs
+++ b/src/cell/machine/rank.rs
@@ -23,7 +23,8 @@
     deadline: u64,
 }
 
-/// What a job can still earn: everything on time, less when late, nothing when worthless.
+/// Value that a job can still earn: the full value when on time, less when late, none when
+/// worthless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timeliness {
     OnTime,
@@ -53,7 +54,7 @@
     /// Time of the policy query that a gang needs before it can start, if it has not been queried
     /// yet.
     ///
-    /// Guards against useless queries: in a flood, each gang was queried when it was just on time
+    /// Guards against useless queries: under overload, each gang was queried when it was just on time
     /// and was late when the answer arrived, while other gangs that could be on time were not
     /// queried.
     fn first_query_ms(&self, job: &Job, key: &StepKey, queue: &Queue) -> f64 {
@@ -118,7 +119,7 @@
 }
 
 /// Rank of long-running tasks. One that ran before is placed before all others, because its users
-/// miss it now; a new one is ranked by its queue.
+/// are without it now; a new one is ranked by its queue.
 pub(super) fn long_running_rank(
     step: &crate::cell::state::StepState,
     queue: &Queue,
--- a/src/cell/machine/succession.rs
+++ b/src/cell/machine/succession.rs
@@ -24,15 +24,15 @@
     pub order: Rc<[SocketAddr]>,
     /// Digest of the list; zero if it is empty.
     pub digest: u64,
-    /// CPU of the strongest instance, in thousandths of a core.
+    /// Most CPU that any instance may use, in thousandths of a core.
     pub(super) strongest: u32,
     next_ranking: Instant,
 }
 
 impl Machine {
-    /// Returns the instances that were heard of recently, in order of succession. Stronger
-    /// instances come first, because the owner does most of the work and instances differ by a
-    /// factor of four. Among equally strong ones, failure domains alternate, so that losing one
+    /// Returns the instances that are present, in order of succession. Those with more CPU come
+    /// first, because the owner does most of the work and instances differ by a
+    /// factor of four. Among instances with equal CPU, failure domains alternate, so that losing one
     /// domain leaves most of the first instances.
     pub fn present_instances(&self, now: Instant) -> Vec<SocketAddr> {
         let fresh = self.proxies.iter().filter(|(_, proxy)| proxy.is_fresh(now));
--- a/src/cell/machine/view.rs
+++ b/src/cell/machine/view.rs
@@ -22,7 +22,7 @@
 /// Resolution of the clock.
 const CLOCK_TICK: Duration = Duration::from_millis(1);
 
-/// A worker as a placement round sees it.
+/// State of a worker in a placement round.
 #[derive(Debug)]
 pub(super) struct WorkerView {
     pub(super) id: WorkerId,
--- a/src/cell/node/mod.rs
+++ b/src/cell/node/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! | File | Contents |
 //! |---|---|
-//! | `view.rs` | what the instance knows about each cell |
+//! | `view.rs` | state of each cell, as known to the instance |
 //! | `config.rs` | the configuration and its distribution |
 //! | `readiness.rs` | readiness for callers, and closing of their idle connections |
 //! | `answer.rs` | responses to other instances |
@@ -54,7 +54,7 @@
     pub timings: Timings,
     /// Interfaces to external systems.
     pub deps: Rc<Dependencies>,
-    /// Triggered when the process is asked to stop.
+    /// Triggered when the process receives a request to stop.
     pub stop: Shutdown,
     config: RefCell<Rc<QueueConfig>>,
     views: RefCell<BTreeMap<Id, CellView>>,
--- a/src/cell/node/readiness.rs
+++ b/src/cell/node/readiness.rs
@@ -24,7 +24,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Node {
-    /// Records the health of the store as seen by this instance, which owns the cell.
+    /// Records the health of the store as observed by this instance, which owns the cell.
     pub(in crate::cell) fn apply_store_health(&self, cell: Id, health: StoreHealth) {
         if health != StoreHealth::Stuck {
             self.note_owner_heard(cell);
--- a/src/cell/node/view.rs
+++ b/src/cell/node/view.rs
@@ -9,7 +9,7 @@
 use crate::clock::Instant;
 use crate::shutdown::Shutdown;
 
-/// What an instance knows about one cell.
+/// State of one cell, as known to the instance.
 #[derive(Default)]
 pub(super) struct CellView {
     pub(super) owner: Option<SocketAddr>,
--- a/src/cell/retry.rs
+++ b/src/cell/retry.rs
@@ -43,7 +43,7 @@
 
 impl RetryPolicy {
     /// Creates the policy for a call that arrived at `now` from a caller that waits for `timeout`, at
-    /// an instance that last heard from a working owner at `owner_heard_at`.
+    /// an instance whose last contact with a working owner was at `owner_heard_at`.
     ///
     /// ```
     /// use oriolefork::cell::retry::{RetryDecision, RetryPolicy};
--- a/src/cell/timings.rs
+++ b/src/cell/timings.rs
@@ -83,7 +83,7 @@
 /// Maximum size of one append in bytes.
 pub const MAX_APPEND_BYTES: usize = 200_000;
 
-/// Time without appends after which the owner appends an empty batch to show that it is alive.
+/// Time without appends after which the owner appends an empty batch to show that it is working.
 pub const IDLE_APPEND_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Time without a successful append of one batch after which the owner offers its cell to any
@@ -155,8 +155,8 @@
 /// Maximum number of workers named in one query to the policy service.
 pub const MAX_POLICY_WORKERS: usize = 100;
 
-/// Time for which an instance holds a call after it last heard from a working owner: twice the time
-/// of a change of owner. Longer holds cost the caller an attempt (value of the work done on days
+/// Time for which an instance holds a call after its last contact with a working owner: twice the
+/// time of a change of owner. Longer holds cost the caller an attempt (value of the work done on days
 /// with a store outage: 0.64 with 0.7 s, 0.69 without any hold; one run each).
 pub const NO_OWNER_WAIT: Duration = Duration::from_millis(700);
 
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -27,7 +27,7 @@
 /// Number of consecutive unanswered polls after which no new tasks are placed on a worker.
 const MISSED_POLLS_LIMIT: u32 = 1;
 
-/// A run that may be stopped for steps of queues with a higher priority.
+/// A run that may be preempted for steps of queues with a higher priority.
 #[derive(Clone, Debug)]
 pub struct PreemptibleRun {
     /// Priority of its queue.
--- a/src/owner/calls.rs
+++ b/src/owner/calls.rs
@@ -132,7 +132,7 @@
 
     /// Answers a caller whose deadline has passed. A change that was not sent to the log is
     /// withdrawn, so that "not run" is correct. Otherwise it may have been written, and the caller
-    /// has to ask again.
+    /// has to repeat the call.
     fn expire(&mut self, ticket: Ticket) -> Vec<Effect> {
         let other_caller = self.accepting.values_mut().find_map(|tickets| {
             let at = tickets.iter().position(|other| *other == ticket)?;
--- a/src/owner/election/claim.rs
+++ b/src/owner/election/claim.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether the owner and the log have both been silent for so long that the leases of the
+    /// Whether the owner and the log have both been unreachable for so long that the leases of the
     /// running tasks would expire before an instance could claim the domain.
     fn takeover_due(&self, now: Instant) -> bool {
         let timeout = self.timings.claim_timeout * 2 + self.rank_delay();
@@ -40,7 +40,7 @@
 
     /// Takes over the domain without the log, to renew the leases of running tasks.
     ///
-    /// If the owner dies during an outage of the log, no instance can claim the domain, and ten
+    /// If the owner fails during an outage of the log, no instance can claim the domain, and ten
     /// seconds later every service in it would stop with its lease. A worker obeys the largest
     /// epoch, and each rank uses an epoch of its own, so renewing leases needs no agreement.
     /// Placement does need it: it waits until the claim of this epoch is in the log, where a claim
@@ -64,12 +64,12 @@
             return false;
         }
         let timeout = self.timings.claim_timeout + self.rank_delay();
-        let silent = now.since(self.election.last_heard) >= timeout;
+        let owner_unreachable = now.since(self.election.last_heard) >= timeout;
         let owner_cut_off = self
             .election
             .owner_without_log_since
             .is_some_and(|since| now.since(since) >= timeout * 2);
-        silent || owner_cut_off
+        owner_unreachable || owner_cut_off
     }
 
     /// Delay of this instance by its rank. Instances claim in the order of their names, so that two
--- a/src/owner/election/mod.rs
+++ b/src/owner/election/mod.rs
@@ -14,7 +14,7 @@
 use crate::owner::machine::{Heartbeat, Machine, Role};
 use crate::owner::record::Claim;
 
-/// What this instance has learned about the owner, and its progress in the stream.
+/// Latest information about the owner, and the progress of this instance in the stream.
 #[derive(Clone, Debug)]
 pub struct Election {
     progress: Progress,
@@ -73,7 +73,7 @@
         self.last_heard = now;
     }
 
-    /// Records that the owner is alive because it appends, even if its heartbeats do not arrive.
+    /// Records that the owner is working because it appends, even if its heartbeats do not arrive.
     pub(in crate::owner) fn record_owner_append(&mut self, now: Instant) {
         if self.progress == Progress::Live {
             self.last_heard = now;
@@ -107,9 +107,9 @@
         };
     }
 
-    /// Handles the answer of `from` to a heartbeat; `epoch` is the latest epoch that it has seen.
+    /// Handles the answer of `from` to a heartbeat; `epoch` is the latest epoch known to it.
     ///
-    /// A former owner that has seen a later epoch has stepped down, and a new process at the
+    /// A former owner that knows a later epoch has stepped down, and a new process at the
     /// address of a former owner shows that the old process is gone.
     pub(in crate::owner) fn on_heartbeat_answered(
         &mut self,
--- a/src/owner/machine/message.rs
+++ b/src/owner/machine/message.rs
@@ -49,10 +49,10 @@
     HeartbeatAnswered {
         /// The instance that answered.
         from: Instance,
-        /// Latest epoch it knows.
+        /// Latest epoch known to it.
         epoch: Epoch,
     },
-    /// An owner that cannot reach the log asks this instance to store a batch.
+    /// Request of an owner that cannot reach the log to store a batch.
     StoreBatch(BatchCopy),
     /// An instance confirms that it stores a batch.
     BatchStored {
@@ -76,7 +76,7 @@
     Policy(Policy),
     /// Different operators' settings are in force.
     Settings(Rc<config::Value>),
-    /// The owner of the given epoch asks this instance to take over.
+    /// Request of the owner of the given epoch to take over.
     Handover(Epoch),
     /// The process is shutting down.
     Shutdown,
@@ -198,7 +198,7 @@
         /// The batch.
         copy: BatchCopy,
     },
-    /// Ask an instance to take over.
+    /// Request an instance to take over.
     Handover {
         /// The instance.
         to: SocketAddr,
--- a/src/owner/machine/mod.rs
+++ b/src/owner/machine/mod.rs
@@ -24,7 +24,7 @@
 /// Role of the instance in its failure domain.
 #[derive(Debug)]
 pub enum Role {
-    /// Reads the stream and watches the owner.
+    /// Reads the stream and detects the loss of the owner.
     Follower,
     /// Owns the domain.
     Owner(Box<Active>),
@@ -115,7 +115,7 @@
         matches!(self.role, Role::Owner(_))
     }
 
-    /// The owner, as far as this instance knows.
+    /// The owner, if this instance knows one.
     pub fn owner(&self) -> Option<&Instance> {
         match &self.role {
             Role::Owner(_) => Some(&self.me),
@@ -178,7 +178,7 @@
     }
 
     /// Ends this instance's ownership. Callers whose change was never sent to the log are refused;
-    /// the others get [`Answer::Unknown`] and have to ask again.
+    /// the others get [`Answer::Unknown`] and have to repeat the call.
     pub(in crate::owner) fn step_down(&mut self, cause: &str) {
         let Role::Owner(mut active) = std::mem::replace(&mut self.role, Role::Follower) else {
             return;
--- a/src/owner/on_commit.rs
+++ b/src/owner/on_commit.rs
@@ -84,7 +84,7 @@
         self.send_start(placement, job, now, unix);
     }
 
-    /// Tells workers to forget an ended task. This happens only once its end is in the log: a new
+    /// Commands workers to forget an ended task. This happens only once its end is in the log: a new
     /// owner that finds the end neither in the log nor at the worker concludes that the task never
     /// started.
     fn forget(&mut self, task: task::Id) {
--- a/src/owner/owner_step.rs
+++ b/src/owner/owner_step.rs
@@ -59,7 +59,7 @@
     /// that this owner is alive.
     ///
     /// This guards against two instances that reach the log and the workers but not each other. If
-    /// nothing else were written, each would consider the other dead and claim the domain from it
+    /// nothing else were written, each would consider the other gone and claim the domain from it
     /// again and again, and every claim stops placement until all workers are fenced.
     fn keep_alive_in_log(&mut self, now: Instant) {
         let silence = self.timings.claim_timeout / 2;
--- a/src/owner/record.rs
+++ b/src/owner/record.rs
@@ -94,7 +94,7 @@
     pub job: job::Id,
     /// Idempotency key under which it was submitted.
     pub key: String,
-    /// What the job asks for.
+    /// What is requested.
     pub spec: job::Spec,
     /// When it was accepted.
     pub at: Unix,
--- a/src/owner/session.rs
+++ b/src/owner/session.rs
@@ -59,7 +59,7 @@
     pub leaving: bool,
     /// Its total resources; zero before the first report.
     pub capacity: Amount,
-    /// Run number of the last worker process seen; zero before the first report.
+    /// Run number of the last worker process that reported; zero before the first report.
     pub run: u64,
     /// Tasks that hold resources there, according to its reports.
     pub running: BTreeMap<task::Id, Observation>,
@@ -362,7 +362,7 @@
         }
     }
 
-    /// Tells the worker to forget an ended task that it still reports.
+    /// Commands the worker to forget an ended task that it still reports.
     pub fn forget(&mut self, task: task::Id) {
         if self.reported_ended.remove(&task) {
             self.outbox.push_back(Command::Forget(task));
--- a/src/owner/table/job.rs
+++ b/src/owner/table/job.rs
@@ -20,7 +20,7 @@
     pub id: job::Id,
     /// Idempotency key under which it was submitted.
     pub key: String,
-    /// What the job asks for.
+    /// What is requested.
     pub spec: job::Spec,
     /// When it was accepted.
     pub accepted: Unix,
