--- a/src/cell/machine/backlog.rs
+++ b/src/cell/machine/backlog.rs
@@ -1,4 +1,4 @@
-//! Logs once a second what waits for placement and why.
+//! Logs once a second which steps wait for placement and why.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 /// capacity at once.
 const MAX_DETAILED_GANGS: usize = 4;
 
-/// State that the next log line needs.
+/// When the next log lines are due, and what they count.
 #[derive(Debug)]
 pub(super) struct BacklogLog {
     next: Instant,
@@ -52,13 +52,13 @@
             waiting.iter().filter(|step| step.rank.timeliness == timeliness).count()
         });
         let gangs = waiting.iter().filter(|step| step.spec().gang).count();
-        let unasked = waiting.iter().filter(|step| self.is_unqueried(step)).count();
+        let unqueried = waiting.iter().filter(|step| self.is_unqueried(step)).count();
         let fresh = self.proxies.values().filter(|proxy| proxy.is_fresh(self.now)).count();
         let idle = self.proxies.values().filter(|proxy| proxy.is_idle(self.now)).count();
         let (free, cores) = (views.free_cpu_millis() / 1_000, views.cpu_millis() / 1_000);
         log::info!(
             "event=steps.waiting on_time={on_time} late={late} worthless={worthless} gangs={gangs} \
-             unasked={unasked} askers={fresh} idle_askers={idle} free_cores={free} cores={cores} \
+             unasked={unqueried} askers={fresh} idle_askers={idle} free_cores={free} cores={cores} \
              workers={} rounds={rounds}",
             views.count()
         );
@@ -67,8 +67,8 @@
     }
 
     /// Logs how many gangs of one timeliness class wait for what and how wide they are, with
-    /// details of the widest. This tells gangs that wait for capacity from those whose tickets
-    /// expired while capacity was free.
+    /// details of the widest. This distinguishes gangs that wait for capacity from those whose
+    /// tickets expired while capacity was free.
     fn log_gangs(&self, waiting: &[PendingStep], views: &WorkerViews, timeliness: Timeliness) {
         let gangs =
             waiting.iter().filter(|step| step.spec().gang && step.rank.timeliness == timeliness);
--- a/src/cell/machine/crash.rs
+++ b/src/cell/machine/crash.rs
@@ -35,8 +35,8 @@
     /// Whether a task of `job` may start beside these. Tasks of the same job always may, because
     /// the job fails as a whole.
     pub(super) fn admits(&self, job: Id, suspect: bool) -> bool {
-        let alone = !self.multiple_jobs && self.job.is_none_or(|other| other == job);
-        alone || !(suspect || self.suspect)
+        let same_job_only = !self.multiple_jobs && self.job.is_none_or(|other| other == job);
+        same_job_only || !(suspect || self.suspect)
     }
 }
 
--- a/src/cell/machine/pending.rs
+++ b/src/cell/machine/pending.rs
@@ -11,12 +11,12 @@
 use crate::cell::state;
 use crate::clock::Instant;
 
-/// Interval between two rounds over all open jobs. Most jobs that earn nothing any more are placed
+/// Interval between two rounds over all open jobs. Most jobs without any value left are placed
 /// only in these: with 4,500 open jobs, as after a loss of all instances, checking each of them in
 /// every round took all of the owner's CPU.
 const FULL_SCAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Jobs that earn nothing any more and that are still checked in every round, the first in rank:
+/// Jobs without any value left that are still checked in every round, the first in rank:
 /// twice the number of instances of a large site, each of which sends one policy query at a time.
 const MAX_WORTHLESS_JOBS: usize = 64;
 
@@ -45,9 +45,9 @@
 /// Open jobs that each placement round checks.
 #[derive(Debug)]
 pub(super) struct RoundJobs {
-    /// Jobs that may have tasks to place and can still earn something.
+    /// Jobs that may have tasks to place and still have a value.
     jobs: BTreeSet<Id>,
-    /// Some jobs that cannot earn anything any more.
+    /// Some jobs without any value left.
     ///
     /// Guards against a site that has only such jobs left and would place them only in full scans:
     /// its instances were idle in between, and their answers waited for the next scan.
@@ -73,7 +73,7 @@
 
 impl Machine {
     /// Returns the steps with tasks to place whose earlier steps are done, ordered by rank. Checks
-    /// the jobs that can still earn something and, from time to time, all open jobs.
+    /// the jobs that still have a value and, from time to time, all open jobs.
     pub(super) fn pending_steps(&mut self) -> Vec<PendingStep> {
         let full_scan = self.round_jobs.is_full_scan_due(self.now);
         if full_scan {
@@ -93,8 +93,8 @@
             let first_new = waiting.len();
             let more_to_come = self.open_occurrences(id);
             self.add_pending_steps(id, &mut waiting);
-            let earns = |step: &PendingStep| step.rank.timeliness != Timeliness::Worthless;
-            if more_to_come || waiting[first_new..].iter().any(earns) {
+            let has_value = |step: &PendingStep| step.rank.timeliness != Timeliness::Worthless;
+            if more_to_come || waiting[first_new..].iter().any(has_value) {
                 self.round_jobs.jobs.insert(id);
             } else {
                 self.round_jobs.jobs.remove(&id);
--- a/src/cell/machine/policy_query.rs
+++ b/src/cell/machine/policy_query.rs
@@ -227,14 +227,14 @@
             return Vec::new();
         }
         let wanted = step.pending.len() as f64 * GANG_FACTOR;
-        let prospects = |at: usize| self.slots_with_preemption(at, step, views).max(1.0);
+        let expected_slots = |at: usize| self.slots_with_preemption(at, step, views).max(1.0);
         let mut known = Candidates::default();
         for at in tickets.eligible().filter_map(|(worker, _)| views.find(worker)) {
-            known.add(views.get(at), prospects(at));
+            known.add(views.get(at), expected_slots(at));
         }
         let awaited = tickets.awaiting_answer().filter_map(|worker| views.find(worker));
         let expected =
-            known.slots + awaited.map(prospects).sum::<f64>() * self.eligible_share(step);
+            known.slots + awaited.map(expected_slots).sum::<f64>() * self.eligible_share(step);
         if expected < wanted {
             let unqueried =
                 self.unqueried_workers(step, views, (wanted - expected) * GANG_QUERY_FACTOR);
--- a/src/cell/machine/rank.rs
+++ b/src/cell/machine/rank.rs
@@ -5,7 +5,7 @@
 use crate::cell::queue::Queue;
 use crate::cell::timings::MAX_POLICY_WORKERS;
 
-/// Multiple of its objective after which a job earns nothing any more.
+/// Multiple of its objective after which a job has no value any more.
 const WORTHLESS_FACTOR: f64 = 3.0;
 
 /// Share of the expected run time that must fit before the objective for a job to count as on time;
@@ -54,8 +54,8 @@
     /// Time of the policy query that a gang needs before it can start, if it has not been queried
     /// yet.
     ///
-    /// Guards against useless queries: under overload, each gang was queried when it was just on time
-    /// and was late when the answer arrived, while other gangs that could be on time were not
+    /// Guards against useless queries: under overload, each gang was queried when it was just on
+    /// time and was late when the answer arrived, while other gangs that could be on time were not
     /// queried.
     fn first_query_ms(&self, job: &Job, key: &StepKey, queue: &Queue) -> f64 {
         let unqueried = self.tickets.get(key).is_none_or(|tickets| tickets.counts().0 == 0);
@@ -125,8 +125,8 @@
     queue: &Queue,
     accepted: u64,
 ) -> Rank {
-    let ran = step.tasks.iter().any(|task| task.last_run > 0 && task.live == 0);
-    if ran {
+    let ran_before = step.tasks.iter().any(|task| task.last_run > 0 && task.live == 0);
+    if ran_before {
         return Rank { timeliness: Timeliness::OnTime, priority: 0, deadline: 0 };
     }
     Rank {
--- a/src/cell/node/answer.rs
+++ b/src/cell/node/answer.rs
@@ -28,7 +28,7 @@
         match method {
             CALL => encode(&self.answer_call(decode(body)?).await),
             WATCH => encode(&self.watched(&decode(body)?).await),
-            POLICY => encode(&self.advise(decode(body)?).await),
+            POLICY => encode(&self.query_policy(decode(body)?).await),
             TABLE => {
                 self.apply_config(decode(body)?);
                 encode(&())
@@ -60,7 +60,7 @@
         handle.call(envelope.call).await.map_or(Reply::Interrupted, Reply::Answer)
     }
 
-    async fn advise(&self, request: PolicyRequest) -> Result<Eligibility, String> {
+    async fn query_policy(&self, request: PolicyRequest) -> Result<Eligibility, String> {
         let timeout = Duration::from_millis(request.timeout_ms);
         self.deps.policy_service.eligible_workers(&request.step, &request.workers, timeout).await
     }
--- a/src/runner/budget.rs
+++ b/src/runner/budget.rs
@@ -15,23 +15,23 @@
     /// ```
     /// use oriolefork::runner::budget::Budget;
     /// let mut budget = Budget::new(0.5, 1.0);
-    /// assert!(budget.spend());
-    /// assert!(!budget.spend());
-    /// budget.earn();
-    /// budget.earn();
-    /// assert!(budget.spend());
+    /// assert!(budget.try_take());
+    /// assert!(!budget.try_take());
+    /// budget.refill();
+    /// budget.refill();
+    /// assert!(budget.try_take());
     /// ```
     pub fn new(ratio: f64, burst: f64) -> Self {
         Self { tokens: burst, ratio, burst }
     }
 
     /// Adds the tokens for one request.
-    pub fn earn(&mut self) {
+    pub fn refill(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
     /// Takes one token; returns false when less than one is left.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/src/runner/http.rs
+++ b/src/runner/http.rs
@@ -79,7 +79,7 @@
 
 /// Accepts an answer only with the identity of its request.
 ///
-/// A runner that mixes up its callers sends one caller the response of another; such a response is
+/// A runner that mixes up responses sends one caller the response of another; such a response is
 /// well-formed and differs only in the identity. A server error that the runner's HTTP server
 /// returns before it reads the request carries no identity and is accepted.
 fn read(id: request::Id, response: http::Response) -> Result<Answer, Fault> {
--- a/src/runner/router/dispatch.rs
+++ b/src/runner/router/dispatch.rs
@@ -106,9 +106,9 @@
 
     /// Forwards a request because the own domain has no usable runner, or ends it.
     fn forward_or_end(&mut self, id: request::Id, now: Instant) {
-        let warming = self.shares.usable_from().since(now);
+        let retry_after = self.shares.usable_from().since(now);
         if !self.forward(id, now) {
-            self.end_unanswered(id, Refusal::NoRunner, warming);
+            self.end_unanswered(id, Refusal::NoRunner, retry_after);
         }
     }
 
@@ -163,7 +163,7 @@
         let elsewhere = |runner: &Upstream| {
             !pending.tried_runners.contains(&runner.name) && runner.accepts(&self.shares, true, now)
         };
-        if service.runners.iter().any(elsewhere) && service.hedges.spend() {
+        if service.runners.iter().any(elsewhere) && service.hedges.try_take() {
             pending.hedged = true;
             self.start(id, now);
         }
--- a/src/runner/router/mod.rs
+++ b/src/runner/router/mod.rs
@@ -135,8 +135,8 @@
         self.timers.push(Reverse((request.deadline, Timer::Deadline(id))));
         self.pending.insert(id, Pending::new(request, now));
         if let Some(service) = self.service_of(id) {
-            service.retries.earn();
-            service.hedges.earn();
+            service.retries.refill();
+            service.hedges.refill();
             let load = service.load();
             service.demand.sample(load);
         }
--- a/src/runner/router/outcome.rs
+++ b/src/runner/router/outcome.rs
@@ -25,20 +25,20 @@
         let Some(service) = self.services.get_mut(&attempt.service) else { return };
         let can_eject = service.can_eject(&self.policy, now);
         let latency = now.since(attempt.started);
-        let is_good = outcome == Outcome::Complete { failed: false };
-        if is_good {
+        let succeeded = outcome == Outcome::Complete { failed: false };
+        if succeeded {
             service.latency.record(latency);
         }
         let Some(runner) = service.runner(name) else { return };
         runner.unanswered.remove(&(attempt.started, id));
-        if is_good {
+        if succeeded {
             return runner.health.record_success(latency, now);
         }
-        // A response to another request shows that the runner mixes up its callers, so one is
-        // enough to eject it.
-        let is_bad =
+        // A response to another request shows that the runner mixes up responses, so one is enough
+        // to eject it.
+        let should_eject =
             runner.health.record_failure(&self.policy, now) || outcome == Outcome::Mismatched;
-        if is_bad && can_eject && !runner.health.is_ejected(now) {
+        if should_eject && can_eject && !runner.health.is_ejected(now) {
             let until = runner.health.eject(&self.policy, now);
             log::warn!(
                 "event=runner.ejected runner={name} cause=failing for_ms={}",
@@ -146,7 +146,7 @@
         let Some(service) = self.services.get_mut(&pending.request.service) else { return };
         let safe_to_retry = pending.is_idempotent() || !pending.may_have_run;
         let attempts_left = pending.attempts < self.policy.max_attempts;
-        if safe_to_retry && attempts_left && service.retries.spend() {
+        if safe_to_retry && attempts_left && service.retries.try_take() {
             return self.route(id, now);
         }
         let delay = service.mean_latency();
--- a/src/runner/share/ledger.rs
+++ b/src/runner/share/ledger.rs
@@ -17,7 +17,7 @@
 pub struct Ledger {
     coordinator: CoordinatorId,
     durations: LeaseDurations,
-    seen: BTreeMap<ParticipantId, u64>,
+    last_sequences: BTreeMap<ParticipantId, u64>,
     pools: BTreeMap<Name, Pool>,
 }
 
@@ -46,7 +46,7 @@
     /// Creates the empty ledger of a new coordinator. It needs no state of earlier coordinators:
     /// slots lent to them are lent to no other until the loan has expired.
     pub fn new(coordinator: CoordinatorId, durations: LeaseDurations) -> Self {
-        Self { coordinator, durations, seen: BTreeMap::new(), pools: BTreeMap::new() }
+        Self { coordinator, durations, last_sequences: BTreeMap::new(), pools: BTreeMap::new() }
     }
 
     /// Coordinator to which this ledger belongs.
@@ -56,11 +56,11 @@
 
     /// Handles a request; returns `None` when a later one of the same participant came first.
     pub fn handle(&mut self, request: &ShareRequest, now: Instant) -> Option<ShareResponse> {
-        let seen = self.seen.entry(request.participant).or_default();
-        if request.sequence <= *seen {
+        let last_sequence = self.last_sequences.entry(request.participant).or_default();
+        if request.sequence <= *last_sequence {
             return None;
         }
-        *seen = request.sequence;
+        *last_sequence = request.sequence;
         let timestamp = Timestamp { coordinator: self.coordinator, at: now };
         let known =
             request.timestamp.filter(|echo| echo.coordinator == self.coordinator && echo.at <= now);
