--- a/src/placement/pending_reason.rs
+++ b/src/placement/pending_reason.rs
@@ -82,8 +82,9 @@
         "only workers that accept no new tasks (draining, closed, quarantined) are large enough"
     )]
     Unavailable,
-    /// No placement of the job or of similar jobs of its team has been denied yet: those ahead of
-    /// it in the queue order are attempted first, and each round has a limited number of attempts.
-    #[display("placement has not been attempted yet; jobs ahead of it in the queue go first")]
+    /// No placement of the job, or of jobs of its team with the same kind, urgency and demand, has
+    /// been denied yet. Jobs are attempted in the order of the queue, and each round has a limited
+    /// number of attempts.
+    #[display("placement has not been attempted yet; jobs are attempted in the order of the queue")]
     NotAttempted,
 }
