--- a/src/cell/machine/rank.rs
+++ b/src/cell/machine/rank.rs
@@ -5,7 +5,7 @@
 use crate::cell::queue::Queue;
 use crate::cell::timings::MAX_POLICY_WORKERS;
 
-/// Multiple of its objective after which a job earns nothing any more.
+/// Multiple of its objective after which a job has no value any more.
 const WORTHLESS_FACTOR: f64 = 3.0;
 
 /// Share of the expected run time that must fit before the objective for a job to count as on time;
@@ -23,7 +23,8 @@
     deadline: u64,
 }
 
-/// What a job can still earn: everything on time, less when late, nothing when worthless.
+/// Value that a job can still earn: the full value when on time, less when late, none when
+/// worthless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timeliness {
     OnTime,
@@ -53,8 +54,8 @@
     /// Time of the policy query that a gang needs before it can start, if it has not been queried
     /// yet.
     ///
-    /// Guards against useless queries: in a flood, each gang was queried when it was just on time
-    /// and was late when the answer arrived, while other gangs that could be on time were not
+    /// Guards against useless queries: under overload, each gang was queried when it was just on
+    /// time and was late when the answer arrived, while other gangs that could be on time were not
     /// queried.
     fn first_query_ms(&self, job: &Job, key: &StepKey, queue: &Queue) -> f64 {
         let unqueried = self.tickets.get(key).is_none_or(|tickets| tickets.counts().0 == 0);
@@ -62,7 +63,7 @@
         queue
             .policy
             .filter(|_| gang && unqueried)
-            .map_or(0.0, |advice| advice.time_ms(MAX_POLICY_WORKERS))
+            .map_or(0.0, |timing| timing.time_ms(MAX_POLICY_WORKERS))
     }
 
     /// Time by which a step may still be delayed without its job being late, in milliseconds;
@@ -82,7 +83,7 @@
     /// Expected duration of the longest chain of dependent steps from step `first` on, policy
     /// queries included, in milliseconds.
     fn critical_path_ms(&self, job: &Job, first: usize, queue: &Queue) -> f64 {
-        let query_ms = queue.policy.map_or(0.0, |advice| advice.time_ms(TYPICAL_QUERY_WORKERS));
+        let query_ms = queue.policy.map_or(0.0, |timing| timing.time_ms(TYPICAL_QUERY_WORKERS));
         let mut ends = vec![0.0_f64; job.steps.len()];
         for (number, step) in job.steps.iter().enumerate().skip(first) {
             let begin = step.depends_on.iter().map(|&earlier| ends[earlier]).fold(0.0, f64::max);
@@ -118,14 +119,14 @@
 }
 
 /// Rank of long-running tasks. One that ran before is placed before all others, because its users
-/// miss it now; a new one is ranked by its queue.
+/// are without it now; a new one is ranked by its queue.
 pub(super) fn long_running_rank(
     step: &crate::cell::state::StepState,
     queue: &Queue,
     accepted: u64,
 ) -> Rank {
-    let ran = step.tasks.iter().any(|task| task.last_run > 0 && task.live == 0);
-    if ran {
+    let ran_before = step.tasks.iter().any(|task| task.last_run > 0 && task.live == 0);
+    if ran_before {
         return Rank { timeliness: Timeliness::OnTime, priority: 0, deadline: 0 };
     }
     Rank {
--- a/src/cell/machine/succession.rs
+++ b/src/cell/machine/succession.rs
@@ -24,23 +24,23 @@
     pub order: Rc<[SocketAddr]>,
     /// Digest of the list; zero if it is empty.
     pub digest: u64,
-    /// CPU of the strongest instance, in thousandths of a core.
+    /// Most CPU that any instance may use, in thousandths of a core.
     pub(super) strongest: u32,
     next_ranking: Instant,
 }
 
 impl Machine {
-    /// Returns the instances that were heard of recently, in order of succession. Stronger
-    /// instances come first, because the owner does most of the work and instances differ by a
-    /// factor of four. Among equally strong ones, failure domains alternate, so that losing one
+    /// Returns the instances that are present, in order of succession. Those with more CPU come
+    /// first, because the owner does most of the work and instances differ by a
+    /// factor of four. Among instances with equal CPU, failure domains alternate, so that losing one
     /// domain leaves most of the first instances.
     pub fn present_instances(&self, now: Instant) -> Vec<SocketAddr> {
         let fresh = self.proxies.iter().filter(|(_, proxy)| proxy.is_fresh(now));
         let mut counts: BTreeMap<(u32, &str), u32> = BTreeMap::new();
         let mut ranked: Vec<(Reverse<u32>, u32, SocketAddr)> = Vec::new();
         for (peer, proxy) in fresh {
-            let turn = counts.entry((proxy.strength, &proxy.domain)).or_insert(0);
-            ranked.push((Reverse(proxy.strength), *turn, *peer));
+            let turn = counts.entry((proxy.cpu_millis, &proxy.domain)).or_insert(0);
+            ranked.push((Reverse(proxy.cpu_millis), *turn, *peer));
             *turn += 1;
         }
         ranked.sort_unstable();
@@ -59,7 +59,7 @@
         }
         let order = self.present_instances(self.now);
         let fresh = self.proxies.values().filter(|proxy| proxy.is_fresh(self.now));
-        let strongest = fresh.map(|proxy| proxy.strength).max().unwrap_or(0);
+        let strongest = fresh.map(|proxy| proxy.cpu_millis).max().unwrap_or(0);
         self.succession.next_ranking = self.now.after(RANKING_INTERVAL);
         self.succession.strongest = strongest;
         if *order != *self.succession.order {
--- a/src/cell/node/answer.rs
+++ b/src/cell/node/answer.rs
@@ -28,7 +28,7 @@
         match method {
             CALL => encode(&self.answer_call(decode(body)?).await),
             WATCH => encode(&self.watched(&decode(body)?).await),
-            POLICY => encode(&self.advise(decode(body)?).await),
+            POLICY => encode(&self.query_policy(decode(body)?).await),
             TABLE => {
                 self.apply_config(decode(body)?);
                 encode(&())
@@ -60,7 +60,7 @@
         handle.call(envelope.call).await.map_or(Reply::Interrupted, Reply::Answer)
     }
 
-    async fn advise(&self, request: PolicyRequest) -> Result<Eligibility, String> {
+    async fn query_policy(&self, request: PolicyRequest) -> Result<Eligibility, String> {
         let timeout = Duration::from_millis(request.timeout_ms);
         self.deps.policy_service.eligible_workers(&request.step, &request.workers, timeout).await
     }
@@ -71,7 +71,7 @@
         if let Some(handle) = self.owner_handle(request.cell) {
             let (peer, cpu_millis, domain) =
                 (request.follower, request.cpu_millis, request.domain.clone());
-            handle.send(Message::InstanceSeen { peer, strength: cpu_millis, domain });
+            handle.send(Message::InstanceSeen { peer, cpu_millis, domain });
             if request.long_poll {
                 let _ =
                     monoio::time::timeout(WATCH_HOLD, self.until_handover_due(request.cell)).await;
