--- a/src/alert/board.rs
+++ b/src/alert/board.rs
@@ -10,13 +10,13 @@
 use crate::clock::Unix;
 
 /// Most alerts of one kind that stand alone; further ones are counted in one alert on many.
-pub const OPEN_PER_KIND: usize = 500;
+pub const MAX_OPEN_PER_KIND: usize = 500;
 /// Most subjects by which an alert on many tells a new subject from one it has counted.
-const MEMBERS: usize = 65_536;
+const MAX_COUNTED_SUBJECTS: usize = 65_536;
 /// How many acknowledged alerts are remembered.
-const ACKNOWLEDGED: usize = 256;
+const MAX_ACKNOWLEDGED: usize = 256;
 /// Longest message, in bytes.
-const MESSAGE_BYTES: usize = 512;
+const MAX_MESSAGE_BYTES: usize = 512;
 
 /// One alert.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     /// When it was raised first.
     pub raised: Unix,
     /// When it was raised last.
-    pub last: Unix,
+    pub last_raised: Unix,
     /// How many subjects it stands for.
     pub count: u64,
     /// When its cause went away, if it has.
@@ -41,14 +41,23 @@
 
 impl Alert {
     const fn raised(id: Id, key: Key, message: String, at: Unix) -> Self {
-        Self { id, key, message, raised: at, last: at, count: 1, ended: None, acknowledged: None }
+        Self {
+            id,
+            key,
+            message,
+            raised: at,
+            last_raised: at,
+            count: 1,
+            ended: None,
+            acknowledged: None,
+        }
     }
 }
 
 /// No alert has this identity.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("there is no alert {id}")]
-pub struct Unknown {
+pub struct UnknownAlert {
     /// The identity.
     #[error(not(source))]
     pub id: Id,
@@ -56,15 +65,15 @@
 
 /// All that a board knows, for a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ledger {
+pub struct BoardSnapshot {
     /// Open alerts in order of identity, then acknowledged ones, oldest first.
     pub alerts: Vec<Alert>,
     /// Fingerprints of the subjects that each alert on many has counted.
-    pub members: BTreeMap<Kind, BTreeSet<u64>>,
+    pub counted_subjects: BTreeMap<Kind, BTreeSet<u64>>,
     /// The largest identity ever given.
-    pub latest: Id,
+    pub latest_id: Id,
     /// The largest identity of an alert that is no longer remembered.
-    pub forgotten: Id,
+    pub latest_evicted: Id,
 }
 
 /// The alerts of a failure domain: open ones until a person acknowledges them.
@@ -73,10 +82,10 @@
     open: BTreeMap<Key, Alert>,
     ids: BTreeMap<Id, Key>,
     open_by_kind: BTreeMap<Kind, usize>,
-    members: BTreeMap<Kind, BTreeSet<u64>>,
+    counted_subjects: BTreeMap<Kind, BTreeSet<u64>>,
     acknowledged: VecDeque<Alert>,
-    latest: Id,
-    forgotten: Id,
+    latest_id: Id,
+    latest_evicted: Id,
 }
 
 impl Board {
@@ -86,12 +95,12 @@
     }
 
     /// Rebuilds a board from a snapshot.
-    pub fn restore(ledger: Ledger) -> Self {
-        let Ledger { members, latest, forgotten, .. } = ledger;
-        let mut board = Self { members, latest, forgotten, ..Self::default() };
-        for alert in ledger.alerts {
+    pub fn restore(snapshot: BoardSnapshot) -> Self {
+        let BoardSnapshot { counted_subjects, latest_id, latest_evicted, .. } = snapshot;
+        let mut board = Self { counted_subjects, latest_id, latest_evicted, ..Self::default() };
+        for alert in snapshot.alerts {
             if alert.acknowledged.is_some() {
-                board.retire(alert);
+                board.remember_acknowledged(alert);
             } else {
                 board.insert(alert);
             }
@@ -100,11 +109,16 @@
     }
 
     /// All that the board knows.
-    pub fn ledger(&self) -> Ledger {
+    pub fn snapshot(&self) -> BoardSnapshot {
         let open = self.ids.values().filter_map(|key| self.open.get(key));
         let alerts = open.chain(&self.acknowledged).cloned().collect();
-        let Self { latest, forgotten, .. } = *self;
-        Ledger { alerts, members: self.members.clone(), latest, forgotten }
+        let Self { latest_id, latest_evicted, .. } = *self;
+        BoardSnapshot {
+            alerts,
+            counted_subjects: self.counted_subjects.clone(),
+            latest_id,
+            latest_evicted,
+        }
     }
 
     /// Raises an alert; returns the record to write, or `None` while the same alert is open or,
@@ -120,16 +134,16 @@
     /// ```
     pub fn raise(&mut self, now: Unix, key: Key, message: &str) -> Option<Record> {
         if let Some(alert) = self.open.get_mut(&key) {
-            alert.last = now;
+            alert.last_raised = now;
             return self.reopen(now, key, message);
         }
-        if self.is_counted(&key) || self.is_settled(&key) {
+        if self.is_counted(&key) || self.is_acknowledged_and_ongoing(&key) {
             return None;
         }
         // Identities rise even when the next owner's clock is behind, so that a record that is
         // read again never reopens an alert that was acknowledged since.
-        let id = Id::from_raw(now.as_millis().max(self.latest.raw() + 1));
-        let message = clip(message).to_owned();
+        let id = Id::from_raw(now.as_millis().max(self.latest_id.raw() + 1));
+        let message = truncate(message).to_owned();
         let record = Record::Raised { id, key, message, at: now };
         self.apply(&record);
         Some(record)
@@ -152,14 +166,19 @@
     /// # Errors
     ///
     /// Fails when no alert has this identity, be it that its acknowledgement was long ago.
-    pub fn acknowledge(&mut self, now: Unix, id: Id, by: &str) -> Result<Option<Record>, Unknown> {
+    pub fn acknowledge(
+        &mut self,
+        now: Unix,
+        id: Id,
+        by: &str,
+    ) -> Result<Option<Record>, UnknownAlert> {
         if self.acknowledged.iter().any(|alert| alert.id == id) {
             return Ok(None);
         }
         if !self.ids.contains_key(&id) {
-            return Err(Unknown { id });
+            return Err(UnknownAlert { id });
         }
-        let acknowledgement = Acknowledgement { by: clip(by).to_owned(), at: now };
+        let acknowledgement = Acknowledgement { by: truncate(by).to_owned(), at: now };
         let record = Record::Acknowledged { id, acknowledgement };
         self.apply(&record);
         Ok(Some(record))
@@ -168,13 +187,15 @@
     /// Applies a record; one that was applied before changes nothing.
     pub fn apply(&mut self, record: &Record) {
         match record {
-            Record::Raised { id, key, message, at } => self.open_alert(*id, key, message, *at),
+            Record::Raised { id, key, message, at } => self.apply_raised(*id, key, message, *at),
             Record::Ended { id, at } => {
                 if let Some(alert) = self.get_mut(*id) {
                     alert.ended.get_or_insert(*at);
                 }
             }
-            Record::Acknowledged { id, acknowledgement } => self.close(*id, acknowledgement),
+            Record::Acknowledged { id, acknowledgement } => {
+                self.apply_acknowledged(*id, acknowledgement)
+            }
         }
     }
 
@@ -186,8 +207,8 @@
     }
 
     /// Whether no alert was ever raised.
-    pub fn is_blank(&self) -> bool {
-        self.latest == Id::default()
+    pub fn never_raised(&self) -> bool {
+        self.latest_id == Id::default()
     }
 
     /// Number of open alerts.
@@ -209,26 +230,27 @@
     /// Raises an open alert again whose cause had gone.
     fn reopen(&mut self, now: Unix, key: Key, message: &str) -> Option<Record> {
         let id = self.open.get(&key).filter(|alert| alert.ended.is_some())?.id;
-        let record = Record::Raised { id, key, message: clip(message).to_owned(), at: now };
+        let record = Record::Raised { id, key, message: truncate(message).to_owned(), at: now };
         self.apply(&record);
         Some(record)
     }
 
-    fn open_alert(&mut self, id: Id, key: &Key, message: &str, at: Unix) {
+    fn apply_raised(&mut self, id: Id, key: &Key, message: &str, at: Unix) {
         if let Some(alert) = self.get_mut(id).filter(|alert| alert.acknowledged.is_none()) {
             // Read again after the end, the first record must not undo it.
             alert.ended.take_if(|ended| *ended <= at);
-            alert.last = alert.last.max(at);
+            alert.last_raised = alert.last_raised.max(at);
             return;
         }
-        let seen_before = id <= self.forgotten || self.get(id).is_some() || self.is_counted(key);
-        self.latest = self.latest.max(id);
+        let seen_before =
+            id <= self.latest_evicted || self.get(id).is_some() || self.is_counted(key);
+        self.latest_id = self.latest_id.max(id);
         if seen_before || self.open.contains_key(key) {
             return;
         }
-        let full = self.open_by_kind.get(&key.kind).is_some_and(|open| *open >= OPEN_PER_KIND);
+        let full = self.open_by_kind.get(&key.kind).is_some_and(|open| *open >= MAX_OPEN_PER_KIND);
         if full && key.subject != Subject::Many {
-            self.count(id, key, message, at);
+            self.add_to_summary(id, key, message, at);
             return;
         }
         self.insert(Alert::raised(id, key.clone(), message.to_owned(), at));
@@ -238,35 +260,35 @@
     ///
     /// Every subject was written in a record of its own before, so that the count is the same for
     /// the next owner; only memory and the list that a person reads are bounded.
-    fn count(&mut self, id: Id, key: &Key, message: &str, at: Unix) {
-        let members = self.members.entry(key.kind).or_default();
-        if members.len() < MEMBERS {
-            members.insert(fingerprint(&key.subject));
+    fn add_to_summary(&mut self, id: Id, key: &Key, message: &str, at: Unix) {
+        let counted_subjects = self.counted_subjects.entry(key.kind).or_default();
+        if counted_subjects.len() < MAX_COUNTED_SUBJECTS {
+            counted_subjects.insert(fingerprint(&key.subject));
         }
         let many = Key { kind: key.kind, subject: Subject::Many };
         if let Some(alert) = self.open.get_mut(&many) {
             alert.count += 1;
-            alert.last = at;
+            alert.last_raised = at;
             alert.message = format!("{} more; the latest: {message}", alert.count);
             return;
         }
         self.insert(Alert::raised(id, many, format!("1 more: {message}"), at));
     }
 
-    fn close(&mut self, id: Id, acknowledgement: &Acknowledgement) {
+    fn apply_acknowledged(&mut self, id: Id, acknowledgement: &Acknowledgement) {
         let Some(key) = self.ids.remove(&id) else { return };
         let Some(mut alert) = self.open.remove(&key) else { return };
         if key.subject == Subject::Many {
-            self.members.remove(&key.kind);
+            self.counted_subjects.remove(&key.kind);
         } else if let Some(open) = self.open_by_kind.get_mut(&key.kind) {
             *open = open.saturating_sub(1);
         }
         alert.acknowledged = Some(acknowledgement.clone());
-        self.retire(alert);
+        self.remember_acknowledged(alert);
     }
 
     fn insert(&mut self, alert: Alert) {
-        self.latest = self.latest.max(alert.id);
+        self.latest_id = self.latest_id.max(alert.id);
         if alert.key.subject != Subject::Many {
             *self.open_by_kind.entry(alert.key.kind).or_default() += 1;
         }
@@ -274,10 +296,10 @@
         self.open.insert(alert.key.clone(), alert);
     }
 
-    fn retire(&mut self, alert: Alert) {
-        if self.acknowledged.len() == ACKNOWLEDGED {
+    fn remember_acknowledged(&mut self, alert: Alert) {
+        if self.acknowledged.len() == MAX_ACKNOWLEDGED {
             let oldest = self.acknowledged.pop_front().map(|alert| alert.id);
-            self.forgotten = self.forgotten.max(oldest.unwrap_or_default());
+            self.latest_evicted = self.latest_evicted.max(oldest.unwrap_or_default());
         }
         self.acknowledged.push_back(alert);
     }
@@ -290,14 +312,14 @@
     }
 
     /// Whether a person has acknowledged this and its cause has not gone since.
-    fn is_settled(&self, key: &Key) -> bool {
+    fn is_acknowledged_and_ongoing(&self, key: &Key) -> bool {
         let latest = self.acknowledged.iter().rev().find(|alert| alert.key == *key);
         latest.is_some_and(|alert| alert.ended.is_none())
     }
 
     fn is_counted(&self, key: &Key) -> bool {
-        let members = self.members.get(&key.kind);
-        members.is_some_and(|members| members.contains(&fingerprint(&key.subject)))
+        let counted_subjects = self.counted_subjects.get(&key.kind);
+        counted_subjects.is_some_and(|counted| counted.contains(&fingerprint(&key.subject)))
     }
 }
 
@@ -306,8 +328,8 @@
 }
 
 /// The longest beginning of `text` within the bound.
-fn clip(text: &str) -> &str {
-    let mut end = text.len().min(MESSAGE_BYTES);
+fn truncate(text: &str) -> &str {
+    let mut end = text.len().min(MAX_MESSAGE_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
--- a/src/alert/mod.rs
+++ b/src/alert/mod.rs
@@ -9,6 +9,6 @@
 mod record;
 pub mod wire;
 
-pub use board::{Alert, Board, Ledger, OPEN_PER_KIND, Unknown};
+pub use board::{Alert, Board, BoardSnapshot, MAX_OPEN_PER_KIND, UnknownAlert};
 pub use kind::{Id, Key, Kind, Subject};
 pub use record::{Acknowledgement, Record};
--- a/src/alert/wire.rs
+++ b/src/alert/wire.rs
@@ -84,7 +84,7 @@
 
 /// A whole board.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Ledger {
+pub struct BoardSnapshot {
     alerts: Vec<Alert>,
     members: BTreeMap<String, Vec<u64>>,
     latest: u64,
@@ -162,7 +162,7 @@
             subject: (&alert.key.subject).into(),
             message: alert.message.clone(),
             raised: alert.raised,
-            last: alert.last,
+            last: alert.last_raised,
             count: alert.count,
             ended: alert.ended,
             acknowledged: acknowledged.map(|seen| (seen.by.clone(), seen.at)),
@@ -180,7 +180,7 @@
             key,
             message: alert.message,
             raised: alert.raised,
-            last: alert.last,
+            last_raised: alert.last,
             count: alert.count,
             ended: alert.ended,
             acknowledged: alert.acknowledged.map(|(by, at)| Acknowledgement { by, at }),
@@ -188,32 +188,34 @@
     }
 }
 
-impl From<&board::Ledger> for Ledger {
-    fn from(ledger: &board::Ledger) -> Self {
-        let members = ledger.members.iter();
+impl From<&board::BoardSnapshot> for BoardSnapshot {
+    fn from(snapshot: &board::BoardSnapshot) -> Self {
+        let members = snapshot.counted_subjects.iter();
         Self {
-            alerts: ledger.alerts.iter().map(Alert::from).collect(),
+            alerts: snapshot.alerts.iter().map(Alert::from).collect(),
             members: members
                 .map(|(kind, members)| (kind.to_string(), members.iter().copied().collect()))
                 .collect(),
-            latest: ledger.latest.raw(),
-            forgotten: ledger.forgotten.raw(),
+            latest: snapshot.latest_id.raw(),
+            forgotten: snapshot.latest_evicted.raw(),
         }
     }
 }
 
-impl TryFrom<Ledger> for board::Ledger {
+impl TryFrom<BoardSnapshot> for board::BoardSnapshot {
     type Error = Error;
 
-    fn try_from(ledger: Ledger) -> Result<Self, Error> {
-        let alerts: Result<_, _> = ledger.alerts.into_iter().map(board::Alert::try_from).collect();
-        let members: Result<_, Error> = ledger
+    fn try_from(snapshot: BoardSnapshot) -> Result<Self, Error> {
+        let alerts: Result<_, _> =
+            snapshot.alerts.into_iter().map(board::Alert::try_from).collect();
+        let members: Result<_, Error> = snapshot
             .members
             .into_iter()
             .map(|(kind, members)| Ok((parse_kind(kind)?, members.into_iter().collect())))
             .collect();
-        let (latest, forgotten) = (Id::from_raw(ledger.latest), Id::from_raw(ledger.forgotten));
-        Ok(Self { alerts: alerts?, members: members?, latest, forgotten })
+        let (latest_id, latest_evicted) =
+            (Id::from_raw(snapshot.latest), Id::from_raw(snapshot.forgotten));
+        Ok(Self { alerts: alerts?, counted_subjects: members?, latest_id, latest_evicted })
     }
 }
 
--- a/src/owner/owner_step.rs
+++ b/src/owner/owner_step.rs
@@ -250,8 +250,8 @@
     let snapshot = |job| Entry::Restated(JobSnapshot::from(job));
     let jobs = replica.table.by_snapshot_age().take_while(is_due).take(MAX_SNAPSHOTS).map(snapshot);
     let board = replica.is_board_snapshot_old(timings.snapshot_records).then(|| {
-        let ledger = replica.board.ledger();
-        Entry::Alerts(alert::wire::Ledger::from(&ledger))
+        let snapshot = replica.board.snapshot();
+        Entry::Alerts(alert::wire::BoardSnapshot::from(&snapshot))
     });
     jobs.chain(board).collect()
 }
--- a/src/owner/record.rs
+++ b/src/owner/record.rs
@@ -84,7 +84,7 @@
     /// An alert was raised or acknowledged, or its cause has gone.
     Alert(alert::wire::Record),
     /// Snapshot of all alerts, written before their older records are dropped from the log.
-    Alerts(alert::wire::Ledger),
+    Alerts(alert::wire::BoardSnapshot),
 }
 
 /// An accepted job.
--- a/src/owner/replica.rs
+++ b/src/owner/replica.rs
@@ -116,12 +116,12 @@
     /// Offset from which the alerts can be replayed: that of their snapshot, or the end if no alert
     /// was ever raised.
     fn board_replay_offset(&self) -> Offset {
-        if self.board.is_blank() { self.next_offset } else { self.board_snapshot_offset }
+        if self.board.never_raised() { self.next_offset } else { self.board_snapshot_offset }
     }
 
     /// Whether the latest snapshot of the alerts is more than `records` records old.
     pub fn is_board_snapshot_old(&self, records: Offset) -> bool {
-        !self.board.is_blank()
+        !self.board.never_raised()
             && self.next_offset.saturating_sub(self.board_snapshot_offset) > records
     }
 
@@ -201,7 +201,7 @@
     }
 
     fn apply_alert(&mut self, record: &alert::Record, offset: Offset) {
-        if self.board.is_blank() {
+        if self.board.never_raised() {
             self.board_snapshot_offset = offset;
         }
         self.board.apply(record);
--- a/tests/logic/alert.rs
+++ b/tests/logic/alert.rs
@@ -1,6 +1,8 @@
 //! Alerts that stay until a person acknowledges them.
 
-use oriolefork::alert::{Board, Id, Key, Kind, Ledger, OPEN_PER_KIND, Record, Subject, wire};
+use oriolefork::alert::{
+    Board, BoardSnapshot, Id, Key, Kind, MAX_OPEN_PER_KIND, Record, Subject, wire,
+};
 use oriolefork::clock::Unix;
 use oriolefork::{codec, job};
 use proptest::prelude::*;
@@ -14,15 +16,15 @@
 }
 
 /// The record as the next owner reads it.
-fn written(record: &Record) -> Record {
+fn round_trip(record: &Record) -> Record {
     let bytes = codec::encode(&wire::Record::from(record)).unwrap();
     codec::decode::<wire::Record>(&bytes).unwrap().try_into().unwrap()
 }
 
-fn rebuilt(records: &[Record]) -> Board {
+fn replay(records: &[Record]) -> Board {
     let mut board = Board::new();
     for record in records {
-        board.apply(&written(record));
+        board.apply(&round_trip(record));
     }
     board
 }
@@ -49,7 +51,7 @@
     let acknowledged = board.acknowledge(NOW, seen, "ana").unwrap().unwrap();
     drop(board);
 
-    let mut next = rebuilt(&[records[0].clone(), records[1].clone(), acknowledged]);
+    let mut next = replay(&[records[0].clone(), records[1].clone(), acknowledged]);
     assert_eq!(next.open().iter().map(|alert| &alert.key).collect::<Vec<_>>(), [&late(2)]);
     assert_eq!(next.get(seen).unwrap().acknowledged.as_ref().unwrap().by, "ana");
     assert!(next.raise(NOW, late(1), "missed 06:00").is_none());
@@ -93,7 +95,7 @@
         board.raise(later, key, "no answer").unwrap(),
     ];
     assert_eq!(board.open()[0].ended, None);
-    assert_eq!(rebuilt(&records).open()[0].ended, None);
+    assert_eq!(replay(&records).open()[0].ended, None);
 }
 
 #[test]
@@ -124,12 +126,12 @@
         let found = board.open().into_iter().find(|alert| alert.key.subject == Subject::Many);
         found.cloned().unwrap()
     };
-    assert_eq!(board.open_count(), OPEN_PER_KIND + 1);
-    assert_eq!(many(&board).count + OPEN_PER_KIND as u64, JOBS);
-    assert_eq!(many(&rebuilt(&records)), many(&board));
+    assert_eq!(board.open_count(), MAX_OPEN_PER_KIND + 1);
+    assert_eq!(many(&board).count + MAX_OPEN_PER_KIND as u64, JOBS);
+    assert_eq!(many(&replay(&records)), many(&board));
 
     board.acknowledge(NOW, many(&board).id, "ana").unwrap();
-    assert_eq!(board.open_count(), OPEN_PER_KIND);
+    assert_eq!(board.open_count(), MAX_OPEN_PER_KIND);
 }
 
 #[test]
@@ -169,7 +171,7 @@
 }
 
 /// Carries a step out and returns the record to write.
-fn take(board: &mut Board, step: &Step) -> Option<Record> {
+fn run_step(board: &mut Board, step: &Step) -> Option<Record> {
     match step {
         Step::Raise(job) => board.raise(NOW, late(*job), "missed"),
         Step::End(job) => board.end(NOW, &late(*job)),
@@ -181,12 +183,12 @@
 }
 
 /// What an instance that applied the records must agree on.
-fn essence(board: &Board) -> Ledger {
-    let mut ledger = board.ledger();
-    for alert in &mut ledger.alerts {
-        alert.last = NOW;
+fn comparable_snapshot(board: &Board) -> BoardSnapshot {
+    let mut snapshot = board.snapshot();
+    for alert in &mut snapshot.alerts {
+        alert.last_raised = NOW;
     }
-    ledger
+    snapshot
 }
 
 proptest! {
@@ -203,24 +205,24 @@
         // reads every record twice: all hold the owner's board.
         let mut board = Board::new();
         let mut records = Vec::new();
-        let mut snapshot = (0, Ledger::default());
+        let mut snapshot = (0, BoardSnapshot::default());
         for (index, step) in steps.iter().enumerate() {
             if index == cut {
-                snapshot = (records.len(), board.ledger());
+                snapshot = (records.len(), board.snapshot());
             }
-            records.extend(take(&mut board, step));
+            records.extend(run_step(&mut board, step));
         }
-        prop_assert_eq!(essence(&rebuilt(&records)), essence(&board));
+        prop_assert_eq!(comparable_snapshot(&replay(&records)), comparable_snapshot(&board));
 
         let doubled: Vec<Record> =
             records.iter().flat_map(|record| [record.clone(), record.clone()]).collect();
-        prop_assert_eq!(essence(&rebuilt(&doubled)), essence(&board));
+        prop_assert_eq!(comparable_snapshot(&replay(&doubled)), comparable_snapshot(&board));
 
-        let (from, ledger) = snapshot;
-        let bytes = codec::encode(&wire::Ledger::from(&ledger)).unwrap();
-        let read: wire::Ledger = codec::decode(&bytes).unwrap();
+        let (from, snapshot) = snapshot;
+        let bytes = codec::encode(&wire::BoardSnapshot::from(&snapshot)).unwrap();
+        let read: wire::BoardSnapshot = codec::decode(&bytes).unwrap();
         let mut later = Board::restore(read.try_into().unwrap());
         records[from..].iter().for_each(|record| later.apply(record));
-        prop_assert_eq!(essence(&later), essence(&board));
+        prop_assert_eq!(comparable_snapshot(&later), comparable_snapshot(&board));
     }
 }
