--- a/src/logging/line.rs
+++ b/src/logging/line.rs
@@ -6,7 +6,7 @@
 use super::value;
 
 /// Start of the messages that call sites of this crate write.
-const EVENT: &str = "event=";
+const EVENT_PREFIX: &str = "event=";
 
 /// A record as one line of pairs; `ts`, `level` and `event` come first.
 pub struct Line<'a> {
@@ -27,7 +27,7 @@
         let level = self.record.level().as_str().to_ascii_lowercase();
         write!(f, "ts={time} level={level} ")?;
         let message = self.message.to_string();
-        if message.starts_with(EVENT) {
+        if message.starts_with(EVENT_PREFIX) {
             return write_single_line(f, &message);
         }
         // Libraries write free text.
--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -21,7 +21,7 @@
 use log::LevelFilter;
 
 pub use line::Line;
-pub use sink::{Stream, Window, flush, keep_lines};
+pub use sink::{RateLimiter, Stream, buffer_lines, flush};
 pub use value::{Value, value};
 
 use crate::settings::Level;
--- a/src/logging/sink.rs
+++ b/src/logging/sink.rs
@@ -19,16 +19,16 @@
 
 /// Lines of one second up to which all are written. An owner at the size to design for, 380 starts
 /// a second, writes about 1,500.
-const LINES_A_SECOND: u32 = 4_000;
+const MAX_LINES_PER_SECOND: u32 = 4_000;
 
-/// Part of these kept for warnings and errors.
+/// Part of these buffered for warnings and errors.
 const RESERVED_FOR_WARNINGS: u32 = 1_000;
 
 /// Bytes that a pipe takes in one call as soon as it is ready.
 const PIPE_BYTES: usize = 4_096;
 
 thread_local! {
-    static WINDOW: Cell<Window> = const { Cell::new(Window { begun: None, lines: 0, dropped: 0 }) };
+    static LIMITER: Cell<RateLimiter> = const { Cell::new(RateLimiter { window_start: None, lines: 0, dropped: 0 }) };
     static BUFFER: RefCell<Buffer> =
         const { RefCell::new(Buffer { stream: None, text: String::new(), lines: 0 }) };
 }
@@ -36,7 +36,7 @@
 /// Lines of one thread that wait to be written together.
 #[derive(Debug)]
 struct Buffer {
-    /// Where they go; `None` while lines are not kept.
+    /// Where they go; `None` while lines are not buffered.
     stream: Option<Stream>,
     text: String,
     /// How many there are, those included that were left out and are told of.
@@ -58,9 +58,9 @@
             && !self.text.is_empty()
             && !write_now(stream, &self.text)
         {
-            let mut window = WINDOW.get();
-            window.give_back(lines);
-            WINDOW.set(window);
+            let mut limiter = LIMITER.get();
+            limiter.count_dropped(lines);
+            LIMITER.set(limiter);
         }
         self.text.clear();
     }
@@ -68,11 +68,11 @@
 
 /// Keeps the lines that this thread logs to `stream` until [`flush`] is called or a pipe would not take
 /// more at once. Each write costs an instance a good part of what a decision does.
-pub fn keep_lines(stream: Stream) {
+pub fn buffer_lines(stream: Stream) {
     BUFFER.with_borrow_mut(|buffer| buffer.stream = Some(stream));
 }
 
-/// Writes the lines that this thread has kept.
+/// Writes the lines that this thread has buffered.
 pub fn flush() {
     // A panic in the midst of a log line comes here as well.
     BUFFER.with(|buffer| {
@@ -84,29 +84,32 @@
 
 /// What was written and left out in the present second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Window {
-    begun: Option<Instant>,
+pub struct RateLimiter {
+    window_start: Option<Instant>,
     lines: u32,
     dropped: u64,
 }
 
-impl Window {
+impl RateLimiter {
     /// Counts a line of `level` at `now`. Whether it is written, and how many lines were left out
     /// before it that have not been spoken of.
     ///
     /// ```
-    /// use oriolefork::logging::Window;
+    /// use oriolefork::logging::RateLimiter;
     /// use std::time::Instant;
-    /// let mut window = Window::default();
-    /// assert_eq!(window.take(log::Level::Info, Instant::now()), (true, 0));
+    /// let mut limiter = RateLimiter::default();
+    /// assert_eq!(limiter.admit(log::Level::Info, Instant::now()), (true, 0));
     /// ```
-    pub fn take(&mut self, level: Level, now: Instant) -> (bool, u64) {
-        if self.begun.is_none_or(|begun| now.duration_since(begun) >= Duration::from_secs(1)) {
-            self.begun = Some(now);
+    pub fn admit(&mut self, level: Level, now: Instant) -> (bool, u64) {
+        if self
+            .window_start
+            .is_none_or(|window_start| now.duration_since(window_start) >= Duration::from_secs(1))
+        {
+            self.window_start = Some(now);
             self.lines = 0;
         }
         let reserved = if level <= Level::Warn { 0 } else { RESERVED_FOR_WARNINGS };
-        if self.lines >= LINES_A_SECOND - reserved {
+        if self.lines >= MAX_LINES_PER_SECOND - reserved {
             self.dropped += 1;
             return (false, 0);
         }
@@ -115,7 +118,7 @@
     }
 
     /// Counts lines that could not be written after all, those included that were to be spoken of.
-    pub const fn give_back(&mut self, lines: u64) {
+    pub const fn count_dropped(&mut self, lines: u64) {
         self.dropped += lines;
     }
 }
@@ -126,9 +129,9 @@
 /// would hold every decision of the process until somebody reads. A line that does not fit is left
 /// out, and the next one that does says how many were.
 pub(super) fn write_line(stream: Stream, level: Level, line: &str) {
-    let mut window = WINDOW.get();
-    let (write, dropped) = window.take(level, Instant::now());
-    WINDOW.set(window);
+    let mut limiter = LIMITER.get();
+    let (write, dropped) = limiter.admit(level, Instant::now());
+    LIMITER.set(limiter);
     if !write {
         return;
     }
@@ -138,17 +141,17 @@
         format!("{line}\n")
     };
     let lines = dropped + 1;
-    let kept = BUFFER.with_borrow_mut(|buffer| {
-        let keeps = buffer.stream == Some(stream);
-        if keeps {
+    let buffered = BUFFER.with_borrow_mut(|buffer| {
+        let buffers = buffer.stream == Some(stream);
+        if buffers {
             buffer.add(&text, lines);
         }
-        keeps
+        buffers
     });
-    if !kept && !write_now(stream, &text) {
-        let mut window = WINDOW.get();
-        window.give_back(lines);
-        WINDOW.set(window);
+    if !buffered && !write_now(stream, &text) {
+        let mut limiter = LIMITER.get();
+        limiter.count_dropped(lines);
+        LIMITER.set(limiter);
     }
 }
 
--- a/src/logging/value.rs
+++ b/src/logging/value.rs
@@ -3,10 +3,10 @@
 use std::fmt::{self, Write};
 
 /// Most characters of a text that a line repeats.
-const MOST_CHARACTERS: usize = 512;
+const MAX_CHARACTERS: usize = 512;
 
 /// Written in place of what a long text holds beyond that.
-const CUT: &str = "...";
+const ELLIPSIS: &str = "...";
 
 /// Text that is quoted and escaped where needed.
 ///
@@ -37,14 +37,14 @@
         f.write_char('"')?;
         shown.chars().try_for_each(|character| escape(f, character))?;
         if !rest.is_empty() {
-            f.write_str(CUT)?;
+            f.write_str(ELLIPSIS)?;
         }
         f.write_char('"')
     }
 }
 
 fn split(text: &str) -> (&str, &str) {
-    let end = text.char_indices().nth(MOST_CHARACTERS).map_or(text.len(), |(end, _)| end);
+    let end = text.char_indices().nth(MAX_CHARACTERS).map_or(text.len(), |(end, _)| end);
     text.split_at(end)
 }
 
