--- a/src/alert/board.rs
+++ b/src/alert/board.rs
@@ -1,4 +1,4 @@
-//! The alerts of a failure domain.
+//! The set of a failure domain's alerts.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,33 +9,35 @@
 use super::record::{Acknowledgement, Record};
 use crate::clock::Unix;
 
-/// Most alerts of one kind that stand alone; further ones are counted in one alert on many.
+/// Maximum number of individual open alerts of one kind; further alerts of the kind are counted in
+/// a summary alert with the subject [`Subject::Many`].
 pub const MAX_OPEN_PER_KIND: usize = 500;
-/// Most subjects by which an alert on many tells a new subject from one it has counted.
+/// Maximum number of subjects that a summary alert remembers, to count each of them once. Subjects
+/// beyond the limit may be counted more than once.
 const MAX_COUNTED_SUBJECTS: usize = 65_536;
-/// How many acknowledged alerts are remembered.
+/// Maximum number of acknowledged alerts that are kept.
 const MAX_ACKNOWLEDGED: usize = 256;
-/// Longest message, in bytes.
+/// Maximum length of a message or an operator's name, in bytes.
 const MAX_MESSAGE_BYTES: usize = 512;
 
-/// One alert.
+/// An alert, open or acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Alert {
-    /// Its identity.
+    /// Identity of the alert.
     pub id: Id,
-    /// What it is about.
+    /// Kind and subject of the alert.
     pub key: Key,
-    /// What happened, in a sentence for people.
+    /// Description of the event for operators.
     pub message: String,
-    /// When it was raised first.
+    /// Time at which the alert was first raised.
     pub raised: Unix,
-    /// When it was raised last.
+    /// Time at which the alert was last raised.
     pub last_raised: Unix,
-    /// How many subjects it stands for.
+    /// Number of raised alerts that this one stands for: 1, unless it is a summary alert.
     pub count: u64,
-    /// When its cause went away, if it has.
+    /// Time at which the cause went away; `None` while it persists.
     pub ended: Option<Unix>,
-    /// Who has seen it.
+    /// Acknowledgement by an operator; `None` while the alert is open.
     pub acknowledged: Option<Acknowledgement>,
 }
 
@@ -54,29 +56,29 @@
     }
 }
 
-/// No alert has this identity.
+/// The board holds no alert with this identity.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("there is no alert {id}")]
 pub struct UnknownAlert {
-    /// The identity.
+    /// The identity that was not found.
     #[error(not(source))]
     pub id: Id,
 }
 
-/// All that a board knows, for a snapshot.
+/// Complete state of a [`Board`], for snapshots of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BoardSnapshot {
     /// Open alerts in order of identity, then acknowledged ones, oldest first.
     pub alerts: Vec<Alert>,
-    /// Fingerprints of the subjects that each alert on many has counted.
+    /// Hashes of the subjects that each summary alert has counted, by kind.
     pub counted_subjects: BTreeMap<Kind, BTreeSet<u64>>,
-    /// The largest identity ever given.
+    /// Largest identity assigned so far.
     pub latest_id: Id,
-    /// The largest identity of an alert that is no longer remembered.
+    /// Largest identity among the acknowledged alerts that were evicted.
     pub latest_evicted: Id,
 }
 
-/// The alerts of a failure domain: open ones until a person acknowledges them.
+/// The alerts of a failure domain: all open alerts, and the most recently acknowledged ones.
 #[derive(Clone, Debug, Default)]
 pub struct Board {
     open: BTreeMap<Key, Alert>,
@@ -89,12 +91,12 @@
 }
 
 impl Board {
-    /// A board without alerts.
+    /// Creates a board without alerts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Rebuilds a board from a snapshot.
+    /// Restores a board from a snapshot.
     pub fn restore(snapshot: BoardSnapshot) -> Self {
         let BoardSnapshot { counted_subjects, latest_id, latest_evicted, .. } = snapshot;
         let mut board = Self { counted_subjects, latest_id, latest_evicted, ..Self::default() };
@@ -108,7 +110,7 @@
         board
     }
 
-    /// All that the board knows.
+    /// Returns the complete state of the board.
     pub fn snapshot(&self) -> BoardSnapshot {
         let open = self.ids.values().filter_map(|key| self.open.get(key));
         let alerts = open.chain(&self.acknowledged).cloned().collect();
@@ -121,8 +123,10 @@
         }
     }
 
-    /// Raises an alert; returns the record to write, or `None` while the same alert is open or,
-    /// once acknowledged, its cause has not gone.
+    /// Raises an alert and returns the record to append to the stream.
+    ///
+    /// Returns `None` if an alert with this key is open and its cause persists, if a summary alert
+    /// counts the subject, or if the alert was acknowledged and its cause persists.
     ///
     /// ```
     /// use oriolefork::alert::{Board, Key, Kind, Subject};
@@ -140,8 +144,8 @@
         if self.is_counted(&key) || self.is_acknowledged_and_ongoing(&key) {
             return None;
         }
-        // Identities rise even when the next owner's clock is behind, so that a record that is
-        // read again never reopens an alert that was acknowledged since.
+        // Identities increase even if the clock of a new owner is behind, so that a record that is
+        // read twice never reopens an alert that was acknowledged in between.
         let id = Id::from_raw(now.as_millis().max(self.latest_id.raw() + 1));
         let message = truncate(message).to_owned();
         let record = Record::Raised { id, key, message, at: now };
@@ -149,7 +153,9 @@
         Some(record)
     }
 
-    /// Notes that the cause of an alert has gone; returns the record to write, if there is one.
+    /// Marks the cause of an alert as gone and returns the record to append to the stream.
+    ///
+    /// Returns `None` if no alert has this key or its cause had gone before.
     pub fn end(&mut self, now: Unix, key: &Key) -> Option<Record> {
         let acknowledged = || self.acknowledged.iter().rev().find(|alert| alert.key == *key);
         let alert = self.open.get(key).or_else(acknowledged)?;
@@ -161,11 +167,13 @@
         Some(record)
     }
 
-    /// Acknowledges an alert; returns the record to write, or `None` if it was acknowledged before.
+    /// Acknowledges an alert and returns the record to append to the stream, or `None` if the alert
+    /// was acknowledged before.
     ///
     /// # Errors
     ///
-    /// Fails when no alert has this identity, be it that its acknowledgement was long ago.
+    /// Fails if the board holds no alert with this identity, for example because the acknowledged
+    /// alert was evicted.
     pub fn acknowledge(
         &mut self,
         now: Unix,
@@ -184,7 +192,7 @@
         Ok(Some(record))
     }
 
-    /// Applies a record; one that was applied before changes nothing.
+    /// Applies a record. Applying a record again changes nothing.
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Raised { id, key, message, at } => self.apply_raised(*id, key, message, *at),
@@ -199,35 +207,35 @@
         }
     }
 
-    /// Open alerts, the gravest kind first and the oldest first within a kind.
+    /// Returns the open alerts, the most severe kind first and the oldest first within a kind.
     pub fn open(&self) -> Vec<&Alert> {
         let mut open: Vec<&Alert> = self.open.values().collect();
         open.sort_by_key(|alert| (alert.key.kind, alert.id));
         open
     }
 
-    /// Whether no alert was ever raised.
+    /// Returns whether no alert was ever raised in the failure domain.
     pub fn never_raised(&self) -> bool {
         self.latest_id == Id::default()
     }
 
-    /// Number of open alerts.
+    /// Returns the number of open alerts.
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
 
-    /// Alerts acknowledged lately, oldest first.
+    /// Returns the most recently acknowledged alerts, the earliest acknowledgement first.
     pub fn acknowledged(&self) -> impl Iterator<Item = &Alert> {
         self.acknowledged.iter()
     }
 
-    /// The alert with this identity, open or acknowledged lately.
+    /// Returns the alert with this identity if it is open or was acknowledged recently.
     pub fn get(&self, id: Id) -> Option<&Alert> {
         let open = self.ids.get(&id).and_then(|key| self.open.get(key));
         open.or_else(|| self.acknowledged.iter().find(|alert| alert.id == id))
     }
 
-    /// Raises an open alert again whose cause had gone.
+    /// Raises an open alert again if its cause had gone; returns `None` otherwise.
     fn reopen(&mut self, now: Unix, key: Key, message: &str) -> Option<Record> {
         let id = self.open.get(&key).filter(|alert| alert.ended.is_some())?.id;
         let record = Record::Raised { id, key, message: truncate(message).to_owned(), at: now };
@@ -237,7 +245,7 @@
 
     fn apply_raised(&mut self, id: Id, key: &Key, message: &str, at: Unix) {
         if let Some(alert) = self.get_mut(id).filter(|alert| alert.acknowledged.is_none()) {
-            // Read again after the end, the first record must not undo it.
+            // An earlier `Raised` record that is read again must not undo a later `Ended` record.
             alert.ended.take_if(|ended| *ended <= at);
             alert.last_raised = alert.last_raised.max(at);
             return;
@@ -256,10 +264,10 @@
         self.insert(Alert::raised(id, key.clone(), message.to_owned(), at));
     }
 
-    /// Counts an alert in the one on many.
+    /// Counts an alert in the summary alert of its kind.
     ///
-    /// Every subject was written in a record of its own before, so that the count is the same for
-    /// the next owner; only memory and the list that a person reads are bounded.
+    /// Every subject still has its own record in the stream, so that the next owner arrives at the
+    /// same count; only memory and the list shown to operators are bounded.
     fn add_to_summary(&mut self, id: Id, key: &Key, message: &str, at: Unix) {
         let counted_subjects = self.counted_subjects.entry(key.kind).or_default();
         if counted_subjects.len() < MAX_COUNTED_SUBJECTS {
@@ -311,7 +319,7 @@
         }
     }
 
-    /// Whether a person has acknowledged this and its cause has not gone since.
+    /// Returns whether an alert with this key was acknowledged and its cause persists.
     fn is_acknowledged_and_ongoing(&self, key: &Key) -> bool {
         let latest = self.acknowledged.iter().rev().find(|alert| alert.key == *key);
         latest.is_some_and(|alert| alert.ended.is_none())
@@ -327,7 +335,7 @@
     xxh3_64(subject.to_string().as_bytes())
 }
 
-/// The longest beginning of `text` within the bound.
+/// Returns the longest prefix of `text` that fits into [`MAX_MESSAGE_BYTES`].
 fn truncate(text: &str) -> &str {
     let mut end = text.len().min(MAX_MESSAGE_BYTES);
     while !text.is_char_boundary(end) {
--- a/src/alert/kind.rs
+++ b/src/alert/kind.rs
@@ -1,13 +1,13 @@
-//! What alerts are about.
+//! Kinds, subjects and identities of alerts.
 
 use derive_more::Display;
 
 use crate::{job, task, worker};
 
-/// What went wrong; the gravest comes first.
+/// Kind of an alert, ordered from the most to the least severe.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// A job ended without its work done.
+    /// A job ended without completing its work.
     #[display("lost")]
     Lost,
     /// It is not known whether a task still runs.
@@ -22,25 +22,25 @@
     /// A job can never run.
     #[display("impossible")]
     Impossible,
-    /// A worker fails what it starts and gets no more work.
+    /// A worker was quarantined because tasks fail on it; it gets no new tasks.
     #[display("quarantined")]
     Quarantined,
-    /// A worker could not be fenced and is not used.
+    /// A worker could not be fenced and gets no tasks.
     #[display("unfenced")]
     Unfenced,
-    /// The log does not answer.
+    /// The log does not respond.
     #[display("log-outage")]
     LogOutage,
-    /// The settings in force could not be confirmed for long.
+    /// The settings in force have not been confirmed for too long.
     #[display("stale-config")]
     StaleConfig,
-    /// The list of instances lost many at once and is not believed yet.
+    /// Many instances vanished from the instance list at once; the list is not trusted yet.
     #[display("suspect-list")]
     SuspectList,
 }
 
 impl Kind {
-    /// Every kind, the gravest first.
+    /// All kinds, from the most to the least severe.
     pub const ALL: [Self; 10] = [
         Self::Lost,
         Self::Uncertain,
@@ -55,13 +55,13 @@
     ];
 }
 
-/// Whom an alert concerns.
+/// Subject of an alert.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
     /// A job.
     #[display("job {_0}")]
     Job(job::Id),
-    /// One try at a task.
+    /// An attempt to run a task.
     #[display("task {_0}")]
     Task(task::Id),
     /// A worker of the domain.
@@ -70,38 +70,39 @@
     /// The failure domain itself.
     #[display("the failure domain")]
     Domain,
-    /// Many at once: those that came when too many alerts of the kind were open already.
+    /// All subjects whose alerts are counted in one summary alert, because too many alerts of the
+    /// kind were open already.
     #[display("many")]
     Many,
 }
 
-/// What makes two alerts the same.
+/// Key by which alerts are deduplicated: at most one alert with a key is open.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{kind}: {subject}")]
 pub struct Key {
-    /// What went wrong.
+    /// Kind of the alert.
     pub kind: Kind,
-    /// Whom it concerns.
+    /// Subject of the alert.
     pub subject: Subject,
 }
 
-/// Identity of one alert, unique in its failure domain and rising with each one raised.
+/// Identity of an alert, unique in its failure domain; later alerts have larger identities.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{_0:x}")]
 pub struct Id(u64);
 
 impl Id {
-    /// Rebuilds an identity from its number.
+    /// Creates an identity from its number.
     pub const fn from_raw(raw: u64) -> Self {
         Self(raw)
     }
 
-    /// The identity's number.
+    /// Returns the identity as a number.
     pub const fn raw(self) -> u64 {
         self.0
     }
 
-    /// Reads the form that `Display` writes; `None` when `text` is not such a form.
+    /// Parses the hexadecimal form that `Display` writes; returns `None` if `text` is invalid.
     ///
     /// ```
     /// use oriolefork::alert::Id;
--- a/src/alert/mod.rs
+++ b/src/alert/mod.rs
@@ -1,8 +1,9 @@
-//! Alerts: what a person has to see, kept until a person acknowledges it.
+//! Alerts for operators, kept open until an operator acknowledges them.
 //!
-//! The owner of a failure domain raises alerts on its [`Board`] and writes the [`Record`]s that the
-//! board returns into the domain's stream. Every instance of the domain applies them to a board of
-//! its own, and so does the next owner: an alert outlives the process that raised it.
+//! The alerts of a failure domain form a [`Board`]. The owner of the domain raises alerts on its
+//! board and appends the [`Record`]s that the board returns to the domain's stream. Every instance
+//! of the domain, including the next owner, applies these records to its own board, so an alert
+//! survives the process that raised it.
 
 mod board;
 mod kind;
--- a/src/alert/record.rs
+++ b/src/alert/record.rs
@@ -1,43 +1,43 @@
-//! What is written of alerts into the domain's stream.
+//! Changes of alerts, as recorded in the failure domain's stream.
 
 use super::kind::{Id, Key};
 use crate::clock::Unix;
 
-/// A person's word that an alert was seen.
+/// An operator's confirmation that an alert was seen.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Acknowledgement {
-    /// The person.
+    /// Name of the operator.
     pub by: String,
-    /// When they said so.
+    /// Time of the acknowledgement.
     pub at: Unix,
 }
 
-/// A change of a board.
+/// A change to the alerts of a [`Board`](super::Board).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// An alert was raised.
+    /// An alert was raised, or raised again after its cause had gone.
     Raised {
-        /// Its identity.
+        /// Identity of the alert.
         id: Id,
-        /// What it is about.
+        /// Kind and subject of the alert.
         key: Key,
-        /// What happened, in a sentence for people.
+        /// Description of the event for operators.
         message: String,
-        /// When.
+        /// Time at which the alert was raised.
         at: Unix,
     },
-    /// The cause has gone; the alert stays until it is acknowledged.
+    /// The cause of an alert has gone; the alert stays open until it is acknowledged.
     Ended {
-        /// Its identity.
+        /// Identity of the alert.
         id: Id,
-        /// When.
+        /// Time at which the cause was found to be gone.
         at: Unix,
     },
-    /// A person has seen the alert.
+    /// An operator acknowledged the alert.
     Acknowledged {
-        /// Its identity.
+        /// Identity of the alert.
         id: Id,
-        /// Who and when.
+        /// Operator and time.
         acknowledgement: Acknowledgement,
     },
 }
--- a/src/alert/wire.rs
+++ b/src/alert/wire.rs
@@ -1,4 +1,4 @@
-//! Form of alerts in the domain's stream and in its snapshots.
+//! Serialized form of alerts in the failure domain's stream and in its snapshots.
 
 use std::collections::BTreeMap;
 
@@ -11,64 +11,64 @@
 use crate::clock::Unix;
 use crate::{job, task, worker};
 
-/// A form that names an unknown kind.
+/// The serialized alert has a kind that this version does not define.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("step=alert.decode cause=unknown kind {kind:?}")]
 pub struct Error {
-    /// The kind.
+    /// Name of the unknown kind.
     pub kind: String,
 }
 
-/// A record.
+/// Serialized form of a [`record::Record`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Record {
     /// An alert was raised.
     Raised {
-        /// Its identity.
+        /// Identity of the alert.
         id: u64,
-        /// Its kind.
+        /// Kind of the alert, as [`Kind`] displays it.
         kind: String,
-        /// Whom it concerns.
+        /// Subject of the alert.
         subject: Subject,
-        /// What happened.
+        /// Description of the event for operators.
         message: String,
-        /// When.
+        /// Time at which the alert was raised.
         at: Unix,
     },
-    /// The cause has gone.
+    /// The cause of an alert has gone.
     Ended {
-        /// Its identity.
+        /// Identity of the alert.
         id: u64,
-        /// When.
+        /// Time at which the cause was found to be gone.
         at: Unix,
     },
-    /// A person has seen it.
+    /// An operator acknowledged the alert.
     Acknowledged {
-        /// Its identity.
+        /// Identity of the alert.
         id: u64,
-        /// Who.
+        /// Name of the operator.
         by: String,
-        /// When.
+        /// Time of the acknowledgement.
         at: Unix,
     },
 }
 
-/// Whom an alert concerns.
+/// Serialized form of a [`kind::Subject`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Subject {
     /// A job.
     Job(job::Id),
-    /// One try at a task.
+    /// An attempt to run a task.
     Task(task::Id),
     /// A worker.
     Worker(worker::Name),
-    /// The failure domain.
+    /// The failure domain itself.
     Domain,
-    /// Many at once.
+    /// The subjects that a summary alert counts.
     Many,
 }
 
-/// One alert in a snapshot.
+/// Serialized form of a [`board::Alert`] in a snapshot.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Alert {
     id: u64,
@@ -82,7 +82,7 @@
     acknowledged: Option<(String, Unix)>,
 }
 
-/// A whole board.
+/// Serialized form of a [`board::BoardSnapshot`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BoardSnapshot {
     alerts: Vec<Alert>,
--- a/tests/logic/alert.rs
+++ b/tests/logic/alert.rs
@@ -1,4 +1,4 @@
-//! Alerts that stay until a person acknowledges them.
+//! Alerts stay open until an operator acknowledges them.
 
 use oriolefork::alert::{
     Board, BoardSnapshot, Id, Key, Kind, MAX_OPEN_PER_KIND, Record, Subject, wire,
@@ -15,7 +15,7 @@
     Key { kind: Kind::Late, subject: Subject::Job(job::Id::from_raw(job)) }
 }
 
-/// The record as the next owner reads it.
+/// Encodes and decodes the record, as the next owner reads it from the stream.
 fn round_trip(record: &Record) -> Record {
     let bytes = codec::encode(&wire::Record::from(record)).unwrap();
     codec::decode::<wire::Record>(&bytes).unwrap().try_into().unwrap()
@@ -38,10 +38,10 @@
 }
 
 #[test]
-fn board_survives_raiser() {
-    // The owner raises two alerts, one of which the desk acknowledges, and dies. The next owner
-    // has only the stream. The desk must find the open alert there, and not be asked about the
-    // other one again.
+fn board_is_rebuilt_from_stream() {
+    // The owner raises two alerts, an operator acknowledges one of them, and the owner crashes. The
+    // next owner rebuilds the board from the stream: it must show the open alert and must not
+    // reopen the acknowledged one.
     let mut board = Board::new();
     let records = [
         board.raise(NOW, late(1), "missed 06:00").unwrap(),
@@ -59,8 +59,8 @@
 
 #[test]
 fn raise_again_after_cause_had_gone() {
-    // The log fails, a person acknowledges, the log comes back and fails again. The second outage
-    // is news; a third call during it is not.
+    // The log fails, an operator acknowledges the alert, the log recovers and fails again. The
+    // second outage must raise a new alert; another call during it must not.
     let key = Key { kind: Kind::LogOutage, subject: Subject::Domain };
     let mut board = Board::new();
     board.raise(NOW, key.clone(), "no answer");
@@ -83,9 +83,9 @@
 }
 
 #[test]
-fn raise_before_acknowledged_end() {
-    // The log fails, recovers and fails again before anybody looks. The alert must not say that
-    // the cause has gone while it lasts.
+fn raise_again_before_acknowledgement() {
+    // The log fails, recovers and fails again before an operator acknowledges the alert. The alert
+    // must not show its cause as gone during the second outage.
     let key = Key { kind: Kind::LogOutage, subject: Subject::Domain };
     let mut board = Board::new();
     let later = Unix::from_millis(NOW.as_millis() + 1);
@@ -110,10 +110,10 @@
 }
 
 #[test]
-fn wave_is_counted_and_none_lost() {
-    // A rack dies and 5,000 jobs become late within a second. The desk gets a list that a person
-    // can read and a count of the rest; each job is in the stream, so that the next owner counts
-    // the same.
+fn excess_alerts_are_counted_in_summary() {
+    // A rack fails and 5,000 jobs become late within a second. The list of open alerts must stay
+    // bounded, with a summary alert that counts the rest. Each job has its own record in the
+    // stream, so that the next owner arrives at the same count.
     const JOBS: u64 = 5_000;
     let mut board = Board::new();
     let records: Vec<Record> =
@@ -135,9 +135,9 @@
 }
 
 #[test]
-fn raise_behind_an_earlier_clock() {
-    // The next owner's clock is an hour behind. Its alerts must still get new identities, or
-    // acknowledging one would close another.
+fn raise_with_earlier_clock() {
+    // The clock of the next owner is an hour behind. Its alerts must still get new identities;
+    // otherwise acknowledging one alert would close another.
     let mut board = Board::new();
     board.raise(NOW, late(1), "missed 06:00");
     let earlier = Unix::from_millis(NOW.as_millis() - 3_600_000);
@@ -170,7 +170,7 @@
     ]
 }
 
-/// Carries a step out and returns the record to write.
+/// Executes a step and returns the record to append to the stream.
 fn run_step(board: &mut Board, step: &Step) -> Option<Record> {
     match step {
         Step::Raise(job) => board.raise(NOW, late(*job), "missed"),
@@ -182,7 +182,8 @@
     }
 }
 
-/// What an instance that applied the records must agree on.
+/// Snapshot of the state that must be equal on every instance that applied the same records.
+/// `last_raised` is masked: raising an open alert again updates it without a record.
 fn comparable_snapshot(board: &Board) -> BoardSnapshot {
     let mut snapshot = board.snapshot();
     for alert in &mut snapshot.alerts {
@@ -201,8 +202,8 @@
 
     #[test]
     fn records_rebuild_board(steps in prop::collection::vec(step(), 0..1_500), cut in 0..1_500_usize) {
-        // An instance reads the records from the beginning, another from a snapshot on, a third
-        // reads every record twice: all hold the owner's board.
+        // One instance reads all records, another starts from a snapshot, a third reads every
+        // record twice: each must arrive at the owner's board.
         let mut board = Board::new();
         let mut records = Vec::new();
         let mut snapshot = (0, BoardSnapshot::default());
