--- a/src/logging/line.rs
+++ b/src/logging/line.rs
@@ -1,21 +1,21 @@
-//! One log line.
+//! Formatting of a log line.
 
 use std::fmt::{self, Display, Write};
 use std::time::SystemTime;
 
 use super::value;
 
-/// Start of the messages that call sites of this crate write.
+/// Prefix of the messages of this project; messages of libraries lack it.
 const EVENT_PREFIX: &str = "event=";
 
-/// A record as one line of pairs; `ts`, `level` and `event` come first.
+/// Displays a log record as one line of `key=value` pairs; `ts`, `level` and `event` come first.
 pub struct Line<'a> {
     record: &'a log::Record<'a>,
     message: &'a fmt::Arguments<'a>,
 }
 
 impl<'a> Line<'a> {
-    /// The line for `record` with its `message`.
+    /// Creates the line for `record` with its formatted `message`.
     pub const fn new(record: &'a log::Record<'a>, message: &'a fmt::Arguments<'a>) -> Self {
         Self { record, message }
     }
@@ -30,14 +30,16 @@
         if message.starts_with(EVENT_PREFIX) {
             return write_single_line(f, &message);
         }
-        // Libraries write free text.
+        // The message is free text from a library.
         let target = value(self.record.target());
         write!(f, "event=library.message target={target} message={}", value(&message))
     }
 }
 
-/// Guards against a call site that forgot [`value`]: a line break in the message would let text
-/// from outside forge a whole line.
+/// Writes `message` with control characters escaped.
+///
+/// Guards against a call site that omits [`value`]: a line break in text of external origin would
+/// otherwise forge a log line.
 fn write_single_line(f: &mut fmt::Formatter<'_>, message: &str) -> fmt::Result {
     if !message.chars().any(char::is_control) {
         return f.write_str(message);
--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -1,10 +1,10 @@
-//! Log lines of this process: one line of `key=value` pairs for each event.
+//! Logging of this process: one line of `key=value` pairs for each event.
 //!
 //! ```text
 //! ts=2026-12-02T18:40:00.123Z level=warn event=worker.fenced worker=oamaru-w7 epoch=4.0
 //! ```
 //!
-//! Call sites write the event first and pass text that comes from outside through [`value`]:
+//! Call sites write the `event` pair first and escape text of external origin with [`value`]:
 //!
 //! ```
 //! use oriolefork::logging;
@@ -26,28 +26,32 @@
 
 use crate::settings::Level;
 
-/// Logging that could not be started.
+/// Logging could not be started.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("step=logging.start cause={cause}")]
 pub struct Error {
-    /// Cause as text.
+    /// Description of the cause.
     pub cause: String,
 }
 
-/// Starts writing log lines of `level` and above to standard error; once a process.
+/// Starts writing log lines of `level` and above to standard error.
+///
+/// Can be called once in a process.
 ///
 /// # Errors
 ///
-/// Fails when the process logs already.
+/// Fails if logging was already started in this process.
 pub fn start(level: Level) -> Result<(), Error> {
     start_on(Stream::Error, level)
 }
 
-/// Starts writing log lines of `level` and above to `stream`; once a process.
+/// Starts writing log lines of `level` and above to `stream`.
+///
+/// Can be called once in a process.
 ///
 /// # Errors
 ///
-/// Fails when the process logs already.
+/// Fails if logging was already started in this process.
 pub fn start_on(stream: Stream, level: Level) -> Result<(), Error> {
     let output = fern::Output::call(move |record| {
         sink::write_line(stream, record.level(), &record.args().to_string());
@@ -60,12 +64,12 @@
     Ok(())
 }
 
-/// Changes the least severe level that is written, while the process runs.
+/// Sets the least severe level that is written; takes effect at once.
 pub fn set_level(level: Level) {
     log::set_max_level(level.into());
 }
 
-/// The least severe level that is written.
+/// Returns the least severe level that is written.
 pub fn level() -> Level {
     log::max_level().into()
 }
--- a/src/logging/sink.rs
+++ b/src/logging/sink.rs
@@ -1,4 +1,4 @@
-//! Where log lines go, within bounds and without waiting.
+//! Rate-limited, non-blocking output of log lines.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, Write};
@@ -8,7 +8,7 @@
 use log::Level;
 use nix::poll::{PollFd, PollFlags, poll};
 
-/// Standard stream that takes a process's log lines.
+/// Standard stream that log lines are written to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stream {
     /// Standard output.
@@ -17,29 +17,30 @@
     Error,
 }
 
-/// Lines of one second up to which all are written. An owner at the size to design for, 380 starts
-/// a second, writes about 1,500.
+/// Maximum number of lines that a thread writes in one second. An owner at the design load of 380
+/// task starts per second writes about 1,500.
 const MAX_LINES_PER_SECOND: u32 = 4_000;
 
-/// Part of these buffered for warnings and errors.
+/// Part of [`MAX_LINES_PER_SECOND`] that is reserved for warnings and errors.
 const RESERVED_FOR_WARNINGS: u32 = 1_000;
 
-/// Bytes that a pipe takes in one call as soon as it is ready.
+/// Bytes that a pipe accepts in one call without blocking when `poll` reports it writable.
 const PIPE_BYTES: usize = 4_096;
 
 thread_local! {
-    static LIMITER: Cell<RateLimiter> = const { Cell::new(RateLimiter { window_start: None, lines: 0, dropped: 0 }) };
+    static LIMITER: Cell<RateLimiter> =
+        const { Cell::new(RateLimiter { window_start: None, lines: 0, dropped: 0 }) };
     static BUFFER: RefCell<Buffer> =
         const { RefCell::new(Buffer { stream: None, text: String::new(), lines: 0 }) };
 }
 
-/// Lines of one thread that wait to be written together.
+/// Lines of one thread that are buffered to be written in one call.
 #[derive(Debug)]
 struct Buffer {
-    /// Where they go; `None` while lines are not buffered.
+    /// Stream whose lines are buffered; `None` if buffering is off.
     stream: Option<Stream>,
     text: String,
-    /// How many there are, those included that were left out and are told of.
+    /// Number of lines in `text`, plus the dropped lines that its `log.dropped` events report.
     lines: u64,
 }
 
@@ -66,15 +67,18 @@
     }
 }
 
-/// Keeps the lines that this thread logs to `stream` until [`flush`] is called or a pipe would not take
-/// more at once. Each write costs an instance a good part of what a decision does.
+/// Buffers the lines that this thread logs to `stream` until [`flush`] is called or the buffer
+/// reaches the size that a pipe accepts at once.
+///
+/// Without the buffer, each line takes one write call, which costs a good part of the time of a
+/// scheduling decision.
 pub fn buffer_lines(stream: Stream) {
     BUFFER.with_borrow_mut(|buffer| buffer.stream = Some(stream));
 }
 
-/// Writes the lines that this thread has buffered.
+/// Writes the buffered lines of this thread.
 pub fn flush() {
-    // A panic in the midst of a log line comes here as well.
+    // The buffer is already borrowed if a panic interrupted a log line of this thread.
     BUFFER.with(|buffer| {
         if let Ok(mut buffer) = buffer.try_borrow_mut() {
             buffer.write();
@@ -82,7 +86,7 @@
     });
 }
 
-/// What was written and left out in the present second.
+/// Limits the number of lines that a thread writes per second, and counts the dropped lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RateLimiter {
     window_start: Option<Instant>,
@@ -91,8 +95,10 @@
 }
 
 impl RateLimiter {
-    /// Counts a line of `level` at `now`. Whether it is written, and how many lines were left out
-    /// before it that have not been spoken of.
+    /// Counts a line of `level` at `now`.
+    ///
+    /// Returns whether to write the line, and the number of lines dropped before it that have not
+    /// been reported yet.
     ///
     /// ```
     /// use oriolefork::logging::RateLimiter;
@@ -117,17 +123,18 @@
         (true, std::mem::take(&mut self.dropped))
     }
 
-    /// Counts lines that could not be written after all, those included that were to be spoken of.
+    /// Counts `lines` that were admitted but could not be written, including the dropped lines that
+    /// they would have reported.
     pub const fn count_dropped(&mut self, lines: u64) {
         self.dropped += lines;
     }
 }
 
-/// Writes one line, or counts it as left out.
+/// Writes one line, or drops and counts it.
 ///
-/// Guards against a reader of the stream that has stopped reading: the pipe fills up, and a write
-/// would hold every decision of the process until somebody reads. A line that does not fit is left
-/// out, and the next one that does says how many were.
+/// Guards against a reader that has stopped reading the stream: the pipe fills up, and a blocking
+/// write would stop all scheduling in the process. A line that does not fit is dropped, and a
+/// `log.dropped` event before the next written line reports how many were.
 pub(super) fn write_line(stream: Stream, level: Level, line: &str) {
     let mut limiter = LIMITER.get();
     let (write, dropped) = limiter.admit(level, Instant::now());
@@ -162,10 +169,11 @@
     }
 }
 
-/// Writes `text` in one call, so that lines of several threads do not mix. A pipe that is ready
-/// takes 4 KiB at once; longer lines are cut by [`super::value`] before.
+/// Writes `text` in one call, so that lines of several threads do not interleave. Returns whether
+/// the stream was ready.
 ///
-/// A stream that is closed takes nothing any more; the line is lost and the process goes on.
+/// A writable pipe accepts 4 KiB without blocking; [`super::value`] truncates long values to
+/// keep lines short. If the stream is closed, the text is lost without an error.
 fn write_to(writer: &mut impl Write, descriptor: RawFd, text: &str) -> bool {
     let mut ready = [PollFd::new(descriptor, PollFlags::POLLOUT)];
     match poll(&mut ready, 0) {
--- a/src/logging/value.rs
+++ b/src/logging/value.rs
@@ -1,21 +1,21 @@
-//! Text from outside as the value of a log line's pair.
+//! Escaping of text of external origin in log lines.
 
 use std::fmt::{self, Write};
 
-/// Most characters of a text that a line repeats.
+/// Maximum number of characters of a value; longer text is truncated.
 const MAX_CHARACTERS: usize = 512;
 
-/// Written in place of what a long text holds beyond that.
+/// Marks the end of a truncated value.
 const ELLIPSIS: &str = "...";
 
-/// Text that is quoted and escaped where needed.
+/// Displays a text as the value of a `key=value` pair, quoted and escaped where needed.
 ///
-/// Guards against a name that forges a line or a pair by holding a line break, a space or a quote:
-/// whatever the text, it stays one value of one pair of one line. Quoted values are JSON strings.
+/// Prevents log injection: a line break, a space or a quote in the text cannot start another line
+/// or pair. Quoted values are JSON strings.
 #[derive(Clone, Copy, Debug)]
 pub struct Value<'a>(&'a str);
 
-/// Prepares `text` for a log line.
+/// Escapes `text` for use as a value in a log line.
 ///
 /// ```
 /// use oriolefork::logging::value;
@@ -48,7 +48,7 @@
     text.split_at(end)
 }
 
-/// Whether a value may hold the character without quotes.
+/// Returns whether the character may appear in an unquoted value.
 fn is_plain(character: char) -> bool {
     let special = matches!(character, '"' | '\\' | '=');
     character.is_alphanumeric() || (character.is_ascii_graphic() && !special)
@@ -63,7 +63,7 @@
         '\t' => f.write_str("\\t"),
         ' ' | '=' => f.write_char(character),
         shown if is_plain(shown) => f.write_char(shown),
-        // Control, format and direction characters, which could change how a terminal shows the
+        // Control, format and text direction characters could change how a terminal displays the
         // rest of the line.
         hidden => {
             let mut units = [0; 2];
--- a/tests/logic/logging.rs
+++ b/tests/logic/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines stay one line with the pairs that the call site wrote, whatever a name holds.
+//! Each log event is one line with exactly the pairs of its call site, whatever the values contain.
 
 use log::{Level, Record};
 use oriolefork::logging::{self, Line, value};
@@ -8,12 +8,13 @@
 
 fn line(target: &str, message: &str) -> String {
     let arguments = format_args!("{message}");
-    // Two steps: `format_args!` borrows `message` for this statement only.
+    // A statement of its own: as an argument below, the value would be dropped before the record
+    // is used.
     let record = Record::builder().level(Level::Warn).target(target).args(arguments).build();
     Line::new(&record, record.args()).to_string()
 }
 
-/// Reads a line strictly: pairs parted by one space, values plain or JSON strings.
+/// Parses a line strictly: pairs separated by one space, values plain or JSON strings.
 fn pairs(line: &str) -> Vec<(String, String)> {
     let mut rest = line;
     let mut found = Vec::new();
@@ -40,11 +41,11 @@
 }
 
 proptest! {
-    // A caller names a job `x\nts=... event=job.ended job=1`. If the name were written as it is,
-    // the operators' log would hold a line that the scheduler never wrote, or a pair that a
-    // search by key would believe.
+    // Guards against log injection: a caller submits a job with the name
+    // `x\nts=... event=job.ended job=1`. Written without escaping, it would forge a log line, or a
+    // pair that a search by key would find.
     #[test]
-    fn line_holds_hostile_values(name in any::<String>(), other in "[ -~\\n\"\\\\=]{0,40}") {
+    fn line_escapes_hostile_values(name in any::<String>(), other in "[ -~\\n\"\\\\=]{0,40}") {
         let message =
             format!("event=job.accepted name={} team={} end=1", value(&name), value(&other));
         let line = line("oriolefork::owner", &message);
--- a/tests/logic/logging_sink.rs
+++ b/tests/logic/logging_sink.rs
@@ -1,12 +1,12 @@
-//! Bounds on the lines that a process writes.
+//! Rate limit on the log lines of a thread.
 
 use std::time::{Duration, Instant};
 
 use log::Level;
 use oriolefork::logging::RateLimiter;
 
-/// A fault makes the process log each decision thousands of times a second. The log must not take
-/// its time, must still hold the warnings, and must say what is missing.
+/// A fault makes the process log thousands of lines per second. The limit must bound the time spent
+/// on logging, still admit warnings, and report the number of dropped lines.
 #[test]
 fn admit_limits_lines_per_second() {
     let (mut limiter, now) = (RateLimiter::default(), Instant::now());
@@ -20,7 +20,7 @@
     let (write, dropped) = limiter.admit(Level::Info, later);
     assert!(write);
     assert_eq!(dropped, 9_000);
-    assert_eq!(limiter.admit(Level::Info, later), (true, 0), "it is said once");
+    assert_eq!(limiter.admit(Level::Info, later), (true, 0), "dropped lines are reported once");
 }
 
 #[test]
