--- a/src/alert/wire.rs
+++ b/src/alert/wire.rs
@@ -1,4 +1,4 @@
-//! Form of alerts in the domain's stream and in its snapshots.
+//! Serialized form of alerts in the failure domain's stream and in its snapshots.
 
 use std::collections::BTreeMap;
 
@@ -11,64 +11,64 @@
 use crate::clock::Unix;
 use crate::{job, task, worker};
 
-/// A form that names an unknown kind.
+/// The serialized alert has a kind that this version does not define.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("step=alert.decode cause=unknown kind {kind:?}")]
 pub struct Error {
-    /// The kind.
+    /// Name of the unknown kind.
     pub kind: String,
 }
 
-/// A record.
+/// Serialized form of a [`record::Record`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Record {
     /// An alert was raised.
     Raised {
-        /// Its identity.
+        /// Identity of the alert.
         id: u64,
-        /// Its kind.
+        /// Kind of the alert, as [`Kind`] displays it.
         kind: String,
-        /// Whom it concerns.
+        /// Subject of the alert.
         subject: Subject,
-        /// What happened.
+        /// Description of the event for operators.
         message: String,
-        /// When.
+        /// Time at which the alert was raised.
         at: Unix,
     },
-    /// The cause has gone.
+    /// The cause of an alert has gone.
     Ended {
-        /// Its identity.
+        /// Identity of the alert.
         id: u64,
-        /// When.
+        /// Time at which the cause was found to be gone.
         at: Unix,
     },
-    /// A person has seen it.
+    /// An operator acknowledged the alert.
     Acknowledged {
-        /// Its identity.
+        /// Identity of the alert.
         id: u64,
-        /// Who.
+        /// Name of the operator.
         by: String,
-        /// When.
+        /// Time of the acknowledgement.
         at: Unix,
     },
 }
 
-/// Whom an alert concerns.
+/// Serialized form of a [`kind::Subject`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Subject {
     /// A job.
     Job(job::Id),
-    /// One try at a task.
+    /// An attempt to run a task.
     Task(task::Id),
     /// A worker.
     Worker(worker::Name),
-    /// The failure domain.
+    /// The failure domain itself.
     Domain,
-    /// Many at once.
+    /// The subjects that a summary alert counts.
     Many,
 }
 
-/// One alert in a snapshot.
+/// Serialized form of a [`board::Alert`] in a snapshot.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Alert {
     id: u64,
@@ -82,9 +82,9 @@
     acknowledged: Option<(String, Unix)>,
 }
 
-/// A whole board.
+/// Serialized form of a [`board::BoardSnapshot`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Ledger {
+pub struct BoardSnapshot {
     alerts: Vec<Alert>,
     members: BTreeMap<String, Vec<u64>>,
     latest: u64,
@@ -162,7 +162,7 @@
             subject: (&alert.key.subject).into(),
             message: alert.message.clone(),
             raised: alert.raised,
-            last: alert.last,
+            last: alert.last_raised,
             count: alert.count,
             ended: alert.ended,
             acknowledged: acknowledged.map(|seen| (seen.by.clone(), seen.at)),
@@ -180,7 +180,7 @@
             key,
             message: alert.message,
             raised: alert.raised,
-            last: alert.last,
+            last_raised: alert.last,
             count: alert.count,
             ended: alert.ended,
             acknowledged: alert.acknowledged.map(|(by, at)| Acknowledgement { by, at }),
@@ -188,32 +188,34 @@
     }
 }
 
-impl From<&board::Ledger> for Ledger {
-    fn from(ledger: &board::Ledger) -> Self {
-        let members = ledger.members.iter();
+impl From<&board::BoardSnapshot> for BoardSnapshot {
+    fn from(snapshot: &board::BoardSnapshot) -> Self {
+        let members = snapshot.counted_subjects.iter();
         Self {
-            alerts: ledger.alerts.iter().map(Alert::from).collect(),
+            alerts: snapshot.alerts.iter().map(Alert::from).collect(),
             members: members
                 .map(|(kind, members)| (kind.to_string(), members.iter().copied().collect()))
                 .collect(),
-            latest: ledger.latest.raw(),
-            forgotten: ledger.forgotten.raw(),
+            latest: snapshot.latest_id.raw(),
+            forgotten: snapshot.latest_evicted.raw(),
         }
     }
 }
 
-impl TryFrom<Ledger> for board::Ledger {
+impl TryFrom<BoardSnapshot> for board::BoardSnapshot {
     type Error = Error;
 
-    fn try_from(ledger: Ledger) -> Result<Self, Error> {
-        let alerts: Result<_, _> = ledger.alerts.into_iter().map(board::Alert::try_from).collect();
-        let members: Result<_, Error> = ledger
+    fn try_from(snapshot: BoardSnapshot) -> Result<Self, Error> {
+        let alerts: Result<_, _> =
+            snapshot.alerts.into_iter().map(board::Alert::try_from).collect();
+        let members: Result<_, Error> = snapshot
             .members
             .into_iter()
             .map(|(kind, members)| Ok((parse_kind(kind)?, members.into_iter().collect())))
             .collect();
-        let (latest, forgotten) = (Id::from_raw(ledger.latest), Id::from_raw(ledger.forgotten));
-        Ok(Self { alerts: alerts?, members: members?, latest, forgotten })
+        let (latest_id, latest_evicted) =
+            (Id::from_raw(snapshot.latest), Id::from_raw(snapshot.forgotten));
+        Ok(Self { alerts: alerts?, counted_subjects: members?, latest_id, latest_evicted })
     }
 }
 
--- a/tests/logic/alert.rs
+++ b/tests/logic/alert.rs
@@ -1,6 +1,8 @@
-//! Alerts that stay until a person acknowledges them.
+//! Alerts stay open until an operator acknowledges them.
 
-use oriolefork::alert::{Board, Id, Key, Kind, Ledger, OPEN_PER_KIND, Record, Subject, wire};
+use oriolefork::alert::{
+    Board, BoardSnapshot, Id, Key, Kind, MAX_OPEN_PER_KIND, Record, Subject, wire,
+};
 use oriolefork::clock::Unix;
 use oriolefork::{codec, job};
 use proptest::prelude::*;
@@ -13,16 +15,16 @@
     Key { kind: Kind::Late, subject: Subject::Job(job::Id::from_raw(job)) }
 }
 
-/// The record as the next owner reads it.
-fn written(record: &Record) -> Record {
+/// Encodes and decodes the record, as the next owner reads it from the stream.
+fn round_trip(record: &Record) -> Record {
     let bytes = codec::encode(&wire::Record::from(record)).unwrap();
     codec::decode::<wire::Record>(&bytes).unwrap().try_into().unwrap()
 }
 
-fn rebuilt(records: &[Record]) -> Board {
+fn replay(records: &[Record]) -> Board {
     let mut board = Board::new();
     for record in records {
-        board.apply(&written(record));
+        board.apply(&round_trip(record));
     }
     board
 }
@@ -36,10 +38,10 @@
 }
 
 #[test]
-fn board_survives_raiser() {
-    // The owner raises two alerts, one of which the desk acknowledges, and dies. The next owner
-    // has only the stream. The desk must find the open alert there, and not be asked about the
-    // other one again.
+fn board_is_rebuilt_from_stream() {
+    // The owner raises two alerts, an operator acknowledges one of them, and the owner crashes. The
+    // next owner rebuilds the board from the stream: it must show the open alert and must not
+    // reopen the acknowledged one.
     let mut board = Board::new();
     let records = [
         board.raise(NOW, late(1), "missed 06:00").unwrap(),
@@ -49,7 +51,7 @@
     let acknowledged = board.acknowledge(NOW, seen, "ana").unwrap().unwrap();
     drop(board);
 
-    let mut next = rebuilt(&[records[0].clone(), records[1].clone(), acknowledged]);
+    let mut next = replay(&[records[0].clone(), records[1].clone(), acknowledged]);
     assert_eq!(next.open().iter().map(|alert| &alert.key).collect::<Vec<_>>(), [&late(2)]);
     assert_eq!(next.get(seen).unwrap().acknowledged.as_ref().unwrap().by, "ana");
     assert!(next.raise(NOW, late(1), "missed 06:00").is_none());
@@ -57,8 +59,8 @@
 
 #[test]
 fn raise_again_after_cause_had_gone() {
-    // The log fails, a person acknowledges, the log comes back and fails again. The second outage
-    // is news; a third call during it is not.
+    // The log fails, an operator acknowledges the alert, the log recovers and fails again. The
+    // second outage must raise a new alert; another call during it must not.
     let key = Key { kind: Kind::LogOutage, subject: Subject::Domain };
     let mut board = Board::new();
     board.raise(NOW, key.clone(), "no answer");
@@ -81,9 +83,9 @@
 }
 
 #[test]
-fn raise_before_acknowledged_end() {
-    // The log fails, recovers and fails again before anybody looks. The alert must not say that
-    // the cause has gone while it lasts.
+fn raise_again_before_acknowledgement() {
+    // The log fails, recovers and fails again before an operator acknowledges the alert. The alert
+    // must not show its cause as gone during the second outage.
     let key = Key { kind: Kind::LogOutage, subject: Subject::Domain };
     let mut board = Board::new();
     let later = Unix::from_millis(NOW.as_millis() + 1);
@@ -93,7 +95,7 @@
         board.raise(later, key, "no answer").unwrap(),
     ];
     assert_eq!(board.open()[0].ended, None);
-    assert_eq!(rebuilt(&records).open()[0].ended, None);
+    assert_eq!(replay(&records).open()[0].ended, None);
 }
 
 #[test]
@@ -108,10 +110,10 @@
 }
 
 #[test]
-fn wave_is_counted_and_none_lost() {
-    // A rack dies and 5,000 jobs become late within a second. The desk gets a list that a person
-    // can read and a count of the rest; each job is in the stream, so that the next owner counts
-    // the same.
+fn excess_alerts_are_counted_in_summary() {
+    // A rack fails and 5,000 jobs become late within a second. The list of open alerts must stay
+    // bounded, with a summary alert that counts the rest. Each job has its own record in the
+    // stream, so that the next owner arrives at the same count.
     const JOBS: u64 = 5_000;
     let mut board = Board::new();
     let records: Vec<Record> =
@@ -124,18 +126,18 @@
         let found = board.open().into_iter().find(|alert| alert.key.subject == Subject::Many);
         found.cloned().unwrap()
     };
-    assert_eq!(board.open_count(), OPEN_PER_KIND + 1);
-    assert_eq!(many(&board).count + OPEN_PER_KIND as u64, JOBS);
-    assert_eq!(many(&rebuilt(&records)), many(&board));
+    assert_eq!(board.open_count(), MAX_OPEN_PER_KIND + 1);
+    assert_eq!(many(&board).count + MAX_OPEN_PER_KIND as u64, JOBS);
+    assert_eq!(many(&replay(&records)), many(&board));
 
     board.acknowledge(NOW, many(&board).id, "ana").unwrap();
-    assert_eq!(board.open_count(), OPEN_PER_KIND);
+    assert_eq!(board.open_count(), MAX_OPEN_PER_KIND);
 }
 
 #[test]
-fn raise_behind_an_earlier_clock() {
-    // The next owner's clock is an hour behind. Its alerts must still get new identities, or
-    // acknowledging one would close another.
+fn raise_with_earlier_clock() {
+    // The clock of the next owner is an hour behind. Its alerts must still get new identities;
+    // otherwise acknowledging one alert would close another.
     let mut board = Board::new();
     board.raise(NOW, late(1), "missed 06:00");
     let earlier = Unix::from_millis(NOW.as_millis() - 3_600_000);
@@ -168,8 +170,8 @@
     ]
 }
 
-/// Carries a step out and returns the record to write.
-fn take(board: &mut Board, step: &Step) -> Option<Record> {
+/// Executes a step and returns the record to append to the stream.
+fn run_step(board: &mut Board, step: &Step) -> Option<Record> {
     match step {
         Step::Raise(job) => board.raise(NOW, late(*job), "missed"),
         Step::End(job) => board.end(NOW, &late(*job)),
@@ -180,13 +182,14 @@
     }
 }
 
-/// What an instance that applied the records must agree on.
-fn essence(board: &Board) -> Ledger {
-    let mut ledger = board.ledger();
-    for alert in &mut ledger.alerts {
-        alert.last = NOW;
+/// Snapshot of the state that must be equal on every instance that applied the same records.
+/// `last_raised` is masked: raising an open alert again updates it without a record.
+fn comparable_snapshot(board: &Board) -> BoardSnapshot {
+    let mut snapshot = board.snapshot();
+    for alert in &mut snapshot.alerts {
+        alert.last_raised = NOW;
     }
-    ledger
+    snapshot
 }
 
 proptest! {
@@ -199,28 +202,28 @@
 
     #[test]
     fn records_rebuild_board(steps in prop::collection::vec(step(), 0..1_500), cut in 0..1_500_usize) {
-        // An instance reads the records from the beginning, another from a snapshot on, a third
-        // reads every record twice: all hold the owner's board.
+        // One instance reads all records, another starts from a snapshot, a third reads every
+        // record twice: each must arrive at the owner's board.
         let mut board = Board::new();
         let mut records = Vec::new();
-        let mut snapshot = (0, Ledger::default());
+        let mut snapshot = (0, BoardSnapshot::default());
         for (index, step) in steps.iter().enumerate() {
             if index == cut {
-                snapshot = (records.len(), board.ledger());
+                snapshot = (records.len(), board.snapshot());
             }
-            records.extend(take(&mut board, step));
+            records.extend(run_step(&mut board, step));
         }
-        prop_assert_eq!(essence(&rebuilt(&records)), essence(&board));
+        prop_assert_eq!(comparable_snapshot(&replay(&records)), comparable_snapshot(&board));
 
         let doubled: Vec<Record> =
             records.iter().flat_map(|record| [record.clone(), record.clone()]).collect();
-        prop_assert_eq!(essence(&rebuilt(&doubled)), essence(&board));
+        prop_assert_eq!(comparable_snapshot(&replay(&doubled)), comparable_snapshot(&board));
 
-        let (from, ledger) = snapshot;
-        let bytes = codec::encode(&wire::Ledger::from(&ledger)).unwrap();
-        let read: wire::Ledger = codec::decode(&bytes).unwrap();
+        let (from, snapshot) = snapshot;
+        let bytes = codec::encode(&wire::BoardSnapshot::from(&snapshot)).unwrap();
+        let read: wire::BoardSnapshot = codec::decode(&bytes).unwrap();
         let mut later = Board::restore(read.try_into().unwrap());
         records[from..].iter().for_each(|record| later.apply(record));
-        prop_assert_eq!(essence(&later), essence(&board));
+        prop_assert_eq!(comparable_snapshot(&later), comparable_snapshot(&board));
     }
 }
