--- a/src/cell/forward.rs
+++ b/src/cell/forward.rs
@@ -19,7 +19,8 @@
     /// The owner answered.
     Answer(Answer),
     /// The call was not executed.
-    NotExecuted,
+    // The name is printed in log lines (`call.unanswered`).
+    NotDone,
     /// The call may have been executed.
     Unknown,
 }
@@ -58,7 +59,7 @@
     ///
     /// Every call is idempotent by the job's ID, so it is repeated at the next owner when the
     /// former one does not answer. A call that fails is [`CallOutcome::Unknown`] if it changes a
-    /// job and one of its attempts may have been executed, else [`CallOutcome::NotExecuted`].
+    /// job and one of its attempts may have been executed, else [`CallOutcome::NotDone`].
     pub async fn call(&self, cell: Id, call: Call, timeout: Duration) -> CallOutcome {
         let clock = self.node.deps.clock.clone();
         let is_write = matches!(call, Call::Submit(_) | Call::Cancel(_));
@@ -69,7 +70,7 @@
                 RetryDecision::Attempt(timeout) => timeout,
                 RetryDecision::Unknown if is_write => return CallOutcome::Unknown,
                 RetryDecision::Unknown | RetryDecision::NotExecuted => {
-                    return CallOutcome::NotExecuted;
+                    return CallOutcome::NotDone;
                 }
             };
             let outcome = match self.attempt(cell, &call, timeout).await {
