--- a/src/cell/election/follow.rs
+++ b/src/cell/election/follow.rs
@@ -51,7 +51,7 @@
                 }
                 Err(error) => {
                     log::info!("event=owner.unanswered cell={} owner={owner} {error}", self.cell);
-                    let timed_out = error.phase == peer::CallPhase::Timeout;
+                    let timed_out = error.step == peer::CallPhase::Timeout;
                     return if timed_out {
                         TakeoverReason::Silent(owner)
                     } else {
--- a/src/cell/election/takeover.rs
+++ b/src/cell/election/takeover.rs
@@ -115,7 +115,7 @@
     async fn probe(&self, owner: SocketAddr) -> Probe {
         match self.watch(owner, false).await {
             Ok(response) if response.is_owner || response.owner == Some(owner) => Probe::Answers,
-            Err(error) if error.sent && error.phase == peer::CallPhase::Timeout => {
+            Err(error) if error.sent && error.step == peer::CallPhase::Timeout => {
                 Probe::Unresponsive
             }
             _ => Probe::Gone,
--- a/src/entry/witness.rs
+++ b/src/entry/witness.rs
@@ -53,7 +53,7 @@
     pub fn called<T>(&self, address: std::net::SocketAddr, result: &Result<T, peer::Error>) {
         let answered = match result {
             Ok(_) => true,
-            Err(error) => match error.phase {
+            Err(error) => match error.step {
                 CallPhase::Refused(_) | CallPhase::Decode => true,
                 CallPhase::Connect | CallPhase::Send | CallPhase::Receive => false,
                 CallPhase::Encode | CallPhase::Timeout => return,
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -58,7 +58,7 @@
             codec::encode(payload).map_err(|cause| unsent(CallPhase::Encode, peer, cause))?;
         let response_body = self.call_bytes(peer, method, payload, deadline).await?;
         codec::decode(&response_body).map_err(|cause| Error {
-            phase: CallPhase::Decode,
+            step: CallPhase::Decode,
             peer,
             sent: true,
             cause: cause.to_string(),
@@ -89,12 +89,12 @@
                 in_flight.note_response();
                 Ok(response_body)
             }
-            Some(Err(StreamFailure { phase, sent, cause })) => {
-                Err(Error { phase, peer, sent, cause })
+            Some(Err(StreamFailure { step, sent, cause })) => {
+                Err(Error { step, peer, sent, cause })
             }
             None => {
                 let cause = "no complete response in time".to_owned();
-                Err(Error { phase: CallPhase::Timeout, peer, sent: true, cause })
+                Err(Error { step: CallPhase::Timeout, peer, sent: true, cause })
             }
         }
     }
@@ -119,17 +119,17 @@
 
 /// Failure of one stream; the caller adds the peer's address.
 struct StreamFailure {
-    phase: CallPhase,
+    step: CallPhase,
     sent: bool,
     cause: String,
 }
 
 impl StreamFailure {
-    fn new(phase: CallPhase, error: &BodyError) -> Self {
-        let phase =
-            if matches!(error, BodyError::TooLarge { .. }) { CallPhase::Decode } else { phase };
+    fn new(step: CallPhase, error: &BodyError) -> Self {
+        let step =
+            if matches!(error, BodyError::TooLarge { .. }) { CallPhase::Decode } else { step };
         let sent = !matches!(error, BodyError::H2(error) if is_refused(error));
-        Self { phase, sent, cause: error.to_string() }
+        Self { step, sent, cause: error.to_string() }
     }
 }
 
@@ -158,7 +158,7 @@
 ) -> Result<Bytes, StreamFailure> {
     let (response, mut stream) =
         sender.send_request(request, payload.is_empty()).map_err(|error| StreamFailure {
-            phase: CallPhase::Connect,
+            step: CallPhase::Connect,
             sent: false,
             cause: error.to_string(),
         })?;
@@ -187,17 +187,15 @@
 fn refused_call(status: StatusCode, reason: &[u8]) -> StreamFailure {
     let cause = String::from_utf8_lossy(reason).into_owned();
     match Code::of_status(status) {
-        Some(code) => StreamFailure { phase: CallPhase::Refused(code), sent: true, cause },
-        None => StreamFailure {
-            phase: CallPhase::Decode,
-            sent: true,
-            cause: format!("status {status}"),
-        },
+        Some(code) => StreamFailure { step: CallPhase::Refused(code), sent: true, cause },
+        None => {
+            StreamFailure { step: CallPhase::Decode, sent: true, cause: format!("status {status}") }
+        }
     }
 }
 
-fn unsent(phase: CallPhase, peer: SocketAddr, cause: impl Display) -> Error {
-    Error { phase, peer, sent: false, cause: cause.to_string() }
+fn unsent(step: CallPhase, peer: SocketAddr, cause: impl Display) -> Error {
+    Error { step, peer, sent: false, cause: cause.to_string() }
 }
 
 async fn with_deadline<F: Future>(deadline: Instant, future: F) -> Option<F::Output> {
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -96,10 +96,11 @@
 
 /// Error of a call that was refused or got no complete response.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("{phase} {peer}: {cause} ({})", if *sent { "may have been sent" } else { "surely not sent" })]
+#[display("{step} {peer}: {cause} ({})", if *sent { "may have been sent" } else { "surely not sent" })]
 pub struct Error {
     /// Phase in which the error occurred.
-    pub phase: CallPhase,
+    // The name is printed in log lines, which contain the Debug output of errors.
+    pub step: CallPhase,
     /// The peer that was called.
     pub peer: SocketAddr,
     /// Whether the peer may have acted on the call; `false` means that it certainly has not.
@@ -115,9 +116,9 @@
     /// use oriolefork::peer::{Error, CallPhase};
     /// let peer = ([127, 0, 0, 1], 7_540).into();
     /// let cause = "refused stream".to_owned();
-    /// assert!(Error { phase: CallPhase::Receive, peer, sent: false, cause }.is_busy());
+    /// assert!(Error { step: CallPhase::Receive, peer, sent: false, cause }.is_busy());
     /// ```
     pub fn is_busy(&self) -> bool {
-        self.phase == CallPhase::Receive && !self.sent
+        self.step == CallPhase::Receive && !self.sent
     }
 }
--- a/tests/process/peer.rs
+++ b/tests/process/peer.rs
@@ -132,7 +132,7 @@
             .call::<_, Vec<u8>>(server.addr, "echo", &vec![0_u8; 200_000], GENEROUS)
             .await
             .unwrap_err();
-        assert_eq!(error.phase, CallPhase::Refused(Code::Malformed));
+        assert_eq!(error.step, CallPhase::Refused(Code::Malformed));
         assert!(server.service.methods.borrow().is_empty());
         let answer: u64 = client.call(server.addr, "double", &1_u64, GENEROUS).await.unwrap();
         assert_eq!(answer, 2);
@@ -145,7 +145,7 @@
         let server = serve(Limits::default());
         let client = Client::new(Limits::default());
         let error = client.call::<_, u64>(server.addr, "no-such", &1_u64, GENEROUS).await;
-        assert_eq!(error.unwrap_err().phase, CallPhase::Refused(Code::UnknownMethod));
+        assert_eq!(error.unwrap_err().step, CallPhase::Refused(Code::UnknownMethod));
     });
 }
 
@@ -156,7 +156,7 @@
         let client = Client::new(Limits::default());
         client.call::<_, u64>(unused, "double", &1_u64, GENEROUS).await.unwrap_err()
     });
-    assert_eq!((error.phase, error.sent), (CallPhase::Connect, false));
+    assert_eq!((error.step, error.sent), (CallPhase::Connect, false));
 }
 
 // A call times out and its response arrives later, while other calls use the same connection. It must
@@ -168,7 +168,7 @@
         let client = Client::new(Limits::default());
         let short = Duration::from_millis(250);
         let error = client.call::<_, u64>(server.addr, "hold", &7_u64, short).await.unwrap_err();
-        assert_eq!((error.phase, error.sent), (CallPhase::Timeout, true));
+        assert_eq!((error.step, error.sent), (CallPhase::Timeout, true));
         server.service.gate.trigger();
         for n in 0..20_u64 {
             let answer = client.call::<_, u64>(server.addr, "double", &n, GENEROUS).await;
@@ -222,7 +222,7 @@
         let begin = Instant::now();
         for answer in join_all(calls).await {
             let error = answer.unwrap_err();
-            assert_eq!((error.phase, error.sent), (CallPhase::Receive, true), "{error}");
+            assert_eq!((error.step, error.sent), (CallPhase::Receive, true), "{error}");
         }
         assert!(begin.elapsed() < GENEROUS);
     });
@@ -322,7 +322,7 @@
         let short = Duration::from_millis(250);
         for n in 0..2_u64 {
             let error = client.call::<_, u64>(server.addr, "hold", &n, short).await.unwrap_err();
-            assert_eq!(error.phase, CallPhase::Timeout);
+            assert_eq!(error.step, CallPhase::Timeout);
         }
         assert_eq!(server.service.waiting_calls.get(), 2);
         let error = client.call::<_, u64>(server.addr, "double", &1_u64, GENEROUS).await;
