--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -68,7 +68,7 @@
 }
 
 impl Limits {
-    /// Upper limit of [`Limits::head_bytes`], whatever the settings.
+    /// Upper limit of the field `head_bytes`, whatever the settings.
     ///
     /// The `http` crate panics on header names of 64 KiB and more, so that a head must stay below
     /// that size.
