--- a/src/cell/machine/journal_queue.rs
+++ b/src/cell/machine/journal_queue.rs
@@ -198,8 +198,8 @@
     }
 
     /// Appends the next batch, or an empty one to show that the owner is working. An unanswered
-    /// batch is sent again in parallel; the journal writes it only once, because the sequence number
-    /// is the same.
+    /// batch is sent again in parallel; the journal writes it only once, because the sequence
+    /// number is the same.
     ///
     /// Guards against an append that hangs although the store has returned: without the second one,
     /// the owner and all callers would wait for the timeout.
--- a/src/cell/machine/succession.rs
+++ b/src/cell/machine/succession.rs
@@ -31,9 +31,9 @@
 
 impl Machine {
     /// Returns the instances that are present, in order of succession. Those with more CPU come
-    /// first, because the owner does most of the work and instances differ by a
-    /// factor of four. Among instances with equal CPU, failure domains alternate, so that losing one
-    /// domain leaves most of the first instances.
+    /// first, because the owner does most of the work and instances differ by a factor of four.
+    /// Among instances with equal CPU, failure domains alternate, so that losing one domain leaves
+    /// most of the first instances.
     pub fn present_instances(&self, now: Instant) -> Vec<SocketAddr> {
         let fresh = self.proxies.iter().filter(|(_, proxy)| proxy.is_fresh(now));
         let mut counts: BTreeMap<(u32, &str), u32> = BTreeMap::new();
--- a/src/cell/preempt.rs
+++ b/src/cell/preempt.rs
@@ -1,10 +1,10 @@
 //! Choice of the running tasks to stop for more urgent ones.
 //!
 //! The problem arises with a burst of wide gangs, or with a failure domain cut off, on a site at
-//! 80% load. A gang of a dozen tasks finds no worker with enough free capacity while small tasks that
-//! write checkpoints and can afford a delay run everywhere. Without preemption it waited for half a
-//! minute and missed its deadline. Stopping a task that writes checkpoints loses only the time for
-//! its stop and restart.
+//! 80% load. A gang of a dozen tasks finds no worker with enough free capacity while small tasks
+//! that write checkpoints and can afford a delay run everywhere. Without preemption it waited for
+//! half a minute and missed its deadline. Stopping a task that writes checkpoints loses only the
+//! time for its stop and restart.
 
 use super::job::Run;
 use crate::resource::Amount;
--- a/src/cell/retry.rs
+++ b/src/cell/retry.rs
@@ -42,8 +42,8 @@
 }
 
 impl RetryPolicy {
-    /// Creates the policy for a call that arrived at `now` from a caller that waits for `timeout`, at
-    /// an instance whose last contact with a working owner was at `owner_heard_at`.
+    /// Creates the policy for a call that arrived at `now` from a caller that waits for `timeout`,
+    /// at an instance whose last contact with a working owner was at `owner_heard_at`.
     ///
     /// ```
     /// use oriolefork::cell::retry::{RetryDecision, RetryPolicy};
--- a/src/cell/timings.rs
+++ b/src/cell/timings.rs
@@ -156,8 +156,8 @@
 pub const MAX_POLICY_WORKERS: usize = 100;
 
 /// Time for which an instance holds a call after its last contact with a working owner: twice the
-/// time of a change of owner. Longer holds cost the caller an attempt (value of the work done on days
-/// with a store outage: 0.64 with 0.7 s, 0.69 without any hold; one run each).
+/// time of a change of owner. Longer holds cost the caller an attempt (value of the work done on
+/// days with a store outage: 0.64 with 0.7 s, 0.69 without any hold; one run each).
 pub const NO_OWNER_WAIT: Duration = Duration::from_millis(700);
 
 /// Timeout of one attempt to reach the owner. It is longer than an append to a slow store, and
--- a/src/config/gossip.rs
+++ b/src/config/gossip.rs
@@ -1,5 +1,5 @@
-//! What instances exchange about the settings: small digests at short intervals, and the whole state
-//! only on request.
+//! What instances exchange about the settings: small digests at short intervals, and the whole
+//! state only on request.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -53,7 +53,7 @@
 pub struct Digest {
     /// Status of the sender.
     pub from: SyncStatus,
-    /// Status of some other instances, as the sender knows it.
+    /// Status of some other instances, as last recorded by the sender.
     pub rows: Vec<SyncStatus>,
 }
 
@@ -145,8 +145,8 @@
 /// Returns for each domain the least current status among its instances that reported within
 /// `recent`.
 ///
-/// For a domain without recent reports, it is the least current of the older ones, so that their age
-/// remains visible.
+/// For a domain without recent reports, it is the least current of the older ones, so that their
+/// age remains visible.
 pub fn worst_by_domain(
     statuses: &[SyncStatus],
     recent: Duration,
--- a/src/config/machine.rs
+++ b/src/config/machine.rs
@@ -320,9 +320,10 @@
     /// Whether the first value may be put in force.
     ///
     /// An earlier process of this instance may have had in force any version that the log held when
-    /// this one started. An older value would revert it, so the state must first cover the stream up
-    /// to the end found at the first read, by reading it or by a peer's state. If the log has never
-    /// answered, that end is unknown; once a read has failed, a peer's state is used as it is.
+    /// this one started. An older value would revert it, so the state must first cover the stream
+    /// up to the end found at the first read, by reading it or by a peer's state. If the log has
+    /// never answered, that end is unknown; once a read has failed, a peer's state is used as it
+    /// is.
     fn may_put_in_force(&self) -> bool {
         match self.initial_end {
             Some(end) => self.reader.covers(end),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,11 +1,11 @@
 //! Settings that operators change while the system runs: the preset in force, team quotas, drained
 //! workers and racks.
 //!
-//! The settings are stored in one stream of the platform's log. Every instance applies that stream in
-//! order with the same deterministic function ([`State::apply`]), so that instances which applied the
-//! same prefix have the same state. [`Machine`] decides when a value is in force, what to append to
-//! the stream and what to exchange with peers; the task in [`follow`] owns it and executes its
-//! effects.
+//! The settings are stored in one stream of the platform's log. Every instance applies that stream
+//! in order with the same deterministic function ([`State::apply`]), so that instances which
+//! applied the same prefix have the same state. [`Machine`] decides when a value is in force, what
+//! to append to the stream and what to exchange with peers; the task in [`follow`] owns it and
+//! executes its effects.
 
 pub mod change;
 pub mod compaction;
--- a/src/config/publish.rs
+++ b/src/config/publish.rs
@@ -105,7 +105,8 @@
 struct PendingChange {
     publication: Publication,
     deadline: Instant,
-    /// When to append again after a failure; `None` while an append is in progress or has succeeded.
+    /// When to append again after a failure; `None` while an append is in progress or has
+    /// succeeded.
     retry: Option<Instant>,
     /// Whether any append may have been written.
     maybe_written: bool,
@@ -243,8 +244,8 @@
 
 /// Returns the outcome of a change if it follows from `state`.
 ///
-/// A copy that is written after the version has moved past the base has no effect, so the outcome is
-/// final even while an append is still in progress.
+/// A copy that is written after the version has moved past the base has no effect, so the outcome
+/// is final even while an append is still in progress.
 pub(super) fn known_outcome(state: &State, id: Id, base: Version) -> Option<PublishOutcome> {
     if let Some(HistoryEntry { revision, .. }) = state.accepted(id) {
         return Some(PublishOutcome::Accepted(revision.version));
--- a/src/config/reader.rs
+++ b/src/config/reader.rs
@@ -205,7 +205,8 @@
             let result = state.apply(&publication);
             results.push((publication.id, result));
         }
-        // A snapshot changes no state. A record that cannot be decoded is skipped by every instance.
+        // A snapshot changes no state. A record that cannot be decoded is skipped by every
+        // instance.
         Some(Record::Snapshot { .. }) | None => state.skip(),
     }
 }
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -50,9 +50,9 @@
 impl State {
     /// Applies the change at offset `next`.
     ///
-    /// A change is accepted if its base is the current version. Of two changes on the same base, the
-    /// first in the stream is accepted at every instance and the second has no effect. This also
-    /// covers a change that was appended twice because the first response was lost.
+    /// A change is accepted if its base is the current version. Of two changes on the same base,
+    /// the first in the stream is accepted at every instance and the second has no effect. This
+    /// also covers a change that was appended twice because the first response was lost.
     pub fn apply(&mut self, publication: &Publication) -> ApplyResult {
         self.next += 1;
         if publication.base != self.value.version {
--- a/src/entry/backend/settings.rs
+++ b/src/entry/backend/settings.rs
@@ -29,8 +29,8 @@
             Action::Undrain => false,
             Action::Lost => return self.request_worker(call, OwnerRequest::GiveUp(name)).await,
         };
-        // The worker is queried first, so that a mistyped name is refused
-        // before a drain is recorded.
+        // The worker is queried first, so that a mistyped name is refused before a drain is
+        // recorded.
         self.request_worker(call.clone(), OwnerRequest::Worker(name.clone())).await?;
         self.configuration.drain(&call, &self.domain, &name, is_drained).await?;
         self.await_drain_state(call, name, is_drained).await
--- a/src/entry/controller.rs
+++ b/src/entry/controller.rs
@@ -90,7 +90,7 @@
     /// Requests a change from the owner on this instance and waits at most `within`.
     ///
     /// After that time the machine withdraws the change if it has not been sent to the log yet, so
-    /// that the answer tells correctly whether the change may take effect.
+    /// that the answer states correctly whether the change may take effect.
     pub async fn call(&self, clock: &dyn Clock, call: Call, within: Duration) -> Answer {
         let (reply, mut answer) = oneshot::channel();
         let ticket = self.tickets.get() + 1;
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -24,7 +24,7 @@
 pub struct HeartbeatResponse {
     /// The instance that answers.
     pub from: Instance,
-    /// Latest epoch it knows, including that of the heartbeat.
+    /// Latest epoch it has recorded, including that of the heartbeat.
     pub epoch: Epoch,
 }
 
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -18,15 +18,15 @@
 /// Sends requests to peers named by address.
 ///
 /// Each request uses a connection exclusively until its whole response is read. A connection is
-/// closed after a timeout, an error, a truncated response or unexpected data, or if the caller drops
-/// the request, so that a late response cannot reach another caller.
+/// closed after a timeout, an error, a truncated response or unexpected data, or if the caller
+/// drops the request, so that a late response cannot reach another caller.
 ///
 /// Requests are not retried, with one exception: if a pooled connection fails without any byte of
 /// the request being sent, a new connection replaces it.
 ///
-/// Connections are reused within half of the idle timeout, and closed within the whole of it even if
-/// no further requests are sent. A process that no longer calls a peer therefore does not use up the
-/// peer's limit of connections.
+/// Connections are reused within half of the idle timeout, and closed within the whole of it even
+/// if no further requests are sent. A process that no longer calls a peer therefore does not use up
+/// the peer's limit of connections.
 pub struct Client {
     limits: Limits,
     pools: Rc<PoolMap>,
@@ -44,8 +44,8 @@
     /// missing. Dropping the future abandons the request and closes its connection.
     ///
     /// # Errors
-    /// Fails if no complete response was read. [`Error::sent`] states whether the peer may have acted
-    /// on the request.
+    /// Fails if no complete response was read. [`Error::sent`] states whether the peer may have
+    /// acted on the request.
     pub async fn send(
         &self,
         peer: SocketAddr,
@@ -181,7 +181,8 @@
 /// Request that verifies the identity of the peer on each new connection.
 ///
 /// Prevents a request from reaching the successor of the intended process at the same address. A
-/// connection leads to the same process for its lifetime, so that one check per connection suffices.
+/// connection leads to the same process for its lifetime, so that one check per connection
+/// suffices.
 pub struct IdentityCheck<'a> {
     /// Identity of the intended peer. Only pooled connections verified for it are reused.
     pub expected: &'a str,
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -85,7 +85,8 @@
         self.close().await;
     }
 
-    /// Waits for the first byte of a request; returns `false` if the connection should close instead.
+    /// Waits for the first byte of a request; returns `false` if the connection should close
+    /// instead.
     async fn wait_for_request(&mut self, timeout: Duration, close_idle: Option<Shutdown>) -> bool {
         self.source.get_mut().allow(self.limits.head_bytes());
         let mut arrived = Box::pin(self.source.peek_data().fuse());
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -116,12 +116,12 @@
     }
 }
 
-/// Checks that `headers` do not delimit the body in more than one way, and that a declared length is
-/// within `limit` bytes.
+/// Checks that `headers` do not delimit the body in more than one way, and that a declared length
+/// is within `limit` bytes.
 ///
 /// Prevents request smuggling: if two peers read different lengths from one head, one of them takes
-/// the rest of a body for the next message, and responses reach the wrong caller. The codec uses the
-/// first length it finds, so that a head with a second one is rejected here.
+/// the rest of a body for the next message, and responses reach the wrong caller. The codec uses
+/// the first length it finds, so that a head with a second one is rejected here.
 pub(super) fn check_framing(
     version: Version,
     headers: &HeaderMap,
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -251,7 +251,8 @@
         self.idle.borrow_mut().push(connection);
     }
 
-    /// Closes connections that were idle too long; returns whether any connection is left or in use.
+    /// Closes connections that were idle too long; returns whether any connection is left or in
+    /// use.
     pub(super) fn sweep(&self, max_idle: Duration) -> bool {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| connection.idle_since.elapsed() < max_idle);
--- a/src/http/pool_map.rs
+++ b/src/http/pool_map.rs
@@ -18,8 +18,8 @@
 }
 
 impl PoolMap {
-    /// Creates a map whose pools allow `connections` in use at once per peer, and reuse a connection
-    /// that has been idle for less than `max_idle`.
+    /// Creates a map whose pools allow `connections` in use at once per peer, and reuse a
+    /// connection that has been idle for less than `max_idle`.
     pub(super) fn new(connections: usize, max_idle: Duration) -> Self {
         let by_peer = RefCell::new(HashMap::new());
         Self { connections, max_idle, by_peer, sweeping: Cell::new(false) }
@@ -39,8 +39,8 @@
     /// Starts a task that closes idle connections until none are left, unless it is running.
     ///
     /// When idle connections were closed only during calls, those to a peer that was no longer
-    /// called stayed open for the lifetime of the process. A worker that limits its connections then
-    /// reset the commands of other instances.
+    /// called stayed open for the lifetime of the process. A worker that limits its connections
+    /// then reset the commands of other instances.
     pub(super) fn start_sweeping(self: &Rc<Self>) {
         if !self.sweeping.replace(true) {
             monoio::spawn(sweep_until_unused(Rc::downgrade(self), self.max_idle));
--- a/src/owner/election/mod.rs
+++ b/src/owner/election/mod.rs
@@ -107,9 +107,9 @@
         };
     }
 
-    /// Handles the answer of `from` to a heartbeat; `epoch` is the latest epoch known to it.
+    /// Handles the answer of `from` to a heartbeat; `epoch` is the latest one on record there.
     ///
-    /// A former owner that knows a later epoch has stepped down, and a new process at the
+    /// A former owner that has recorded a later epoch has stepped down, and a new process at the
     /// address of a former owner shows that the old process is gone.
     pub(in crate::owner) fn on_heartbeat_answered(
         &mut self,
--- a/src/owner/election/reading.rs
+++ b/src/owner/election/reading.rs
@@ -35,8 +35,8 @@
 impl Machine {
     /// Issues the next read unless one is in flight.
     ///
-    /// An owner receives the offsets of its own records in the answers to its appends. It reads only to fill a
-    /// gap or, at a slow pace, to find the claim of a rival.
+    /// An owner receives the offsets of its own records in the answers to its appends. It reads
+    /// only to fill a gap or, at a slow pace, to find the claim of a rival.
     pub(in crate::owner) fn read_on(&mut self, now: Instant) {
         if self.election.read_in_flight || now < self.election.next_read_at {
             return;
--- a/src/owner/machine/mod.rs
+++ b/src/owner/machine/mod.rs
@@ -115,7 +115,7 @@
         matches!(self.role, Role::Owner(_))
     }
 
-    /// The owner, if this instance knows one.
+    /// The owner on record at this instance, if any.
     pub fn owner(&self) -> Option<&Instance> {
         match &self.role {
             Role::Owner(_) => Some(&self.me),
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Latest epoch that this instance knows of.
+    /// Latest epoch that this instance has read, received or claimed.
     pub fn known_epoch(&self) -> Epoch {
         self.replica.epoch().max(self.election.highest_epoch())
     }
--- a/src/owner/on_commit.rs
+++ b/src/owner/on_commit.rs
@@ -84,9 +84,9 @@
         self.send_start(placement, job, now, unix);
     }
 
-    /// Commands workers to forget an ended task. This happens only once its end is in the log: a new
-    /// owner that finds the end neither in the log nor at the worker concludes that the task never
-    /// started.
+    /// Commands workers to forget an ended task. This happens only once its end is in the log: a
+    /// new owner that finds the end neither in the log nor at the worker concludes that the task
+    /// never started.
     fn forget(&mut self, task: task::Id) {
         for session in self.sessions.values_mut() {
             session.forget(task);
--- a/src/owner/peer_commit.rs
+++ b/src/owner/peer_commit.rs
@@ -1,9 +1,10 @@
 //! Commit of batches by copies on peers, while the owner cannot reach the log.
 //!
 //! While the log is unreachable, a batch of the owner takes effect once every enrolled instance of
-//! its domain stores a copy. An instance becomes enrolled when a heartbeat of the owner lists it, and stays enrolled for the epoch of that owner. Every enrolled instance
-//! therefore stores every batch that took effect without the log. Whichever of them claims the
-//! domain next writes those batches to the log before it decides anything.
+//! its domain stores a copy. An instance becomes enrolled when a heartbeat of the owner lists it,
+//! and stays enrolled for the epoch of that owner. Every enrolled instance therefore stores every
+//! batch that took effect without the log. Whichever of them claims the domain next writes those
+//! batches to the log before it decides anything.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/src/owner/timings.rs
+++ b/src/owner/timings.rs
@@ -9,8 +9,8 @@
 pub struct Timings {
     /// Interval between the owner's heartbeats to the other instances of its domain.
     pub heartbeat_interval: Duration,
-    /// Time without a heartbeat or record of the owner after which the first-ranked instance claims the domain;
-    /// instances of a later rank wait longer.
+    /// Time without a heartbeat or record of the owner after which the first-ranked instance claims
+    /// the domain; instances of a later rank wait longer.
     pub claim_timeout: Duration,
     /// Duration of the lease that each exchange grants to the tasks of a worker.
     pub lease: Duration,
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -104,7 +104,8 @@
         connections.entry(peer).or_insert_with(|| Rc::new(PeerConnection::new(self.limits))).clone()
     }
 
-    /// Closes connections that have been idle too long, so that entries of removed peers are dropped.
+    /// Closes connections that have been idle too long, so that entries of removed peers are
+    /// dropped.
     fn sweep(&self) {
         let max_idle = self.limits.idle_timeout / 2;
         if self.last_sweep.get().elapsed() < max_idle {
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -110,7 +110,8 @@
 }
 
 impl Error {
-    /// Whether the peer rejected the call, without acting on it, because it is overloaded or stopping.
+    /// Whether the peer rejected the call, without acting on it, because it is overloaded or
+    /// stopping.
     ///
     /// ```
     /// use oriolefork::peer::{CallPhase, Error};
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -181,8 +181,8 @@
 impl Calls {
     /// Runs one call in a task of its own, which holds `in_flight` until it ends.
     ///
-    /// A peer may reset streams and open new ones while the handlers of the former still run. HTTP/2
-    /// limits only the open streams; the permits limit the running handlers.
+    /// A peer may reset streams and open new ones while the handlers of the former still run.
+    /// HTTP/2 limits only the open streams; the permits limit the running handlers.
     fn start(self: &Rc<Self>, (request, mut respond): Call, peer: SocketAddr, in_flight: Rc<()>) {
         let Some(permit) = self.permits.try_acquire() else {
             respond.send_reset(Reason::REFUSED_STREAM);
--- a/src/peer/stream.rs
+++ b/src/peer/stream.rs
@@ -7,8 +7,8 @@
 /// configuration of about 100 KiB.
 pub(super) const STREAM_WINDOW: u32 = 1024 * 1024;
 
-/// Flow-control window of a whole connection, in bytes; limits how much a peer can make this process
-/// buffer. Like [`STREAM_WINDOW`], it must never be exhausted.
+/// Flow-control window of a whole connection, in bytes; limits how much a peer can make this
+/// process buffer. Like [`STREAM_WINDOW`], it must never be exhausted.
 pub(super) const CONNECTION_WINDOW: u32 = 16 * 1024 * 1024;
 
 /// Largest header list of a call, in bytes.
--- a/src/runner/share/ledger.rs
+++ b/src/runner/share/ledger.rs
@@ -28,7 +28,7 @@
     until: Instant,
 }
 
-/// Slots that a participant wants, kept while it goes on sending requests.
+/// Slots that a participant requests, kept while it goes on sending requests.
 #[derive(Clone, Copy, Debug)]
 struct WantedSlots {
     amount: u32,
--- a/src/runner/share/mod.rs
+++ b/src/runner/share/mod.rs
@@ -141,11 +141,11 @@
     pub sequence: u64,
     /// Last timestamp received from the coordinator; without it nothing is lent or granted.
     pub timestamp: Option<Timestamp>,
-    /// One entry per runner; a runner left out has nothing lent, held or wanted.
+    /// One entry per runner; a runner left out has nothing lent, held or requested.
     pub runners: Vec<SlotRequest>,
 }
 
-/// Slots of one runner that an instance lends, holds and wants.
+/// Slots of one runner that an instance lends, holds and requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRequest {
     /// The runner.
@@ -154,7 +154,7 @@
     pub lend: u32,
     /// Borrowed slots still held; the rest is returned by this request.
     pub holding: u32,
-    /// Borrowed slots wanted in total.
+    /// Borrowed slots requested in total.
     pub want: u32,
 }
 
@@ -178,6 +178,6 @@
     pub lent: u32,
     /// Slots that the participant may borrow for one lease, counted from its request.
     pub borrowed: u32,
-    /// Slots that the other participants want in total.
+    /// Slots that the other participants request in total.
     pub wanted_by_others: u32,
 }
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -51,8 +51,8 @@
 }
 
 impl Recorder {
-    /// Returns all metrics in the Prometheus text format, with the current CPU time and memory of this
-    /// process.
+    /// Returns all metrics in the Prometheus text format, with the current CPU time and memory of
+    /// this process.
     pub fn render(&self) -> String {
         self.process.collect();
         self.handle.render()
--- a/src/worker/mod.rs
+++ b/src/worker/mod.rs
@@ -69,8 +69,8 @@
 /// One exchange with a worker: the request.
 #[derive(Clone, Debug)]
 pub struct Exchange {
-    /// Fencing token of the caller; a worker refuses an exchange with one smaller than the largest it
-    /// has received.
+    /// Fencing token of the caller; a worker refuses an exchange with one smaller than the largest
+    /// it has received.
     pub epoch: Epoch,
     /// Duration of the lease that this call grants to every task the worker runs, counted from the
     /// time at which the worker issued the report `seen`; zero renews nothing.
--- a/tests/logic/config/gossip.rs
+++ b/tests/logic/config/gossip.rs
@@ -158,8 +158,8 @@
 
 #[test]
 fn standings_show_age_of_cut_off_domain() {
-    // A domain loses the log and its peers for 30 s. Other instances must report the age of its last
-    // status, and its own status must report that its version was not confirmed since.
+    // A domain loses the log and its peers for 30 s. Other instances must report the age of its
+    // last status, and its own status must report that its version was not confirmed since.
     let mut cluster = Cluster::new(&["oamaru-hall", "palmerston-hall", "kurow-hall"]);
     cluster.read_all();
     run_for(&mut cluster, Duration::from_secs(20), &[0, 1, 2]);
--- a/tests/logic/config/publish.rs
+++ b/tests/logic/config/publish.rs
@@ -34,9 +34,9 @@
 
 #[test]
 fn publish_race_has_one_winner() {
-    // Two operators set different presets on version 0 through different instances, and both records
-    // reach the log. The second must not silently overwrite the first: its operator gets the first
-    // one's revision, and the first preset is in force at every instance.
+    // Two operators set different presets on version 0 through different instances, and both
+    // records reach the log. The second must not silently overwrite the first: its operator gets
+    // the first one's revision, and the first preset is in force at every instance.
     let mut cluster = Cluster::new(&["oamaru-hall", "kurow-hall", "palmerston-hall"]);
     cluster.read_all();
     let late = cluster.publish(0, "ana", 0, PEAK);
@@ -74,8 +74,8 @@
 
 #[test]
 fn publish_lost_answer_is_unknown_until_read() {
-    // The log writes the change, then stops answering. The operator gets "unknown" after the publish
-    // timeout, and the real outcome by id from any instance once the log can be read again.
+    // The log writes the change, then stops answering. The operator gets "unknown" after the
+    // publish timeout, and the real outcome by id from any instance once the log can be read again.
     let mut cluster = Cluster::new(&["oamaru-hall", "kurow-hall"]);
     cluster.read_all();
     let id = cluster.publish(0, "ana", 0, PEAK);
--- a/tests/logic/config/retention.rs
+++ b/tests/logic/config/retention.rs
@@ -62,9 +62,9 @@
 
 #[test]
 fn snapshot_behind_racing_change() {
-    // A snapshot of version 1 follows the change to version 2 in the stream, and retention drops all
-    // records before that change. A starting instance must apply the change to the snapshot: with
-    // the snapshot alone it would have version 1 and reject changes that all others accept.
+    // A snapshot of version 1 follows the change to version 2 in the stream, and retention drops
+    // all records before that change. A starting instance must apply the change to the snapshot:
+    // with the snapshot alone it would have version 1 and reject changes that all others accept.
     let mut cluster = outdated_snapshot();
     cluster.read_all();
     cluster.log.oldest = 1;
@@ -77,9 +77,9 @@
 
 #[test]
 fn snapshot_that_misses_dropped_change_is_not_used() {
-    // The snapshot covers version 1 only, and the change to version 2 was dropped as well. A starting
-    // instance cannot rebuild version 2 from the log, so it has nothing in force until an instance
-    // that has version 2 writes a snapshot.
+    // The snapshot covers version 1 only, and the change to version 2 was dropped as well. A
+    // starting instance cannot rebuild version 2 from the log, so it has nothing in force until an
+    // instance that has version 2 writes a snapshot.
     let mut cluster = outdated_snapshot();
     cluster.log.oldest = 2;
     cluster.restart(1);
@@ -114,8 +114,9 @@
 
 #[test]
 fn gap_in_running_instance_keeps_value() {
-    // An instance is paused until retention drops records that it has not read. It keeps its value in
-    // force, reads the records after the gap, and continues from a peer's state that covers the gap.
+    // An instance is paused until retention drops records that it has not read. It keeps its value
+    // in force, reads the records after the gap, and continues from a peer's state that covers the
+    // gap.
     let mut cluster = Cluster::new(&["oamaru-hall", "kurow-hall"]);
     cluster.read_all();
     accept(&mut cluster, 0, Change::Preset(Preset::Peak));
--- a/tests/process/once.rs
+++ b/tests/process/once.rs
@@ -27,8 +27,9 @@
     cluster.runners.iter().map(|runner| state(runner.standin.addr)).sum()
 }
 
-// A permission sync reaches a runner, whose answer is lost. The caller is told that it may have
-// run, and asks again with the same key through the other failure domain. It must not run twice.
+// A permission sync reaches a runner, whose answer is lost. The caller gets the answer that it
+// may have run, and asks again with the same key through the other failure domain. It must not run
+// twice.
 #[test]
 fn run_once_answer_lost_then_asked_in_another_domain() {
     let domains = DOMAINS.to_vec();
